--- a/src/main/java/willowyoke/config/SettingsReader.java
+++ b/src/main/java/willowyoke/config/SettingsReader.java
@@ -5,117 +5,162 @@
 import java.util.Map;
 import willowyoke.Gateway;
 
-/** The settings by path, as both hosts are told them: the simulator's wire and the real edge node's file. */
+/**
+ * The settings by path, as both hosts are told them: the simulator's wire and the real edge node's
+ * file.
+ */
 public final class SettingsReader {
-    /** A setting that is missing or cannot be understood. */
-    public static final class Bad extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-        private final String field;
-        private final String what;
+  /** A setting that is missing or cannot be understood. */
+  public static final class Bad extends RuntimeException {
+    private static final long serialVersionUID = 1L;
+    private final String field;
+    private final String what;
 
-        Bad(String field, String what) {
-            super(field + ": " + what);
-            this.field = field;
-            this.what = what;
-        }
+    Bad(String field, String what) {
+      super(field + ": " + what);
+      this.field = field;
+      this.what = what;
+    }
 
-        /** What is wrong with it, without its path. */
-        public String what() {
-            return what;
-        }
+    /** What is wrong with it, without its path. */
+    public String what() {
+      return what;
+    }
 
-        /** The setting's path. */
-        public String field() {
-            return field;
-        }
+    /** The setting's path. */
+    public String field() {
+      return field;
     }
+  }
 
-    private final Map<String, String> keys;
+  private final Map<String, String> keys;
 
-    private SettingsReader(Map<String, String> keys) {
-        this.keys = keys;
-    }
+  private SettingsReader(Map<String, String> keys) {
+    this.keys = keys;
+  }
 
-    /** A list of objects has its length under {@code .count}; a key that is not known here is skipped. */
-    public static Gateway.Settings read(Map<String, String> keys) {
-        SettingsReader k = new SettingsReader(keys);
-        List<Gateway.RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < k.num("request_classes.count"); i++) {
-            String at = "request_classes." + i + ".";
-            Gateway.Effect effect = switch (k.text(at + "effect")) {
-                case "read_like" -> Gateway.Effect.SAFE;
-                case "idempotency_key" -> Gateway.Effect.KEYED;
-                case "non_idempotent" -> Gateway.Effect.UNSAFE;
-                default -> throw new Bad(at + "effect", "unknown effect");
-            };
-            Gateway.Group group = switch (k.or(at + "group", "cell")) {
-                case "all" -> Gateway.Group.ALL;
-                case "zone" -> Gateway.Group.ZONE;
-                default -> Gateway.Group.CELL;
-            };
-            classes.add(new Gateway.RequestClass(k.text(at + "name"), effect, group, k.num(at + "aim"),
-                k.num(at + "hard_limit"), k.num(at + "worth"), k.num(at + "late_share"),
-                k.num(at + "repeat_window"), k.flag(at + "stream")));
-        }
-        List<Gateway.Plan> plans = new ArrayList<>();
-        for (int i = 0; i < k.num("tariffs.count"); i++) {
-            String at = "tariffs." + i + ".";
-            plans.add(new Gateway.Plan(k.text(at + "name"), k.num(at + "per_second"), k.num(at + "depth"),
-                (int) k.num(at + "open"), k.num(at + "price"), k.num(at + "extra_worth"),
-                k.num(at + "over_cost"), k.num(at + "hard_rate"), k.num(at + "ceiling_burst"),
-                k.num(at + "cap_slack")));
-        }
-        String fields = k.or("feedback.fields", "");
-        return new Gateway.Settings((int) k.num("rank"), Math.max(1, (int) k.num("group_size")),
-            k.or("my_zone", ""), k.num("tick"), k.or("discovery", "pushed").equals("on_request"),
-            k.flag("family_info.trued_up"), Math.max(1, (int) k.num("family_info.most_units")),
-            fields.isEmpty() ? List.of() : List.of(fields.split(",")), classes, plans,
-            new Gateway.Allowed(k.flag("limits.probing"), k.flag("limits.cancelling"),
-                k.flag("limits.parallel_tries"), k.flag("limits.retry_after"), k.flag("limits.peers"),
-                k.flag("family_info.shared_counter"), Math.max(1, (int) k.num("limits.send_cap")),
-                k.num("limits.max_retry_after"), k.num("family_info.count_limit"), k.num("limits.keepalive")),
-            new Gateway.Rules(k.num("contract.grace_to_answer"), k.num("contract.drain_grace"),
-                k.num("contract.cold_share"), k.num("contract.warm_after"), k.num("contract.overload_factor"),
-                k.num("contract.overload_for")),
-            new Gateway.Prices(k.num("prices.waste"), k.num("prices.probe"),
-                k.num("family_info.counter_price"), k.num("prices.cross_zone"), k.num("prices.late_fail")));
+  /**
+   * A list of objects has its length under {@code .count}; a key that is not known here is skipped.
+   */
+  public static Gateway.Settings read(Map<String, String> keys) {
+    SettingsReader k = new SettingsReader(keys);
+    List<Gateway.RequestClass> classes = new ArrayList<>();
+    for (int i = 0; i < k.num("request_classes.count"); i++) {
+      String at = "request_classes." + i + ".";
+      Gateway.Effect effect =
+          switch (k.text(at + "effect")) {
+            case "read_like" -> Gateway.Effect.SAFE;
+            case "idempotency_key" -> Gateway.Effect.KEYED;
+            case "non_idempotent" -> Gateway.Effect.UNSAFE;
+            default -> throw new Bad(at + "effect", "unknown effect");
+          };
+      Gateway.Group group =
+          switch (k.or(at + "group", "cell")) {
+            case "all" -> Gateway.Group.ALL;
+            case "zone" -> Gateway.Group.ZONE;
+            default -> Gateway.Group.CELL;
+          };
+      classes.add(
+          new Gateway.RequestClass(
+              k.text(at + "name"),
+              effect,
+              group,
+              k.num(at + "aim"),
+              k.num(at + "hard_limit"),
+              k.num(at + "worth"),
+              k.num(at + "late_share"),
+              k.num(at + "repeat_window"),
+              k.flag(at + "stream")));
     }
-
-    private String or(String key, String other) {
-        return keys.getOrDefault(key, other);
+    List<Gateway.Plan> plans = new ArrayList<>();
+    for (int i = 0; i < k.num("tariffs.count"); i++) {
+      String at = "tariffs." + i + ".";
+      plans.add(
+          new Gateway.Plan(
+              k.text(at + "name"),
+              k.num(at + "per_second"),
+              k.num(at + "depth"),
+              (int) k.num(at + "open"),
+              k.num(at + "price"),
+              k.num(at + "extra_worth"),
+              k.num(at + "over_cost"),
+              k.num(at + "hard_rate"),
+              k.num(at + "ceiling_burst"),
+              k.num(at + "cap_slack")));
     }
+    String fields = k.or("feedback.fields", "");
+    return new Gateway.Settings(
+        (int) k.num("rank"),
+        Math.max(1, (int) k.num("group_size")),
+        k.or("my_zone", ""),
+        k.num("tick"),
+        k.or("discovery", "pushed").equals("on_request"),
+        k.flag("family_info.trued_up"),
+        Math.max(1, (int) k.num("family_info.most_units")),
+        fields.isEmpty() ? List.of() : List.of(fields.split(",")),
+        classes,
+        plans,
+        new Gateway.Allowed(
+            k.flag("limits.probing"),
+            k.flag("limits.cancelling"),
+            k.flag("limits.parallel_tries"),
+            k.flag("limits.retry_after"),
+            k.flag("limits.peers"),
+            k.flag("family_info.shared_counter"),
+            Math.max(1, (int) k.num("limits.send_cap")),
+            k.num("limits.max_retry_after"),
+            k.num("family_info.count_limit"),
+            k.num("limits.keepalive")),
+        new Gateway.Rules(
+            k.num("contract.grace_to_answer"),
+            k.num("contract.drain_grace"),
+            k.num("contract.cold_share"),
+            k.num("contract.warm_after"),
+            k.num("contract.overload_factor"),
+            k.num("contract.overload_for")),
+        new Gateway.Prices(
+            k.num("prices.waste"),
+            k.num("prices.probe"),
+            k.num("family_info.counter_price"),
+            k.num("prices.cross_zone"),
+            k.num("prices.late_fail")));
+  }
 
-    private String text(String key) {
-        String value = keys.get(key);
-        if (value == null) {
-            throw new Bad(key, "missing setting");
-        }
-        return value;
-    }
+  private String or(String key, String other) {
+    return keys.getOrDefault(key, other);
+  }
 
-    private double num(String key) {
-        return number(keys, key);
+  private String text(String key) {
+    String value = keys.get(key);
+    if (value == null) {
+      throw new Bad(key, "missing setting");
     }
+    return value;
+  }
 
-    /** An absent number is 0. */
-    public static double number(Map<String, String> keys, String key) {
-        String value = keys.get(key);
-        if (value == null || value.equals("-")) {
-            return 0;
-        }
-        try {
-            double parsed = Double.parseDouble(value);
-            if (Double.isFinite(parsed)) {
-                return parsed;
-            }
-        } catch (NumberFormatException e) {
-            // told below, with the field
-        }
-        throw new Bad(key, "number expected, found '" + value + "'");
-    }
+  private double num(String key) {
+    return number(keys, key);
+  }
 
-    private boolean flag(String key) {
-        String value = keys.getOrDefault(key, "false");
-        return value.equals("true") || value.equals("1");
+  /** An absent number is 0. */
+  public static double number(Map<String, String> keys, String key) {
+    String value = keys.get(key);
+    if (value == null || value.equals("-")) {
+      return 0;
     }
+    try {
+      double parsed = Double.parseDouble(value);
+      if (Double.isFinite(parsed)) {
+        return parsed;
+      }
+    } catch (NumberFormatException e) {
+      // told below, with the field
+    }
+    throw new Bad(key, "number expected, found '" + value + "'");
+  }
+
+  private boolean flag(String key) {
+    String value = keys.getOrDefault(key, "false");
+    return value.equals("true") || value.equals("1");
+  }
 }
--- a/src/main/java/willowyoke/kit/LocalTransport.java
+++ b/src/main/java/willowyoke/kit/LocalTransport.java
@@ -12,22 +12,28 @@
 import willowyoke.loop.Transport;
 
 /**
- * Channels within the process. What is written comes whole and at once; a connection to an address at which nobody
- * listens is refused. Half of a connection cannot be closed by itself.
+ * Channels within the process. What is written comes whole and at once; a connection to an address
+ * at which nobody listens is refused. Half of a connection cannot be closed by itself.
  *
  * @param world a name of its own: channels of all worlds in one process share one register
  */
 record LocalTransport(String world) implements Transport {
-    @Override public Bootstrap connecting(EventLoopGroup group, int withinMs) {
-        return new Bootstrap().group(group).channel(LocalChannel.class)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
-    }
+  @Override
+  public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+    return new Bootstrap()
+        .group(group)
+        .channel(LocalChannel.class)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
+  }
 
-    @Override public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
-        return new ServerBootstrap().group(group).channel(LocalServerChannel.class);
-    }
+  @Override
+  public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+    return new ServerBootstrap().group(group).channel(LocalServerChannel.class);
+  }
 
-    @Override public SocketAddress at(InetSocketAddress address) {
-        return new LocalAddress(world + "/" + address.getAddress().getHostAddress() + ":" + address.getPort());
-    }
+  @Override
+  public SocketAddress at(InetSocketAddress address) {
+    return new LocalAddress(
+        world + "/" + address.getAddress().getHostAddress() + ":" + address.getPort());
+  }
 }
--- a/src/main/java/willowyoke/kit/ProcessLoop.java
+++ b/src/main/java/willowyoke/kit/ProcessLoop.java
@@ -20,115 +20,142 @@
 import willowyoke.loop.Transport;
 
 /**
- * One edge node's process in the simulation: it shares the world's thread and clock, and can be killed. From then on
- * nothing of it runs any more: its timers are dropped, its connections end without a word of its own, and it makes no
- * new ones.
+ * One edge node's process in the simulation: it shares the world's thread and clock, and can be
+ * killed. From then on nothing of it runs any more: its timers are dropped, its connections end
+ * without a word of its own, and it makes no new ones.
  */
 final class ProcessLoop implements Loop {
-    /** Nobody listens there. */
-    private static final SocketAddress NOWHERE = new LocalAddress("nowhere");
-
-    private final LoopThread loop;
-    private final Set<Channel> channels = new LinkedHashSet<>();
-    private boolean dead;
-
-    ProcessLoop(VirtualLoop world, Transport outer, Consumer<String> log) {
-        loop = new LoopThread(world, new Own(outer), world, line -> {
-            if (!dead) {
+  /** Nobody listens there. */
+  private static final SocketAddress NOWHERE = new LocalAddress("nowhere");
+
+  private final LoopThread loop;
+  private final Set<Channel> channels = new LinkedHashSet<>();
+  private boolean dead;
+
+  ProcessLoop(VirtualLoop world, Transport outer, Consumer<String> log) {
+    loop =
+        new LoopThread(
+            world,
+            new Own(outer),
+            world,
+            line -> {
+              if (!dead) {
                 log.accept(line);
-            }
-        });
-    }
-
-    /** SIGKILL. */
-    void kill() {
-        dead = true;
-        for (Channel channel : channels.toArray(new Channel[0])) {
-            ChannelPipeline pipeline = channel.pipeline();
-            while (pipeline.first() != null) {
-                pipeline.removeLast(); // the last one first: what it held back of the wire finds nobody any more
-            }
-            channel.close();
-        }
-        channels.clear();
-    }
-
-    private <C extends Channel> C keep(C channel) {
-        channels.add(channel);
-        channel.closeFuture().addListener(f -> channels.remove(channel));
-        return channel;
-    }
-
-    private final class Own implements Transport {
-        private final Transport outer;
-
-        Own(Transport outer) {
-            this.outer = outer;
-        }
-
-        @Override public Bootstrap connecting(EventLoopGroup group, int withinMs) {
-            return new Bootstrap().group(group).channelFactory(() -> keep(new LocalChannel()))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
-        }
-
-        @Override public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
-            return new ServerBootstrap().group(group).channelFactory(() -> keep(new LocalServerChannel() {
-                @Override protected LocalChannel newLocalChannel(LocalChannel peer) {
-                    return keep(super.newLocalChannel(peer));
-                }
-            }));
-        }
-
-        @Override public SocketAddress at(InetSocketAddress address) {
-            return dead ? NOWHERE : outer.at(address);
-        }
-    }
-
-    private Runnable alive(Runnable what) {
-        return () -> {
-            if (!dead) {
-                what.run();
-            }
-        };
+              }
+            });
+  }
+
+  /** SIGKILL. */
+  void kill() {
+    dead = true;
+    for (Channel channel : channels.toArray(new Channel[0])) {
+      ChannelPipeline pipeline = channel.pipeline();
+      while (pipeline.first() != null) {
+        pipeline.removeLast(); // the last one first: what it held back of the wire finds nobody any
+        // more
+      }
+      channel.close();
     }
+    channels.clear();
+  }
 
-    @Override public double now() {
-        return loop.now();
-    }
-
-    @Override public double delay() {
-        return loop.delay();
-    }
-
-    @Override public Future<?> after(double delay, Runnable what) {
-        return loop.after(delay, alive(what));
-    }
+  private <C extends Channel> C keep(C channel) {
+    channels.add(channel);
+    channel.closeFuture().addListener(f -> channels.remove(channel));
+    return channel;
+  }
 
-    @Override public void later(Runnable what) {
-        loop.later(alive(what));
-    }
-
-    @Override public EventLoopGroup group() {
-        return loop.group();
-    }
-
-    @Override public Transport transport() {
-        return loop.transport();
-    }
+  private final class Own implements Transport {
+    private final Transport outer;
 
-    @Override public void flushLater(Channel channel) {
-        loop.flushLater(channel);
+    Own(Transport outer) {
+      this.outer = outer;
     }
 
-    @Override public void flush() {
-        loop.flush();
+    @Override
+    public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+      return new Bootstrap()
+          .group(group)
+          .channelFactory(() -> keep(new LocalChannel()))
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
     }
 
-    @Override public void log(String where, Throwable what) {
-        loop.log(where, what);
+    @Override
+    public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+      return new ServerBootstrap()
+          .group(group)
+          .channelFactory(
+              () ->
+                  keep(
+                      new LocalServerChannel() {
+                        @Override
+                        protected LocalChannel newLocalChannel(LocalChannel peer) {
+                          return keep(super.newLocalChannel(peer));
+                        }
+                      }));
     }
 
-    @Override public void say(String line) {
-        loop.say(line);
+    @Override
+    public SocketAddress at(InetSocketAddress address) {
+      return dead ? NOWHERE : outer.at(address);
     }
+  }
+
+  private Runnable alive(Runnable what) {
+    return () -> {
+      if (!dead) {
+        what.run();
+      }
+    };
+  }
+
+  @Override
+  public double now() {
+    return loop.now();
+  }
+
+  @Override
+  public double delay() {
+    return loop.delay();
+  }
+
+  @Override
+  public Future<?> after(double delay, Runnable what) {
+    return loop.after(delay, alive(what));
+  }
+
+  @Override
+  public void later(Runnable what) {
+    loop.later(alive(what));
+  }
+
+  @Override
+  public EventLoopGroup group() {
+    return loop.group();
+  }
+
+  @Override
+  public Transport transport() {
+    return loop.transport();
+  }
+
+  @Override
+  public void flushLater(Channel channel) {
+    loop.flushLater(channel);
+  }
+
+  @Override
+  public void flush() {
+    loop.flush();
+  }
+
+  @Override
+  public void log(String where, Throwable what) {
+    loop.log(where, what);
+  }
+
+  @Override
+  public void say(String line) {
+    loop.say(line);
+  }
 }
--- a/src/main/java/willowyoke/kit/Recorder.java
+++ b/src/main/java/willowyoke/kit/Recorder.java
@@ -11,53 +11,87 @@
 
 /** Turns what passes on the stand-ins' sockets into the judges' events, on the day's clock. */
 final class Recorder implements Effects, Discovery.Told, CampusClients.Heard {
-    private final Consumer<Event> to;
-    private final DoubleUnaryOperator day;
-
-    /** @param day from the loop's clock to ms since the day began */
-    Recorder(Consumer<Event> to, DoubleUnaryOperator day) {
-        this.to = to;
-        this.day = day;
-    }
-
-    private double at(double now) {
-        return day.applyAsDouble(now);
-    }
-
-    @Override public void came(double now, String server, String verb, String customer, String id, String list,
-        String key, boolean ran) {
-        to.accept(new Event.Came(at(now), id, server, customer, ran));
-    }
-
-    @Override public void answered(double now, String server, String id, String text) {
-        to.accept(new Event.Replied(at(now), id, server, text));
-    }
-
-    @Override public void malformed(double now, String server, String what) {
-        to.accept(new Event.Done(at(now), server + " got what is no command: " + what));
-    }
-
-    @Override public void told(double now, Agent.Host host) {
-        to.accept(new Event.Told(at(now), host.id(), host.health()));
-    }
-
-    @Override public void asked(double now, String id, Arrivals.Arrival of, CampusClients.Way way, double patience) {
-        to.accept(new Event.Asked(at(now), id, way.node(), of.campus().customer(), of.campus().plan(), of.kind().name(),
-            of.key(), patience, 1));
-    }
-
-    @Override public void message(double now, String id, CampusClients.Fate kind, String text) {
-        to.accept(new Event.Heard(at(now), id, kind == CampusClients.Fate.SERVED ? Event.Answer.VALUE
-            : kind == CampusClients.Fate.REFUSED ? Event.Answer.BUSY : Event.Answer.ERROR, text));
-    }
-
-    @Override public void cut(double now, String id) {
-        to.accept(new Event.Cut(at(now), id));
-    }
-
-    @Override public void gaveUp(double now, String id) {
-        to.accept(new Event.GaveUp(at(now), id));
-    }
-
-    @Override public void ended(Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) { }
+  private final Consumer<Event> to;
+  private final DoubleUnaryOperator day;
+
+  /**
+   * @param day from the loop's clock to ms since the day began
+   */
+  Recorder(Consumer<Event> to, DoubleUnaryOperator day) {
+    this.to = to;
+    this.day = day;
+  }
+
+  private double at(double now) {
+    return day.applyAsDouble(now);
+  }
+
+  @Override
+  public void came(
+      double now,
+      String server,
+      String verb,
+      String customer,
+      String id,
+      String list,
+      String key,
+      boolean ran) {
+    to.accept(new Event.Came(at(now), id, server, customer, ran));
+  }
+
+  @Override
+  public void answered(double now, String server, String id, String text) {
+    to.accept(new Event.Replied(at(now), id, server, text));
+  }
+
+  @Override
+  public void malformed(double now, String server, String what) {
+    to.accept(new Event.Done(at(now), server + " got what is no command: " + what));
+  }
+
+  @Override
+  public void told(double now, Agent.Host host) {
+    to.accept(new Event.Told(at(now), host.id(), host.health()));
+  }
+
+  @Override
+  public void asked(
+      double now, String id, Arrivals.Arrival of, CampusClients.Way way, double patience) {
+    to.accept(
+        new Event.Asked(
+            at(now),
+            id,
+            way.node(),
+            of.campus().customer(),
+            of.campus().plan(),
+            of.kind().name(),
+            of.key(),
+            patience,
+            1));
+  }
+
+  @Override
+  public void message(double now, String id, CampusClients.Fate kind, String text) {
+    to.accept(
+        new Event.Heard(
+            at(now),
+            id,
+            kind == CampusClients.Fate.SERVED
+                ? Event.Answer.VALUE
+                : kind == CampusClients.Fate.REFUSED ? Event.Answer.BUSY : Event.Answer.ERROR,
+            text));
+  }
+
+  @Override
+  public void cut(double now, String id) {
+    to.accept(new Event.Cut(at(now), id));
+  }
+
+  @Override
+  public void gaveUp(double now, String id) {
+    to.accept(new Event.GaveUp(at(now), id));
+  }
+
+  @Override
+  public void ended(Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {}
 }
--- a/src/main/java/willowyoke/kit/Rehearsal.java
+++ b/src/main/java/willowyoke/kit/Rehearsal.java
@@ -24,94 +24,126 @@
  * @param tookMs that it took to play
  * @param log the edge nodes' own lines; no judge reads them
  */
-record Rehearsal(Scenario scenario, long seed, String sha256, long events, double lengthMs, double tookMs,
-    Map<CampusClients.Fate, Integer> fates, Court court, List<Breach> breaches, List<String> log) {
-    private static final int LOGGED = 500;
+record Rehearsal(
+    Scenario scenario,
+    long seed,
+    String sha256,
+    long events,
+    double lengthMs,
+    double tookMs,
+    Map<CampusClients.Fate, Integer> fates,
+    Court court,
+    List<Breach> breaches,
+    List<String> log) {
+  private static final int LOGGED = 500;
 
-    static Rehearsal play(Scenario scenario, long seed) throws IOException, InterruptedException {
-        return play(scenario, seed, Decide::new);
-    }
+  static Rehearsal play(Scenario scenario, long seed) throws IOException, InterruptedException {
+    return play(scenario, seed, Decide::new);
+  }
 
-    /** @param maker the decision module, or one with a planted bug */
-    static Rehearsal play(Scenario scenario, long seed, Node.Maker maker) throws IOException, InterruptedException {
-        return play(scenario, seed, maker, ms -> { });
-    }
+  /**
+   * @param maker the decision module, or one with a planted bug
+   */
+  static Rehearsal play(Scenario scenario, long seed, Node.Maker maker)
+      throws IOException, InterruptedException {
+    return play(scenario, seed, maker, ms -> {});
+  }
 
-    /** @param reached hears how far the day has gone (ms), on the thread that plays it; it changes nothing */
-    static Rehearsal play(Scenario scenario, long seed, Node.Maker maker, DoubleConsumer reached)
-        throws IOException, InterruptedException {
-        long from = System.nanoTime();
-        Court court = new Court(new Terms(World.settings(scenario.nodes())), scenario.nodes());
-        List<String> log = new ArrayList<>();
-        Simulation day = new Simulation(scenario, seed, maker, court, line -> {
-            if (log.size() < LOGGED) {
+  /**
+   * @param reached hears how far the day has gone (ms), on the thread that plays it; it changes
+   *     nothing
+   */
+  static Rehearsal play(Scenario scenario, long seed, Node.Maker maker, DoubleConsumer reached)
+      throws IOException, InterruptedException {
+    long from = System.nanoTime();
+    Court court = new Court(new Terms(World.settings(scenario.nodes())), scenario.nodes());
+    List<String> log = new ArrayList<>();
+    Simulation day =
+        new Simulation(
+            scenario,
+            seed,
+            maker,
+            court,
+            line -> {
+              if (log.size() < LOGGED) {
                 log.add(line);
-            }
-        }, reached);
-        day.play();
-        return new Rehearsal(scenario, seed, day.trace().sha256(), day.trace().events(), day.length(),
-            (System.nanoTime() - from) / 1e6, new EnumMap<>(day.fates()), court, court.verdict(day.length()), log);
-    }
+              }
+            },
+            reached);
+    day.play();
+    return new Rehearsal(
+        scenario,
+        seed,
+        day.trace().sha256(),
+        day.trace().events(),
+        day.length(),
+        (System.nanoTime() - from) / 1e6,
+        new EnumMap<>(day.fates()),
+        court,
+        court.verdict(day.length()),
+        log);
+  }
 
-    boolean clean() {
-        return breaches.isEmpty();
-    }
+  boolean clean() {
+    return breaches.isEmpty();
+  }
 
-    /** The rules that were broken, in order of their names. */
-    TreeSet<String> broken() {
-        TreeSet<String> all = new TreeSet<>();
-        breaches.forEach(b -> all.add(b.rule()));
-        return all;
-    }
+  /** The rules that were broken, in order of their names. */
+  TreeSet<String> broken() {
+    TreeSet<String> all = new TreeSet<>();
+    breaches.forEach(b -> all.add(b.rule()));
+    return all;
+  }
 
-    long asked() {
-        return court.events().stream().filter(e -> e instanceof Event.Asked).count();
-    }
+  long asked() {
+    return court.events().stream().filter(e -> e instanceof Event.Asked).count();
+  }
 
-    /** Of first tries and retries together, those that were served (0 to 1). */
-    double servedShare() {
-        int all = fates.values().stream().mapToInt(Integer::intValue).sum();
-        return all == 0 ? 0 : fates.getOrDefault(CampusClients.Fate.SERVED, 0) / (double) all;
-    }
+  /** Of first tries and retries together, those that were served (0 to 1). */
+  double servedShare() {
+    int all = fates.values().stream().mapToInt(Integer::intValue).sum();
+    return all == 0 ? 0 : fates.getOrDefault(CampusClients.Fate.SERVED, 0) / (double) all;
+  }
 
-    /** The customer that was worst off beyond its quota, or null where none has one. */
-    Quotas.Figures worst() {
-        return court.quotas().stream().max((a, b) -> Double.compare(a.worst(), b.worst())).orElse(null);
-    }
+  /** The customer that was worst off beyond its quota, or null where none has one. */
+  Quotas.Figures worst() {
+    return court.quotas().stream().max((a, b) -> Double.compare(a.worst(), b.worst())).orElse(null);
+  }
 
-    /**
-     * The smallest scenario that still breaks one of the same rules with this seed: fewer faults, then a shorter
-     * day.
-     */
-    Rehearsal shrink() throws IOException, InterruptedException {
-        Rehearsal least = this;
-        boolean smaller = true;
-        while (smaller) {
-            smaller = false;
-            for (Scenario.Fault f : least.scenario.faults()) {
-                Rehearsal tried = play(least.scenario.without(f), seed);
-                if (breaksAsWell(tried)) {
-                    least = tried;
-                    smaller = true;
-                    break;
-                }
-            }
+  /**
+   * The smallest scenario that still breaks one of the same rules with this seed: fewer faults,
+   * then a shorter day.
+   */
+  Rehearsal shrink() throws IOException, InterruptedException {
+    Rehearsal least = this;
+    boolean smaller = true;
+    while (smaller) {
+      smaller = false;
+      for (Scenario.Fault f : least.scenario.faults()) {
+        Rehearsal tried = play(least.scenario.without(f), seed);
+        if (breaksAsWell(tried)) {
+          least = tried;
+          smaller = true;
+          break;
         }
-        for (double ms = least.scenario.lengthMs() / 2; ms >= 1000; ms /= 2) {
-            double cut = ms;
-            Scenario shorter = least.scenario.withLength(least.scenario.lengthMs() - cut);
-            List<Scenario.Fault> late = shorter.faults().stream().filter(f -> f.at() > shorter.lengthMs()).toList();
-            if (late.isEmpty()) {
-                Rehearsal tried = play(shorter, seed);
-                if (breaksAsWell(tried)) {
-                    least = tried;
-                }
-            }
+      }
+    }
+    for (double ms = least.scenario.lengthMs() / 2; ms >= 1000; ms /= 2) {
+      double cut = ms;
+      Scenario shorter = least.scenario.withLength(least.scenario.lengthMs() - cut);
+      List<Scenario.Fault> late =
+          shorter.faults().stream().filter(f -> f.at() > shorter.lengthMs()).toList();
+      if (late.isEmpty()) {
+        Rehearsal tried = play(shorter, seed);
+        if (breaksAsWell(tried)) {
+          least = tried;
         }
-        return least;
+      }
     }
+    return least;
+  }
 
-    private boolean breaksAsWell(Rehearsal other) {
-        return other.broken().stream().anyMatch(broken()::contains);
-    }
+  private boolean breaksAsWell(Rehearsal other) {
+    return other.broken().stream().anyMatch(broken()::contains);
+  }
 }
--- a/src/main/java/willowyoke/kit/RehearseCommand.java
+++ b/src/main/java/willowyoke/kit/RehearseCommand.java
@@ -31,298 +31,414 @@
 import willowyoke.standin.CampusClients;
 
 /** {@code rehearse}: scenarios in virtual time, judged. */
-@Command(name = "rehearse", mixinStandardHelpOptions = true, sortOptions = false,
-    description = {"Plays a day of edge nodes and their world in virtual time, and judges it by the five rules and by",
-        "quota arithmetic. The same seed and build give the same day, to the byte.",
-        "Exit code: 0 rules kept, 1 broken, 2 wrong input."})
+@Command(
+    name = "rehearse",
+    mixinStandardHelpOptions = true,
+    sortOptions = false,
+    description = {
+      "Plays a day of edge nodes and their world in virtual time, and judges it by the five rules and by",
+      "quota arithmetic. The same seed and build give the same day, to the byte.",
+      "Exit code: 0 rules kept, 1 broken, 2 wrong input."
+    })
 public final class RehearseCommand implements Callable<Integer> {
-    private static final int MOST_NODES = 64;
-    private static final int MOST_SERVERS = 1000;
-    private static final int MOST_SEEDS = 1_000_000;
-    /** Breaches whose stories are printed; the report has them all. */
-    private static final int STORIES = 3;
-    private static final int STORY_LINES = 40;
-    private static final int BAR = 30;
+  private static final int MOST_NODES = 64;
+  private static final int MOST_SERVERS = 1000;
+  private static final int MOST_SEEDS = 1_000_000;
 
-    @Spec private CommandSpec spec;
-    @Parameters(index = "0", arity = "0..1", paramLabel = "SCENARIO",
-        description = "one of --list, a file in the same form, or 'all'; default all")
-    private String scenario = "all";
-    @Option(names = "--list", description = "the scenarios that come with the program, a line each")
-    private boolean list;
-    @Option(names = "--show", description = "the scenario's own text, for a copy to change")
-    private boolean show;
-    @Option(names = "--seed", paramLabel = "N", description = "the draw; default ${DEFAULT-VALUE}", defaultValue = "1")
-    private long seed;
-    @Option(names = "--seeds", paramLabel = "A..B", description = "these seeds, on all cores; tells which broke a rule")
-    private String seeds;
-    @Option(names = "--budget", paramLabel = "S", defaultValue = "600",
-        description = "with --seeds: begin no further day after so many seconds; default ${DEFAULT-VALUE}")
-    private int budget;
-    @Option(names = "--nodes", paramLabel = "K", description = "edge nodes, 1 to 64, in place of the scenario's number")
-    private Integer nodes;
-    @Option(names = "--servers", paramLabel = "N", description = "enrolment servers, 1 to 1000, in the same way")
-    private Integer servers;
-    @Option(names = "--report", paramLabel = "DIR", description = "writes report.json and report.html there")
-    private Path report;
-    @Option(names = "--shrink",
-        description = "where a rule breaks: looks for fewer faults and a shorter day that break it")
-    private boolean shrink;
+  /** Breaches whose stories are printed; the report has them all. */
+  private static final int STORIES = 3;
 
-    private final PrintStream out = System.out;
+  private static final int STORY_LINES = 40;
+  private static final int BAR = 30;
 
-    @Override public Integer call() throws InterruptedException {
-        if (list) {
-            return list();
-        }
-        try {
-            List<Scenario> days = days();
-            if (show) {
-                return show(days);
-            }
-            if (report != null) {
-                writable();
-            }
-            return seeds == null ? one(days) : many(days);
-        } catch (Scenarios.Refused e) {
-            e.faults().forEach(line -> System.err.println("rehearse: " + line));
-            return 2;
-        } catch (IOException e) {
-            System.err.println("rehearse: " + e.getMessage());
-            return 2;
-        }
+  @Spec private CommandSpec spec;
+
+  @Parameters(
+      index = "0",
+      arity = "0..1",
+      paramLabel = "SCENARIO",
+      description = "one of --list, a file in the same form, or 'all'; default all")
+  private String scenario = "all";
+
+  @Option(names = "--list", description = "the scenarios that come with the program, a line each")
+  private boolean list;
+
+  @Option(names = "--show", description = "the scenario's own text, for a copy to change")
+  private boolean show;
+
+  @Option(
+      names = "--seed",
+      paramLabel = "N",
+      description = "the draw; default ${DEFAULT-VALUE}",
+      defaultValue = "1")
+  private long seed;
+
+  @Option(
+      names = "--seeds",
+      paramLabel = "A..B",
+      description = "these seeds, on all cores; tells which broke a rule")
+  private String seeds;
+
+  @Option(
+      names = "--budget",
+      paramLabel = "S",
+      defaultValue = "600",
+      description =
+          "with --seeds: begin no further day after so many seconds; default ${DEFAULT-VALUE}")
+  private int budget;
+
+  @Option(
+      names = "--nodes",
+      paramLabel = "K",
+      description = "edge nodes, 1 to 64, in place of the scenario's number")
+  private Integer nodes;
+
+  @Option(
+      names = "--servers",
+      paramLabel = "N",
+      description = "enrolment servers, 1 to 1000, in the same way")
+  private Integer servers;
+
+  @Option(
+      names = "--report",
+      paramLabel = "DIR",
+      description = "writes report.json and report.html there")
+  private Path report;
+
+  @Option(
+      names = "--shrink",
+      description = "where a rule breaks: looks for fewer faults and a shorter day that break it")
+  private boolean shrink;
+
+  private final PrintStream out = System.out;
+
+  @Override
+  public Integer call() throws InterruptedException {
+    if (list) {
+      return list();
     }
+    try {
+      List<Scenario> days = days();
+      if (show) {
+        return show(days);
+      }
+      if (report != null) {
+        writable();
+      }
+      return seeds == null ? one(days) : many(days);
+    } catch (Scenarios.Refused e) {
+      e.faults().forEach(line -> System.err.println("rehearse: " + line));
+      return 2;
+    } catch (IOException e) {
+      System.err.println("rehearse: " + e.getMessage());
+      return 2;
+    }
+  }
 
-    private int list() {
-        for (String name : Scenarios.NAMES) {
-            try {
-                out.printf("%-16s %s%n", name, Scenarios.of(name).title());
-            } catch (Scenarios.Refused e) {
-                throw new IllegalStateException(e); // they come with the program, and a test reads each
-            }
-        }
-        return 0;
+  private int list() {
+    for (String name : Scenarios.NAMES) {
+      try {
+        out.printf("%-16s %s%n", name, Scenarios.of(name).title());
+      } catch (Scenarios.Refused e) {
+        throw new IllegalStateException(e); // they come with the program, and a test reads each
+      }
     }
+    return 0;
+  }
 
-    private int show(List<Scenario> days) throws IOException {
-        if (days.size() > 1 || !Scenarios.NAMES.contains(scenario)) {
-            throw new ParameterException(spec.commandLine(), "--show: a scenario of --list");
-        }
-        out.print(Scenarios.text(scenario));
-        return 0;
+  private int show(List<Scenario> days) throws IOException {
+    if (days.size() > 1 || !Scenarios.NAMES.contains(scenario)) {
+      throw new ParameterException(spec.commandLine(), "--show: a scenario of --list");
     }
+    out.print(Scenarios.text(scenario));
+    return 0;
+  }
 
-    private void check(String option, int value, int most) {
-        if (value < 1 || value > most) {
-            throw new ParameterException(spec.commandLine(), option + ": found " + value + ", allowed is 1 to " + most);
-        }
+  private void check(String option, int value, int most) {
+    if (value < 1 || value > most) {
+      throw new ParameterException(
+          spec.commandLine(), option + ": found " + value + ", allowed is 1 to " + most);
     }
+  }
 
-    private List<Scenario> days() throws Scenarios.Refused {
-        List<Scenario> days = new ArrayList<>();
-        for (String name : scenario.equals("all") ? Scenarios.NAMES : List.of(scenario)) {
-            Scenario day = Scenarios.of(name);
-            if (nodes != null) {
-                check("--nodes", nodes, MOST_NODES);
-                day = day.withNodes(nodes);
-            }
-            if (servers != null) {
-                check("--servers", servers, MOST_SERVERS);
-                day = day.withServers(servers);
-            }
-            List<String> wrong = day.contradictions();
-            if (!wrong.isEmpty()) {
-                throw new Scenarios.Refused(wrong.stream().map(w -> name + ": " + w).toList());
-            }
-            days.add(day);
-        }
-        return days;
+  private List<Scenario> days() throws Scenarios.Refused {
+    List<Scenario> days = new ArrayList<>();
+    for (String name : scenario.equals("all") ? Scenarios.NAMES : List.of(scenario)) {
+      Scenario day = Scenarios.of(name);
+      if (nodes != null) {
+        check("--nodes", nodes, MOST_NODES);
+        day = day.withNodes(nodes);
+      }
+      if (servers != null) {
+        check("--servers", servers, MOST_SERVERS);
+        day = day.withServers(servers);
+      }
+      List<String> wrong = day.contradictions();
+      if (!wrong.isEmpty()) {
+        throw new Scenarios.Refused(wrong.stream().map(w -> name + ": " + w).toList());
+      }
+      days.add(day);
     }
+    return days;
+  }
 
-    /** Before anything is played: a day is not thrown away at its end. */
-    private void writable() throws IOException {
-        try {
-            Files.createDirectories(report);
-            Files.delete(Files.createTempFile(report, "report", ".tmp"));
-        } catch (IOException e) {
-            throw new IOException("--report " + report + ": cannot be written to: " + e.getMessage(), e);
-        }
+  /** Before anything is played: a day is not thrown away at its end. */
+  private void writable() throws IOException {
+    try {
+      Files.createDirectories(report);
+      Files.delete(Files.createTempFile(report, "report", ".tmp"));
+    } catch (IOException e) {
+      throw new IOException("--report " + report + ": cannot be written to: " + e.getMessage(), e);
     }
+  }
 
-    // ---- one seed ----
+  // ---- one seed ----
 
-    private int one(List<Scenario> days) throws IOException, InterruptedException {
-        int code = 0;
-        for (Scenario day : days) {
-            Rehearsal played;
-            try (Progress progress = new Progress(System.err, day.name() + ", seed " + seed, day.lengthMs(),
-                System::nanoTime).start()) {
-                played = Rehearsal.play(day, seed, Decide::new, progress);
-            }
-            summary(played);
-            if (report != null) {
-                Path dir = days.size() == 1 ? report : report.resolve(day.name());
-                Report.write(played, dir);
-                out.println("  report      " + dir.resolve("report.html"));
-            }
-            if (!played.clean()) {
-                code = 1;
-                stories(played);
-                if (shrink) {
-                    Rehearsal least = played.shrink();
-                    out.printf(Locale.ROOT, "  shrunk      %.1f s and %d of %d faults still break %s:%n",
-                        least.scenario().lengthMs() / 1000, least.scenario().faults().size(), day.faults().size(),
-                        String.join(", ", least.broken()));
-                    least.scenario().faults().forEach(f -> out.printf(Locale.ROOT, "    %.1f s  %s%n", f.at() / 1000,
-                        f.text()));
-                }
-            }
+  private int one(List<Scenario> days) throws IOException, InterruptedException {
+    int code = 0;
+    for (Scenario day : days) {
+      Rehearsal played;
+      try (Progress progress =
+          new Progress(System.err, day.name() + ", seed " + seed, day.lengthMs(), System::nanoTime)
+              .start()) {
+        played = Rehearsal.play(day, seed, Decide::new, progress);
+      }
+      summary(played);
+      if (report != null) {
+        Path dir = days.size() == 1 ? report : report.resolve(day.name());
+        Report.write(played, dir);
+        out.println("  report      " + dir.resolve("report.html"));
+      }
+      if (!played.clean()) {
+        code = 1;
+        stories(played);
+        if (shrink) {
+          Rehearsal least = played.shrink();
+          out.printf(
+              Locale.ROOT,
+              "  shrunk      %.1f s and %d of %d faults still break %s:%n",
+              least.scenario().lengthMs() / 1000,
+              least.scenario().faults().size(),
+              day.faults().size(),
+              String.join(", ", least.broken()));
+          least
+              .scenario()
+              .faults()
+              .forEach(f -> out.printf(Locale.ROOT, "    %.1f s  %s%n", f.at() / 1000, f.text()));
         }
-        return code;
+      }
     }
+    return code;
+  }
 
-    private void summary(Rehearsal r) {
-        int all = r.fates().values().stream().mapToInt(Integer::intValue).sum();
-        StringBuilder fates = new StringBuilder();
-        for (CampusClients.Fate fate : CampusClients.Fate.values()) {
-            int n = r.fates().getOrDefault(fate, 0);
-            if (n > 0) {
-                fates.append(fates.length() > 0 ? ", " : "").append(n).append(' ')
-                    .append(fate.name().toLowerCase(Locale.ROOT).replace('_', ' '));
-            }
-        }
-        out.printf(Locale.ROOT, "%s, seed %d: %s%n", r.scenario().name(), r.seed(), r.clean() ? "rules kept"
+  private void summary(Rehearsal r) {
+    int all = r.fates().values().stream().mapToInt(Integer::intValue).sum();
+    StringBuilder fates = new StringBuilder();
+    for (CampusClients.Fate fate : CampusClients.Fate.values()) {
+      int n = r.fates().getOrDefault(fate, 0);
+      if (n > 0) {
+        fates
+            .append(fates.length() > 0 ? ", " : "")
+            .append(n)
+            .append(' ')
+            .append(fate.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+      }
+    }
+    out.printf(
+        Locale.ROOT,
+        "%s, seed %d: %s%n",
+        r.scenario().name(),
+        r.seed(),
+        r.clean()
+            ? "rules kept"
             : "BROKEN: " + String.join(", ", r.broken()) + " (" + r.breaches().size() + " times)");
-        out.printf(Locale.ROOT, "  tries       %d: %s%n", all, fates);
-        Quotas.Figures worst = r.worst();
-        if (worst != null) {
-            out.printf(Locale.ROOT,
-                "  quota       worst %s (%s): %.0f units inside, %.0f beyond, %.1f%% of a minute's%n",
-                worst.customer(), worst.plan(), worst.inside(), worst.beyond(), 100 * worst.worst());
-        }
-        out.printf(Locale.ROOT, "  day         %.1f s in %.2f s, %d events, sha256 %s%n", r.lengthMs() / 1000,
-            r.tookMs() / 1000, r.events(), r.sha256());
+    out.printf(Locale.ROOT, "  tries       %d: %s%n", all, fates);
+    Quotas.Figures worst = r.worst();
+    if (worst != null) {
+      out.printf(
+          Locale.ROOT,
+          "  quota       worst %s (%s): %.0f units inside, %.0f beyond, %.1f%% of a minute's%n",
+          worst.customer(),
+          worst.plan(),
+          worst.inside(),
+          worst.beyond(),
+          100 * worst.worst());
     }
+    out.printf(
+        Locale.ROOT,
+        "  day         %.1f s in %.2f s, %d events, sha256 %s%n",
+        r.lengthMs() / 1000,
+        r.tookMs() / 1000,
+        r.events(),
+        r.sha256());
+  }
 
-    private void stories(Rehearsal r) {
-        int told = 0;
-        for (Breach b : r.breaches()) {
-            if (++told > STORIES) {
-                out.println("  ... and " + (r.breaches().size() - STORIES) + " more; --report has them all");
-                return;
-            }
-            out.printf(Locale.ROOT, "  %.3f s  %s: %s%n", b.at() / 1000, b.rule(), b.what());
-            List<Event> story = r.court().story(b);
-            story.stream().limit(STORY_LINES).forEach(e -> out.printf(Locale.ROOT, "    %9.3f  %s%n", e.at() / 1000,
-                e));
-            if (story.size() > STORY_LINES) {
-                out.println("    ... " + (story.size() - STORY_LINES) + " events more");
-            }
-        }
+  private void stories(Rehearsal r) {
+    int told = 0;
+    for (Breach b : r.breaches()) {
+      if (++told > STORIES) {
+        out.println(
+            "  ... and " + (r.breaches().size() - STORIES) + " more; --report has them all");
+        return;
+      }
+      out.printf(Locale.ROOT, "  %.3f s  %s: %s%n", b.at() / 1000, b.rule(), b.what());
+      List<Event> story = r.court().story(b);
+      story.stream()
+          .limit(STORY_LINES)
+          .forEach(e -> out.printf(Locale.ROOT, "    %9.3f  %s%n", e.at() / 1000, e));
+      if (story.size() > STORY_LINES) {
+        out.println("    ... " + (story.size() - STORY_LINES) + " events more");
+      }
     }
+  }
 
-    // ---- many seeds ----
+  // ---- many seeds ----
 
-    private record Played(String scenario, long seed, boolean clean, String broken, double served, long events,
-        double lengthMs, double tookMs) { }
+  private record Played(
+      String scenario,
+      long seed,
+      boolean clean,
+      String broken,
+      double served,
+      long events,
+      double lengthMs,
+      double tookMs) {}
 
-    private int many(List<Scenario> scenarios) throws InterruptedException {
-        long[] range = range();
-        int cores = Runtime.getRuntime().availableProcessors();
-        ExecutorService pool = Executors.newFixedThreadPool(cores, task -> {
-            Thread thread = new Thread(task, "day");
-            thread.setDaemon(true); // Ctrl-C ends all
-            return thread;
-        });
-        CompletionService<Played> done = new ExecutorCompletionService<>(pool);
-        long from = System.nanoTime();
-        long until = from + TimeUnit.SECONDS.toNanos(budget);
-        AtomicLong left = new AtomicLong();
-        long total = (range[1] - range[0] + 1) * scenarios.size();
-        for (long s = range[0]; s <= range[1]; s++) {
-            for (Scenario day : scenarios) {
-                long with = s;
-                done.submit(() -> {
-                    if (System.nanoTime() > until) {
-                        left.incrementAndGet();
-                        return null;
-                    }
-                    Rehearsal r;
-                    try {
-                        r = Rehearsal.play(day, with);
-                    } catch (RuntimeException | Error e) {
-                        throw new IllegalStateException("rehearse " + day.name() + " --seed " + with + ": "
-                            + e.getMessage(), e);
-                    }
-                    return new Played(day.name(), with, r.clean(), String.join(", ", r.broken()), r.servedShare(),
-                        r.events(), r.lengthMs(), r.tookMs());
-                });
-            }
-        }
-        Map<String, List<Double>> served = new TreeMap<>();
-        List<Played> broke = new ArrayList<>();
-        double days = 0;
-        double took = 0;
-        long events = 0;
-        for (long i = 1; i <= total; i++) {
-            Future<Played> next = done.take();
-            try {
-                Played played = next.get();
-                if (played != null) {
-                    days += played.lengthMs / 1000;
-                    took += played.tookMs / 1000;
-                    events += played.events;
-                    served.computeIfAbsent(played.scenario, n -> new ArrayList<>()).add(played.served);
-                    if (!played.clean) {
-                        broke.add(played);
-                    }
-                }
-            } catch (ExecutionException e) {
-                pool.shutdownNow();
-                throw new IllegalStateException(e.getCause().getMessage(), e.getCause());
-            }
-            progress(i, total, broke.size());
-        }
-        pool.shutdown();
-        double seconds = (System.nanoTime() - from) / 1e9;
-        System.err.println();
-        served.forEach((name, shares) -> out.printf(Locale.ROOT, "%-16s %d seeds, served %.3f (%.3f to %.3f)%n", name,
-            shares.size(), shares.stream().mapToDouble(d -> d).average().orElse(0),
-            shares.stream().mapToDouble(d -> d).min().orElse(0), shares.stream().mapToDouble(d -> d).max().orElse(0)));
-        broke.forEach(p -> out.println("broken: rehearse " + p.scenario + " --seed " + p.seed + "   # " + p.broken));
-        out.printf(Locale.ROOT, "%d days in %.1f s on %d cores, %.0f an hour; %d broke a rule%s%n", total - left.get(),
-            seconds, cores, (total - left.get()) / seconds * 3600, broke.size(),
-            left.get() > 0 ? "; " + left.get() + " not played, --budget was over" : "");
-        if (took > 0) {
-            out.printf(Locale.ROOT, "on each core %.1f times as fast as real time, %.0f events a second%n", days / took,
-                events / took);
-        }
-        if (left.get() == total) {
-            System.err.println("rehearse: no day was played: --budget is too short");
-            return 2;
+  private int many(List<Scenario> scenarios) throws InterruptedException {
+    long[] range = range();
+    int cores = Runtime.getRuntime().availableProcessors();
+    ExecutorService pool =
+        Executors.newFixedThreadPool(
+            cores,
+            task -> {
+              Thread thread = new Thread(task, "day");
+              thread.setDaemon(true); // Ctrl-C ends all
+              return thread;
+            });
+    CompletionService<Played> done = new ExecutorCompletionService<>(pool);
+    long from = System.nanoTime();
+    long until = from + TimeUnit.SECONDS.toNanos(budget);
+    AtomicLong left = new AtomicLong();
+    long total = (range[1] - range[0] + 1) * scenarios.size();
+    for (long s = range[0]; s <= range[1]; s++) {
+      for (Scenario day : scenarios) {
+        long with = s;
+        done.submit(
+            () -> {
+              if (System.nanoTime() > until) {
+                left.incrementAndGet();
+                return null;
+              }
+              Rehearsal r;
+              try {
+                r = Rehearsal.play(day, with);
+              } catch (RuntimeException | Error e) {
+                throw new IllegalStateException(
+                    "rehearse " + day.name() + " --seed " + with + ": " + e.getMessage(), e);
+              }
+              return new Played(
+                  day.name(),
+                  with,
+                  r.clean(),
+                  String.join(", ", r.broken()),
+                  r.servedShare(),
+                  r.events(),
+                  r.lengthMs(),
+                  r.tookMs());
+            });
+      }
+    }
+    Map<String, List<Double>> served = new TreeMap<>();
+    List<Played> broke = new ArrayList<>();
+    double days = 0;
+    double took = 0;
+    long events = 0;
+    for (long i = 1; i <= total; i++) {
+      Future<Played> next = done.take();
+      try {
+        Played played = next.get();
+        if (played != null) {
+          days += played.lengthMs / 1000;
+          took += played.tookMs / 1000;
+          events += played.events;
+          served.computeIfAbsent(played.scenario, n -> new ArrayList<>()).add(played.served);
+          if (!played.clean) {
+            broke.add(played);
+          }
         }
-        return broke.isEmpty() ? 0 : 1;
+      } catch (ExecutionException e) {
+        pool.shutdownNow();
+        throw new IllegalStateException(e.getCause().getMessage(), e.getCause());
+      }
+      progress(i, total, broke.size());
     }
+    pool.shutdown();
+    double seconds = (System.nanoTime() - from) / 1e9;
+    System.err.println();
+    served.forEach(
+        (name, shares) ->
+            out.printf(
+                Locale.ROOT,
+                "%-16s %d seeds, served %.3f (%.3f to %.3f)%n",
+                name,
+                shares.size(),
+                shares.stream().mapToDouble(d -> d).average().orElse(0),
+                shares.stream().mapToDouble(d -> d).min().orElse(0),
+                shares.stream().mapToDouble(d -> d).max().orElse(0)));
+    broke.forEach(
+        p ->
+            out.println(
+                "broken: rehearse " + p.scenario + " --seed " + p.seed + "   # " + p.broken));
+    out.printf(
+        Locale.ROOT,
+        "%d days in %.1f s on %d cores, %.0f an hour; %d broke a rule%s%n",
+        total - left.get(),
+        seconds,
+        cores,
+        (total - left.get()) / seconds * 3600,
+        broke.size(),
+        left.get() > 0 ? "; " + left.get() + " not played, --budget was over" : "");
+    if (took > 0) {
+      out.printf(
+          Locale.ROOT,
+          "on each core %.1f times as fast as real time, %.0f events a second%n",
+          days / took,
+          events / took);
+    }
+    if (left.get() == total) {
+      System.err.println("rehearse: no day was played: --budget is too short");
+      return 2;
+    }
+    return broke.isEmpty() ? 0 : 1;
+  }
 
-    private long[] range() {
-        String[] ends = seeds.split("\\.\\.", -1);
-        try {
-            long a = Long.parseLong(ends[0]);
-            long b = ends.length == 2 ? Long.parseLong(ends[1]) : a - 1;
-            if (b >= a && b - a < MOST_SEEDS) {
-                return new long[] {a, b};
-            }
-        } catch (NumberFormatException e) {
-            // told below
-        }
-        throw new ParameterException(spec.commandLine(), "--seeds: found '" + seeds + "', allowed is A..B, at most "
-            + MOST_SEEDS + " seeds");
+  private long[] range() {
+    String[] ends = seeds.split("\\.\\.", -1);
+    try {
+      long a = Long.parseLong(ends[0]);
+      long b = ends.length == 2 ? Long.parseLong(ends[1]) : a - 1;
+      if (b >= a && b - a < MOST_SEEDS) {
+        return new long[] {a, b};
+      }
+    } catch (NumberFormatException e) {
+      // told below
     }
+    throw new ParameterException(
+        spec.commandLine(),
+        "--seeds: found '" + seeds + "', allowed is A..B, at most " + MOST_SEEDS + " seeds");
+  }
 
-    private static void progress(long done, long total, int broke) {
-        int full = (int) (BAR * done / total);
-        System.err.print("\r[" + "#".repeat(full) + " ".repeat(BAR - full) + "] " + done + " of " + total
+  private static void progress(long done, long total, int broke) {
+    int full = (int) (BAR * done / total);
+    System.err.print(
+        "\r["
+            + "#".repeat(full)
+            + " ".repeat(BAR - full)
+            + "] "
+            + done
+            + " of "
+            + total
             + (broke > 0 ? ", " + broke + " broken" : ""));
-        System.err.flush();
-    }
+    System.err.flush();
+  }
 }
--- a/src/main/java/willowyoke/kit/Report.java
+++ b/src/main/java/willowyoke/kit/Report.java
@@ -28,367 +28,453 @@
 import willowyoke.standin.CampusClients;
 
 /**
- * A rehearsal's report: {@code report.json} for programs (its form is that of {@link #SCHEMA}; fields are only added
- * within one), {@code report.html} for people, one file that needs no network.
+ * A rehearsal's report: {@code report.json} for programs (its form is that of {@link #SCHEMA};
+ * fields are only added within one), {@code report.html} for people, one file that needs no
+ * network.
  */
 final class Report {
-    /** The version of report.json's form. */
-    static final int SCHEMA = 1;
-    private static final double BIN = 500;
-    private static final long LONGEST = 60_000_000;
-    private static final int WIDTH = 900;
-    private static final int HEIGHT = 260;
-    private static final int WORST = 6;
-    private static final int STORY = 200;
-    /** How wide (s) a fault is drawn that has no length. */
-    private static final double STROKE = 0.1;
-    private static final Color BAND = new Color(200, 60, 40, 45);
-
-    private final Rehearsal day;
-    private final int bins;
-    private final Map<String, Event.Asked> asked = new TreeMap<>();
-    /** Answers a second, by class. */
-    private final Map<String, double[]> served = new TreeMap<>();
-    private final double[] offered;
-    private final double[] refused;
-    private final Histogram[] latency;
-    private final Histogram whole = new Histogram(LONGEST, 3);
-    /** Requests at each server, and what it can hold at work. */
-    private final Map<String, double[]> inFlight = new TreeMap<>();
-
-    private Report(Rehearsal day) {
-        this.day = day;
-        bins = Math.max(2, (int) Math.ceil(day.lengthMs() / BIN));
-        offered = new double[bins];
-        refused = new double[bins];
-        latency = new Histogram[bins];
-        for (int i = 0; i < bins; i++) {
-            latency[i] = new Histogram(LONGEST, 2);
-        }
-        gather();
-    }
+  /** The version of report.json's form. */
+  static final int SCHEMA = 1;
 
-    /**
-     * Writes both files there.
-     *
-     * @throws IOException where they cannot be written; none is left half written
-     */
-    static void write(Rehearsal day, Path dir) throws IOException {
-        Files.createDirectories(dir);
-        Report report = new Report(day);
-        put(dir.resolve("report.json"), report.json());
-        put(dir.resolve("report.html"), report.html());
-    }
+  private static final double BIN = 500;
+  private static final long LONGEST = 60_000_000;
+  private static final int WIDTH = 900;
+  private static final int HEIGHT = 260;
+  private static final int WORST = 6;
+  private static final int STORY = 200;
 
-    private static void put(Path file, String text) throws IOException {
-        Path part = file.resolveSibling(file.getFileName() + ".part");
-        Files.writeString(part, text);
-        Files.move(part, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-    }
+  /** How wide (s) a fault is drawn that has no length. */
+  private static final double STROKE = 0.1;
 
-    private int bin(double at) {
-        return Math.max(0, Math.min(bins - 1, (int) (at / BIN)));
-    }
+  private static final Color BAND = new Color(200, 60, 40, 45);
 
-    private void gather() {
-        Map<String, List<double[]>> open = new TreeMap<>();
-        Map<String, Integer> held = new TreeMap<>();
-        for (Event e : day.court().events()) {
-            if (e instanceof Event.Asked a) {
-                asked.put(a.id(), a);
-                offered[bin(a.at())] += 1000 / BIN;
-            } else if (e instanceof Event.Heard h && asked.containsKey(h.id())) {
-                Event.Asked a = asked.get(h.id());
-                if (h.answer() == Event.Answer.VALUE) {
-                    served.computeIfAbsent(a.type(), t -> new double[bins])[bin(h.at())] += 1000 / BIN;
-                    long us = Math.min(LONGEST, Math.max(1, Math.round((h.at() - a.at()) * 1000)));
-                    latency[bin(h.at())].recordValue(us);
-                    whole.recordValue(us);
-                } else if (h.answer() == Event.Answer.BUSY) {
-                    refused[bin(h.at())] += 1000 / BIN;
-                }
-            } else if (e instanceof Event.Came c && c.ran()) {
-                step(open, held, c.server(), c.at(), 1);
-            } else if (e instanceof Event.Replied r && !r.kind().equals("BUSY")) {
-                step(open, held, r.server(), r.at(), -1);
-            } else if (e instanceof Event.Died d) {
-                step(open, held, d.server(), d.at(), -held.getOrDefault(d.server(), 0));
-            }
-        }
-        open.forEach((server, steps) -> inFlight.put(server, mean(steps)));
-    }
+  private final Rehearsal day;
+  private final int bins;
+  private final Map<String, Event.Asked> asked = new TreeMap<>();
 
-    private static void step(Map<String, List<double[]>> open, Map<String, Integer> held, String server, double at,
-        int by) {
-        int now = Math.max(0, held.merge(server, by, Integer::sum));
-        held.put(server, now);
-        open.computeIfAbsent(server, s -> new ArrayList<>()).add(new double[] {at, now});
-    }
+  /** Answers a second, by class. */
+  private final Map<String, double[]> served = new TreeMap<>();
 
-    /** Of a step function, its mean in each bin. */
-    private double[] mean(List<double[]> steps) {
-        double[] all = new double[bins];
-        double at = 0;
-        double value = 0;
-        for (double[] step : steps) {
-            add(all, at, step[0], value);
-            at = step[0];
-            value = step[1];
-        }
-        add(all, at, bins * BIN, value);
-        return all;
-    }
+  private final double[] offered;
+  private final double[] refused;
+  private final Histogram[] latency;
+  private final Histogram whole = new Histogram(LONGEST, 3);
 
-    private void add(double[] all, double from, double to, double value) {
-        for (double at = from; at < to;) {
-            double end = Math.min(to, (bin(at) + 1) * BIN);
-            if (end <= at) {
-                return;
-            }
-            all[bin(at)] += value * (end - at) / BIN;
-            at = end;
-        }
-    }
+  /** Requests at each server, and what it can hold at work. */
+  private final Map<String, double[]> inFlight = new TreeMap<>();
 
-    private double percentile(int bin, double p) {
-        return latency[bin].getTotalCount() == 0 ? 0 : latency[bin].getValueAtPercentile(p) / 1000.0;
+  private Report(Rehearsal day) {
+    this.day = day;
+    bins = Math.max(2, (int) Math.ceil(day.lengthMs() / BIN));
+    offered = new double[bins];
+    refused = new double[bins];
+    latency = new Histogram[bins];
+    for (int i = 0; i < bins; i++) {
+      latency[i] = new Histogram(LONGEST, 2);
     }
+    gather();
+  }
 
-    private List<Quotas.Figures> worstFirst() {
-        return day.court().quotas().stream().sorted(Comparator.comparingDouble((Quotas.Figures f) -> f.beyond())
-            .thenComparingDouble(Quotas.Figures::refusedWithRoom).reversed()).toList();
-    }
+  /**
+   * Writes both files there.
+   *
+   * @throws IOException where they cannot be written; none is left half written
+   */
+  static void write(Rehearsal day, Path dir) throws IOException {
+    Files.createDirectories(dir);
+    Report report = new Report(day);
+    put(dir.resolve("report.json"), report.json());
+    put(dir.resolve("report.html"), report.html());
+  }
 
-    // ---- for programs ----
-
-    private String json() throws IOException {
-        java.io.StringWriter text = new java.io.StringWriter();
-        try (JsonGenerator g = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
-            g.writeStartObject();
-            g.writeNumberField("schema", SCHEMA);
-            g.writeStringField("scenario", day.scenario().name());
-            g.writeStringField("title", day.scenario().title());
-            g.writeNumberField("seed", day.seed());
-            g.writeNumberField("nodes", day.scenario().nodes());
-            g.writeNumberField("servers", day.scenario().servers());
-            g.writeBooleanField("kept", day.clean());
-            g.writeStringField("sha256", day.sha256());
-            g.writeNumberField("events", day.events());
-            g.writeNumberField("length_ms", day.lengthMs());
-            g.writeObjectFieldStart("tries");
-            for (CampusClients.Fate fate : CampusClients.Fate.values()) {
-                g.writeNumberField(fate.name().toLowerCase(Locale.ROOT), day.fates().getOrDefault(fate, 0));
-            }
-            g.writeEndObject();
-            g.writeObjectFieldStart("latency_ms");
-            for (double p : new double[] {50, 90, 99, 99.9}) {
-                g.writeNumberField("p" + String.valueOf(p).replaceAll("\\.0$", ""),
-                    whole.getTotalCount() == 0 ? 0 : whole.getValueAtPercentile(p) / 1000.0);
-            }
-            g.writeEndObject();
-            g.writeArrayFieldStart("rules");
-            for (String rule : day.court().rules()) {
-                g.writeStartObject();
-                g.writeStringField("rule", rule);
-                g.writeNumberField("broken", day.breaches().stream().filter(b -> b.rule().equals(rule)).count());
-                g.writeEndObject();
-            }
-            g.writeEndArray();
-            quotas(g);
-            series(g);
-            g.writeArrayFieldStart("breaches");
-            for (Breach b : day.breaches()) {
-                breach(g, b);
-            }
-            g.writeEndArray();
-            g.writeEndObject();
-        }
-        return text.toString();
-    }
+  private static void put(Path file, String text) throws IOException {
+    Path part = file.resolveSibling(file.getFileName() + ".part");
+    Files.writeString(part, text);
+    Files.move(part, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+  }
 
-    private void quotas(JsonGenerator g) throws IOException {
-        g.writeArrayFieldStart("quotas");
-        for (Quotas.Figures f : worstFirst()) {
-            g.writeStartObject();
-            g.writeStringField("customer", f.customer());
-            g.writeStringField("plan", f.plan());
-            g.writeNumberField("units_inside", f.inside());
-            g.writeNumberField("units_beyond", f.beyond());
-            g.writeNumberField("units_refused_with_room", f.refusedWithRoom());
-            g.writeNumberField("worst_minute_share", f.worst());
-            array(g, "beyond_at_ms", Quotas.beyond(World.plan(f.plan()), day.court().sends(f.customer())));
-            g.writeEndObject();
+  private int bin(double at) {
+    return Math.max(0, Math.min(bins - 1, (int) (at / BIN)));
+  }
+
+  private void gather() {
+    Map<String, List<double[]>> open = new TreeMap<>();
+    Map<String, Integer> held = new TreeMap<>();
+    for (Event e : day.court().events()) {
+      if (e instanceof Event.Asked a) {
+        asked.put(a.id(), a);
+        offered[bin(a.at())] += 1000 / BIN;
+      } else if (e instanceof Event.Heard h && asked.containsKey(h.id())) {
+        Event.Asked a = asked.get(h.id());
+        if (h.answer() == Event.Answer.VALUE) {
+          served.computeIfAbsent(a.type(), t -> new double[bins])[bin(h.at())] += 1000 / BIN;
+          long us = Math.min(LONGEST, Math.max(1, Math.round((h.at() - a.at()) * 1000)));
+          latency[bin(h.at())].recordValue(us);
+          whole.recordValue(us);
+        } else if (h.answer() == Event.Answer.BUSY) {
+          refused[bin(h.at())] += 1000 / BIN;
         }
-        g.writeEndArray();
+      } else if (e instanceof Event.Came c && c.ran()) {
+        step(open, held, c.server(), c.at(), 1);
+      } else if (e instanceof Event.Replied r && !r.kind().equals("BUSY")) {
+        step(open, held, r.server(), r.at(), -1);
+      } else if (e instanceof Event.Died d) {
+        step(open, held, d.server(), d.at(), -held.getOrDefault(d.server(), 0));
+      }
     }
+    open.forEach((server, steps) -> inFlight.put(server, mean(steps)));
+  }
 
-    private void series(JsonGenerator g) throws IOException {
-        g.writeObjectFieldStart("series");
-        g.writeNumberField("bin_ms", BIN);
-        array(g, "offered_per_s", offered);
-        array(g, "refused_per_s", refused);
-        for (Map.Entry<String, double[]> e : served.entrySet()) {
-            array(g, "served_per_s_" + e.getKey(), e.getValue());
-        }
-        for (Map.Entry<String, double[]> e : inFlight.entrySet()) {
-            array(g, "in_flight_" + e.getKey(), e.getValue());
-        }
-        g.writeEndObject();
+  private static void step(
+      Map<String, List<double[]>> open,
+      Map<String, Integer> held,
+      String server,
+      double at,
+      int by) {
+    int now = Math.max(0, held.merge(server, by, Integer::sum));
+    held.put(server, now);
+    open.computeIfAbsent(server, s -> new ArrayList<>()).add(new double[] {at, now});
+  }
+
+  /** Of a step function, its mean in each bin. */
+  private double[] mean(List<double[]> steps) {
+    double[] all = new double[bins];
+    double at = 0;
+    double value = 0;
+    for (double[] step : steps) {
+      add(all, at, step[0], value);
+      at = step[0];
+      value = step[1];
     }
+    add(all, at, bins * BIN, value);
+    return all;
+  }
 
-    private static void array(JsonGenerator g, String name, double[] values) throws IOException {
-        g.writeFieldName(name);
-        g.writeArray(values, 0, values.length);
+  private void add(double[] all, double from, double to, double value) {
+    for (double at = from; at < to; ) {
+      double end = Math.min(to, (bin(at) + 1) * BIN);
+      if (end <= at) {
+        return;
+      }
+      all[bin(at)] += value * (end - at) / BIN;
+      at = end;
     }
+  }
+
+  private double percentile(int bin, double p) {
+    return latency[bin].getTotalCount() == 0 ? 0 : latency[bin].getValueAtPercentile(p) / 1000.0;
+  }
 
-    private void breach(JsonGenerator g, Breach b) throws IOException {
+  private List<Quotas.Figures> worstFirst() {
+    return day.court().quotas().stream()
+        .sorted(
+            Comparator.comparingDouble((Quotas.Figures f) -> f.beyond())
+                .thenComparingDouble(Quotas.Figures::refusedWithRoom)
+                .reversed())
+        .toList();
+  }
+
+  // ---- for programs ----
+
+  private String json() throws IOException {
+    java.io.StringWriter text = new java.io.StringWriter();
+    try (JsonGenerator g = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
+      g.writeStartObject();
+      g.writeNumberField("schema", SCHEMA);
+      g.writeStringField("scenario", day.scenario().name());
+      g.writeStringField("title", day.scenario().title());
+      g.writeNumberField("seed", day.seed());
+      g.writeNumberField("nodes", day.scenario().nodes());
+      g.writeNumberField("servers", day.scenario().servers());
+      g.writeBooleanField("kept", day.clean());
+      g.writeStringField("sha256", day.sha256());
+      g.writeNumberField("events", day.events());
+      g.writeNumberField("length_ms", day.lengthMs());
+      g.writeObjectFieldStart("tries");
+      for (CampusClients.Fate fate : CampusClients.Fate.values()) {
+        g.writeNumberField(fate.name().toLowerCase(Locale.ROOT), day.fates().getOrDefault(fate, 0));
+      }
+      g.writeEndObject();
+      g.writeObjectFieldStart("latency_ms");
+      for (double p : new double[] {50, 90, 99, 99.9}) {
+        g.writeNumberField(
+            "p" + String.valueOf(p).replaceAll("\\.0$", ""),
+            whole.getTotalCount() == 0 ? 0 : whole.getValueAtPercentile(p) / 1000.0);
+      }
+      g.writeEndObject();
+      g.writeArrayFieldStart("rules");
+      for (String rule : day.court().rules()) {
         g.writeStartObject();
-        g.writeStringField("rule", b.rule());
-        g.writeNumberField("at_ms", b.at());
-        g.writeStringField("request", b.id());
-        g.writeStringField("what", b.what());
-        g.writeArrayFieldStart("story");
-        for (Event e : day.court().story(b).stream().limit(STORY).toList()) {
-            g.writeString(String.format(Locale.ROOT, "%.3f %s", e.at(), e));
-        }
-        g.writeEndArray();
+        g.writeStringField("rule", rule);
+        g.writeNumberField(
+            "broken", day.breaches().stream().filter(b -> b.rule().equals(rule)).count());
         g.writeEndObject();
+      }
+      g.writeEndArray();
+      quotas(g);
+      series(g);
+      g.writeArrayFieldStart("breaches");
+      for (Breach b : day.breaches()) {
+        breach(g, b);
+      }
+      g.writeEndArray();
+      g.writeEndObject();
     }
+    return text.toString();
+  }
 
-    // ---- for people ----
+  private void quotas(JsonGenerator g) throws IOException {
+    g.writeArrayFieldStart("quotas");
+    for (Quotas.Figures f : worstFirst()) {
+      g.writeStartObject();
+      g.writeStringField("customer", f.customer());
+      g.writeStringField("plan", f.plan());
+      g.writeNumberField("units_inside", f.inside());
+      g.writeNumberField("units_beyond", f.beyond());
+      g.writeNumberField("units_refused_with_room", f.refusedWithRoom());
+      g.writeNumberField("worst_minute_share", f.worst());
+      array(
+          g, "beyond_at_ms", Quotas.beyond(World.plan(f.plan()), day.court().sends(f.customer())));
+      g.writeEndObject();
+    }
+    g.writeEndArray();
+  }
 
-    private double[] times() {
-        double[] all = new double[bins];
-        for (int i = 0; i < bins; i++) {
-            all[i] = (i + 0.5) * BIN / 1000;
-        }
-        return all;
+  private void series(JsonGenerator g) throws IOException {
+    g.writeObjectFieldStart("series");
+    g.writeNumberField("bin_ms", BIN);
+    array(g, "offered_per_s", offered);
+    array(g, "refused_per_s", refused);
+    for (Map.Entry<String, double[]> e : served.entrySet()) {
+      array(g, "served_per_s_" + e.getKey(), e.getValue());
+    }
+    for (Map.Entry<String, double[]> e : inFlight.entrySet()) {
+      array(g, "in_flight_" + e.getKey(), e.getValue());
     }
+    g.writeEndObject();
+  }
 
-    private XYChart chart(String title, String unit) {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("s").yAxisTitle(unit)
-            .build();
-        chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE).setChartBackgroundColor(Color.WHITE)
-            .setChartTitleBoxVisible(false);
-        chart.getStyler().setXAxisMin(0.0).setXAxisMax(day.lengthMs() / 1000).setYAxisMin(0.0);
-        return chart;
+  private static void array(JsonGenerator g, String name, double[] values) throws IOException {
+    g.writeFieldName(name);
+    g.writeArray(values, 0, values.length);
+  }
+
+  private void breach(JsonGenerator g, Breach b) throws IOException {
+    g.writeStartObject();
+    g.writeStringField("rule", b.rule());
+    g.writeNumberField("at_ms", b.at());
+    g.writeStringField("request", b.id());
+    g.writeStringField("what", b.what());
+    g.writeArrayFieldStart("story");
+    for (Event e : day.court().story(b).stream().limit(STORY).toList()) {
+      g.writeString(String.format(Locale.ROOT, "%.3f %s", e.at(), e));
     }
+    g.writeEndArray();
+    g.writeEndObject();
+  }
+
+  // ---- for people ----
 
-    private void add(XYChart chart, String name, double[] values) {
-        XYSeries series = chart.addSeries(name, times(), values);
-        series.setMarker(SeriesMarkers.NONE);
-        series.setLineWidth(1.5f);
+  private double[] times() {
+    double[] all = new double[bins];
+    for (int i = 0; i < bins; i++) {
+      all[i] = (i + 0.5) * BIN / 1000;
     }
+    return all;
+  }
 
-    /** The faults, as bands behind the lines; one without a length is a stroke. */
-    private void bands(XYChart chart) {
-        double top = chart.getSeriesMap().values().stream().mapToDouble(XYSeries::getYMax).max().orElse(1);
-        int n = 0;
-        for (Scenario.Fault f : day.scenario().faults()) {
-            double from = f.at() / 1000;
-            double to = from + Math.max(STROKE, f.lasts() / 1000);
-            XYSeries band = chart.addSeries(++n + " " + f.kind().word(), new double[] {from, from, to, to},
-                new double[] {0, Math.max(1, top), Math.max(1, top), 0});
-            band.setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Area);
-            band.setMarker(SeriesMarkers.NONE);
-            band.setLineColor(BAND);
-            band.setFillColor(BAND);
-        }
+  private XYChart chart(String title, String unit) {
+    XYChart chart =
+        new XYChartBuilder()
+            .width(WIDTH)
+            .height(HEIGHT)
+            .title(title)
+            .xAxisTitle("s")
+            .yAxisTitle(unit)
+            .build();
+    chart
+        .getStyler()
+        .setLegendPosition(Styler.LegendPosition.OutsideE)
+        .setChartBackgroundColor(Color.WHITE)
+        .setChartTitleBoxVisible(false);
+    chart.getStyler().setXAxisMin(0.0).setXAxisMax(day.lengthMs() / 1000).setYAxisMin(0.0);
+    return chart;
+  }
+
+  private void add(XYChart chart, String name, double[] values) {
+    XYSeries series = chart.addSeries(name, times(), values);
+    series.setMarker(SeriesMarkers.NONE);
+    series.setLineWidth(1.5f);
+  }
+
+  /** The faults, as bands behind the lines; one without a length is a stroke. */
+  private void bands(XYChart chart) {
+    double top =
+        chart.getSeriesMap().values().stream().mapToDouble(XYSeries::getYMax).max().orElse(1);
+    int n = 0;
+    for (Scenario.Fault f : day.scenario().faults()) {
+      double from = f.at() / 1000;
+      double to = from + Math.max(STROKE, f.lasts() / 1000);
+      XYSeries band =
+          chart.addSeries(
+              ++n + " " + f.kind().word(),
+              new double[] {from, from, to, to},
+              new double[] {0, Math.max(1, top), Math.max(1, top), 0});
+      band.setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Area);
+      band.setMarker(SeriesMarkers.NONE);
+      band.setLineColor(BAND);
+      band.setFillColor(BAND);
     }
+  }
 
-    private String image(XYChart chart) {
-        bands(chart);
-        try {
-            return "<img alt=\"" + escape(chart.getTitle()) + "\" src=\"data:image/png;base64,"
-                + Base64.getEncoder().encodeToString(BitmapEncoder.getBitmapBytes(chart,
-                    BitmapEncoder.BitmapFormat.PNG)) + "\">\n";
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  private String image(XYChart chart) {
+    bands(chart);
+    try {
+      return "<img alt=\""
+          + escape(chart.getTitle())
+          + "\" src=\"data:image/png;base64,"
+          + Base64.getEncoder()
+              .encodeToString(BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG))
+          + "\">\n";
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    private String charts() {
-        XYChart rates = chart("Requests a second", "1/s");
-        add(rates, "asked", offered);
-        served.forEach((type, values) -> add(rates, "served " + type, values));
-        add(rates, "refused", refused);
-        XYChart times = chart("From asked to answered, what was served", "ms");
-        for (double p : new double[] {50, 90, 99}) {
-            double[] values = new double[bins];
-            for (int i = 0; i < bins; i++) {
-                values[i] = percentile(i, p);
-            }
-            add(times, "p" + Math.round(p), values);
-        }
-        XYChart open = chart("At work or waiting at each server (" + day.scenario().size().slots() + " at work, "
-            + day.scenario().size().room() + " waiting at most)", "requests");
-        inFlight.entrySet().stream().limit(WORST).forEach(e -> add(open, e.getKey(), e.getValue()));
-        return image(rates) + image(times) + (inFlight.isEmpty() ? "" : image(open)) + image(stores());
+  private String charts() {
+    XYChart rates = chart("Requests a second", "1/s");
+    add(rates, "asked", offered);
+    served.forEach((type, values) -> add(rates, "served " + type, values));
+    add(rates, "refused", refused);
+    XYChart times = chart("From asked to answered, what was served", "ms");
+    for (double p : new double[] {50, 90, 99}) {
+      double[] values = new double[bins];
+      for (int i = 0; i < bins; i++) {
+        values[i] = percentile(i, p);
+      }
+      add(times, "p" + Math.round(p), values);
     }
+    XYChart open =
+        chart(
+            "At work or waiting at each server ("
+                + day.scenario().size().slots()
+                + " at work, "
+                + day.scenario().size().room()
+                + " waiting at most)",
+            "requests");
+    inFlight.entrySet().stream().limit(WORST).forEach(e -> add(open, e.getKey(), e.getValue()));
+    return image(rates) + image(times) + (inFlight.isEmpty() ? "" : image(open)) + image(stores());
+  }
 
-    /** The exact store of those customers that were worst off, over time. */
-    private XYChart stores() {
-        XYChart chart = chart("Units in the quota's store, the customers that were worst off", "units");
-        worstFirst().stream().limit(WORST).forEach(f -> {
-            double[] values = new double[bins];
-            double[][] sends = day.court().sends(f.customer());
-            for (int i = 0; i < bins; i++) {
+  /** The exact store of those customers that were worst off, over time. */
+  private XYChart stores() {
+    XYChart chart = chart("Units in the quota's store, the customers that were worst off", "units");
+    worstFirst().stream()
+        .limit(WORST)
+        .forEach(
+            f -> {
+              double[] values = new double[bins];
+              double[][] sends = day.court().sends(f.customer());
+              for (int i = 0; i < bins; i++) {
                 values[i] = Quotas.store(World.plan(f.plan()), sends, (i + 1) * BIN);
-            }
-            add(chart, f.customer().substring(8) + " " + f.plan(), values);
-        });
-        return chart;
-    }
+              }
+              add(chart, f.customer().substring(8) + " " + f.plan(), values);
+            });
+    return chart;
+  }
 
-    private static String escape(String text) {
-        return String.valueOf(text).replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"",
-            "&quot;");
-    }
+  private static String escape(String text) {
+    return String.valueOf(text)
+        .replace("&", "&amp;")
+        .replace("<", "&lt;")
+        .replace(">", "&gt;")
+        .replace("\"", "&quot;");
+  }
 
-    private String html() {
-        StringBuilder t = new StringBuilder(1 << 18);
-        t.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>").append(escape(
-            day.scenario().name())).append(", seed ").append(day.seed()).append("</title>\n<style>body{font:15px/1.4 "
-            + "sans-serif;margin:2em auto;max-width:940px}table{border-collapse:collapse}td,th{padding:2px 12px 2px 0;"
-            + "text-align:left}.bad{color:#b00}.good{color:#070}pre{background:#f4f4f4;padding:8px;overflow:auto}"
-            + "</style></head><body>\n<h1>").append(escape(day.scenario().title())).append("</h1>\n<p>Seed ")
-            .append(day.seed()).append(", ").append(day.scenario().nodes()).append(" edge nodes, ")
-            .append(day.scenario().servers()).append(" servers. SHA-256 of all that passed: <code>")
-            .append(day.sha256()).append("</code></p>\n<p class=\"").append(day.clean() ? "good\">All rules kept."
-            : "bad\">Rules broken: " + escape(String.join(", ", day.broken())) + ".").append("</p>\n<table><tr>"
-            + "<th>rule</th><th>broken</th></tr>\n");
-        for (String rule : day.court().rules()) {
-            t.append("<tr><td>").append(rule).append("</td><td>").append(day.breaches().stream()
-                .filter(b -> b.rule().equals(rule)).count()).append("</td></tr>\n");
-        }
-        t.append("</table>\n<p>Red bands are faults, numbered in their order.</p>\n").append(charts());
-        t.append("<h2>What went wrong on purpose</h2>\n<table>");
-        for (Event e : day.court().events()) {
-            if (e instanceof Event.Done done) {
-                t.append(String.format(Locale.ROOT, "<tr><td>%.1f s</td><td>%s</td></tr>%n", done.at() / 1000,
-                    escape(done.what())));
-            }
-        }
-        t.append("</table>\n<h2>Quotas</h2>\n<table><tr><th>customer</th><th>plan</th><th>inside</th><th>beyond</th>"
+  private String html() {
+    StringBuilder t = new StringBuilder(1 << 18);
+    t.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
+        .append(escape(day.scenario().name()))
+        .append(", seed ")
+        .append(day.seed())
+        .append(
+            "</title>\n<style>body{font:15px/1.4 "
+                + "sans-serif;margin:2em auto;max-width:940px}table{border-collapse:collapse}td,th{padding:2px 12px 2px 0;"
+                + "text-align:left}.bad{color:#b00}.good{color:#070}pre{background:#f4f4f4;padding:8px;overflow:auto}"
+                + "</style></head><body>\n<h1>")
+        .append(escape(day.scenario().title()))
+        .append("</h1>\n<p>Seed ")
+        .append(day.seed())
+        .append(", ")
+        .append(day.scenario().nodes())
+        .append(" edge nodes, ")
+        .append(day.scenario().servers())
+        .append(" servers. SHA-256 of all that passed: <code>")
+        .append(day.sha256())
+        .append("</code></p>\n<p class=\"")
+        .append(
+            day.clean()
+                ? "good\">All rules kept."
+                : "bad\">Rules broken: " + escape(String.join(", ", day.broken())) + ".")
+        .append("</p>\n<table><tr>" + "<th>rule</th><th>broken</th></tr>\n");
+    for (String rule : day.court().rules()) {
+      t.append("<tr><td>")
+          .append(rule)
+          .append("</td><td>")
+          .append(day.breaches().stream().filter(b -> b.rule().equals(rule)).count())
+          .append("</td></tr>\n");
+    }
+    t.append("</table>\n<p>Red bands are faults, numbered in their order.</p>\n").append(charts());
+    t.append("<h2>What went wrong on purpose</h2>\n<table>");
+    for (Event e : day.court().events()) {
+      if (e instanceof Event.Done done) {
+        t.append(
+            String.format(
+                Locale.ROOT,
+                "<tr><td>%.1f s</td><td>%s</td></tr>%n",
+                done.at() / 1000,
+                escape(done.what())));
+      }
+    }
+    t.append(
+        "</table>\n<h2>Quotas</h2>\n<table><tr><th>customer</th><th>plan</th><th>inside</th><th>beyond</th>"
             + "<th>refused with room</th><th>worst minute beyond</th></tr>\n");
-        for (Quotas.Figures f : worstFirst()) {
-            t.append(String.format(Locale.ROOT, "<tr><td>%s</td><td>%s</td><td>%.0f</td><td>%.0f</td><td>%.0f</td>"
-                + "<td>%.1f%%</td></tr>%n", f.customer(), escape(f.plan()), f.inside(), f.beyond(), f.refusedWithRoom(),
-                100 * f.worst()));
-        }
-        t.append("</table>\n");
-        for (Breach b : day.breaches()) {
-            t.append(String.format(Locale.ROOT, "<h3 class=\"bad\">%.3f s, %s</h3>%n<p>%s</p>%n<pre>", b.at() / 1000,
-                b.rule(), escape(b.what())));
-            day.court().story(b).stream().limit(STORY).forEach(e -> t.append(String.format(Locale.ROOT, "%9.3f  %s%n",
-                e.at() / 1000, escape(e.toString()))));
-            t.append("</pre>\n");
-        }
-        if (!day.log().isEmpty()) {
-            t.append("<h2>What the edge nodes logged</h2>\n<pre>");
-            day.log().forEach(line -> t.append(escape(line)).append('\n'));
-            t.append("</pre>\n");
-        }
-        return t.append("</body></html>\n").toString();
+    for (Quotas.Figures f : worstFirst()) {
+      t.append(
+          String.format(
+              Locale.ROOT,
+              "<tr><td>%s</td><td>%s</td><td>%.0f</td><td>%.0f</td><td>%.0f</td>"
+                  + "<td>%.1f%%</td></tr>%n",
+              f.customer(),
+              escape(f.plan()),
+              f.inside(),
+              f.beyond(),
+              f.refusedWithRoom(),
+              100 * f.worst()));
+    }
+    t.append("</table>\n");
+    for (Breach b : day.breaches()) {
+      t.append(
+          String.format(
+              Locale.ROOT,
+              "<h3 class=\"bad\">%.3f s, %s</h3>%n<p>%s</p>%n<pre>",
+              b.at() / 1000,
+              b.rule(),
+              escape(b.what())));
+      day.court().story(b).stream()
+          .limit(STORY)
+          .forEach(
+              e ->
+                  t.append(
+                      String.format(
+                          Locale.ROOT, "%9.3f  %s%n", e.at() / 1000, escape(e.toString()))));
+      t.append("</pre>\n");
+    }
+    if (!day.log().isEmpty()) {
+      t.append("<h2>What the edge nodes logged</h2>\n<pre>");
+      day.log().forEach(line -> t.append(escape(line)).append('\n'));
+      t.append("</pre>\n");
     }
+    return t.append("</body></html>\n").toString();
+  }
 }
--- a/src/main/java/willowyoke/kit/Scenario.java
+++ b/src/main/java/willowyoke/kit/Scenario.java
@@ -5,104 +5,142 @@
 import willowyoke.standin.Capacity;
 
 /**
- * A day to rehearse: how large the installation is, what its campuses ask over time, and what goes wrong when. The draw
- * (which campuses ask how much, when, of which node, and which server a fault hits where it says "any") comes from a
- * seed.
+ * A day to rehearse: how large the installation is, what its campuses ask over time, and what goes
+ * wrong when. The draw (which campuses ask how much, when, of which node, and which server a fault
+ * hits where it says "any") comes from a seed.
  *
  * @param lengthMs how long the campuses ask; then all that is open may end
  * @param noticeMs how long the front goes on sending to an edge node that has died
- * @param load requests a second over time: straight lines between these points, steady after the last
+ * @param load requests a second over time: straight lines between these points, steady after the
+ *     last
  */
-public record Scenario(String name, String title, double lengthMs, int nodes, int servers, Capacity.Size size,
+public record Scenario(
+    String name,
+    String title,
+    double lengthMs,
+    int nodes,
+    int servers,
+    Capacity.Size size,
     int campuses,
-    double noticeMs, List<Point> load, List<Fault> faults) {
-    /** All that can go wrong; the design note tells each. */
-    public enum Kind {
-        DIE, DRAIN, SILENT, DEAF, NOISE, FAILING, NEIGHBOUR,
-        KILL, RESTART, RELOAD,
-        DISCOVERY_SILENT, DISCOVERY_LAG, DISCOVERY_STALL, DISCOVERY_EMPTY,
-        COUNTER_SILENT, COUNTER_FULL, COUNTER_NOISE, COUNTER_EMPTY, COUNTER_RESET,
-        CROWD, RESHUFFLE;
+    double noticeMs,
+    List<Point> load,
+    List<Fault> faults) {
+  /** All that can go wrong; the design note tells each. */
+  public enum Kind {
+    DIE,
+    DRAIN,
+    SILENT,
+    DEAF,
+    NOISE,
+    FAILING,
+    NEIGHBOUR,
+    KILL,
+    RESTART,
+    RELOAD,
+    DISCOVERY_SILENT,
+    DISCOVERY_LAG,
+    DISCOVERY_STALL,
+    DISCOVERY_EMPTY,
+    COUNTER_SILENT,
+    COUNTER_FULL,
+    COUNTER_NOISE,
+    COUNTER_EMPTY,
+    COUNTER_RESET,
+    CROWD,
+    RESHUFFLE;
 
-        /** Of what it hits one: a server, an edge node, or neither. */
-        Target target() {
-            return ordinal() <= NEIGHBOUR.ordinal() ? Target.SERVER
-                : ordinal() <= RELOAD.ordinal() || this == CROWD ? Target.NODE : Target.NONE;
-        }
+    /** Of what it hits one: a server, an edge node, or neither. */
+    Target target() {
+      return ordinal() <= NEIGHBOUR.ordinal()
+          ? Target.SERVER
+          : ordinal() <= RELOAD.ordinal() || this == CROWD ? Target.NODE : Target.NONE;
+    }
 
-        /** As scenarios have it. */
-        String word() {
-            return name().toLowerCase(java.util.Locale.ROOT);
-        }
+    /** As scenarios have it. */
+    String word() {
+      return name().toLowerCase(java.util.Locale.ROOT);
     }
+  }
 
-    enum Target { SERVER, NODE, NONE }
+  enum Target {
+    SERVER,
+    NODE,
+    NONE
+  }
 
-    /** A rate at a time: ms from the start, requests a second. */
-    public record Point(double at, double perSecond) { }
+  /** A rate at a time: ms from the start, requests a second. */
+  public record Point(double at, double perSecond) {}
 
-    /**
-     * @param at ms from the start
-     * @param index of the server or edge node, from 0; -1 for any
-     * @param lasts how long (ms); what has no length of its own takes no notice of it
-     * @param share of a neighbour or a crowd, 0 to 1
-     * @param lag what discovery needs to learn of it (ms)
-     * @param elsewhere whether a server that died comes back at another address, and a new one at its old
-     */
-    public record Fault(Kind kind, double at, int index, double lasts, double share, double lag, boolean elsewhere) {
-        String text() {
-            return kind.word() + (kind.target() == Target.NONE ? "" : index < 0 ? " any" : " " + index)
-                + (lasts > 0 ? " for " + Math.round(lasts) + " ms" : "");
-        }
+  /**
+   * @param at ms from the start
+   * @param index of the server or edge node, from 0; -1 for any
+   * @param lasts how long (ms); what has no length of its own takes no notice of it
+   * @param share of a neighbour or a crowd, 0 to 1
+   * @param lag what discovery needs to learn of it (ms)
+   * @param elsewhere whether a server that died comes back at another address, and a new one at its
+   *     old
+   */
+  public record Fault(
+      Kind kind, double at, int index, double lasts, double share, double lag, boolean elsewhere) {
+    String text() {
+      return kind.word()
+          + (kind.target() == Target.NONE ? "" : index < 0 ? " any" : " " + index)
+          + (lasts > 0 ? " for " + Math.round(lasts) + " ms" : "");
     }
+  }
 
-    /** Requests a second at a time (ms from the start). */
-    double rate(double ms) {
-        Point before = load.get(0);
-        for (Point p : load) {
-            if (p.at > ms) {
-                return ms <= before.at ? before.perSecond
-                    : before.perSecond + (p.perSecond - before.perSecond) * (ms - before.at) / (p.at - before.at);
-            }
-            before = p;
-        }
-        return before.perSecond;
+  /** Requests a second at a time (ms from the start). */
+  double rate(double ms) {
+    Point before = load.get(0);
+    for (Point p : load) {
+      if (p.at > ms) {
+        return ms <= before.at
+            ? before.perSecond
+            : before.perSecond
+                + (p.perSecond - before.perSecond) * (ms - before.at) / (p.at - before.at);
+      }
+      before = p;
     }
+    return before.perSecond;
+  }
 
-    double most() {
-        return load.stream().mapToDouble(Point::perSecond).max().orElse(0);
-    }
+  double most() {
+    return load.stream().mapToDouble(Point::perSecond).max().orElse(0);
+  }
 
-    Scenario withNodes(int count) {
-        return new Scenario(name, title, lengthMs, count, servers, size, campuses, noticeMs, load, faults);
-    }
+  Scenario withNodes(int count) {
+    return new Scenario(
+        name, title, lengthMs, count, servers, size, campuses, noticeMs, load, faults);
+  }
 
-    Scenario withServers(int count) {
-        return new Scenario(name, title, lengthMs, nodes, count, size, campuses, noticeMs, load, faults);
-    }
+  Scenario withServers(int count) {
+    return new Scenario(
+        name, title, lengthMs, nodes, count, size, campuses, noticeMs, load, faults);
+  }
 
-    Scenario withLength(double ms) {
-        return new Scenario(name, title, ms, nodes, servers, size, campuses, noticeMs, load, faults);
-    }
+  Scenario withLength(double ms) {
+    return new Scenario(name, title, ms, nodes, servers, size, campuses, noticeMs, load, faults);
+  }
 
-    Scenario without(Fault fault) {
-        List<Fault> rest = new ArrayList<>(faults);
-        rest.remove(fault);
-        return new Scenario(name, title, lengthMs, nodes, servers, size, campuses, noticeMs, load, List.copyOf(rest));
-    }
+  Scenario without(Fault fault) {
+    List<Fault> rest = new ArrayList<>(faults);
+    rest.remove(fault);
+    return new Scenario(
+        name, title, lengthMs, nodes, servers, size, campuses, noticeMs, load, List.copyOf(rest));
+  }
 
-    /** What cannot be together, a line each; empty where all is well. */
-    List<String> contradictions() {
-        List<String> all = new ArrayList<>();
-        for (Fault f : faults) {
-            int there = f.kind.target() == Target.SERVER ? servers : nodes;
-            if (f.kind.target() != Target.NONE && f.index >= there) {
-                all.add(f.kind.word() + " of number " + f.index + ", and there are " + there + " (from 0)");
-            }
-            if (f.at > lengthMs) {
-                all.add(f.kind.word() + " at " + f.at / 1000 + " s, after the end");
-            }
-        }
-        return all;
+  /** What cannot be together, a line each; empty where all is well. */
+  List<String> contradictions() {
+    List<String> all = new ArrayList<>();
+    for (Fault f : faults) {
+      int there = f.kind.target() == Target.SERVER ? servers : nodes;
+      if (f.kind.target() != Target.NONE && f.index >= there) {
+        all.add(f.kind.word() + " of number " + f.index + ", and there are " + there + " (from 0)");
+      }
+      if (f.at > lengthMs) {
+        all.add(f.kind.word() + " at " + f.at / 1000 + " s, after the end");
+      }
     }
+    return all;
+  }
 }
--- a/src/main/java/willowyoke/kit/Simulation.java
+++ b/src/main/java/willowyoke/kit/Simulation.java
@@ -25,398 +25,469 @@
 import willowyoke.standin.Rack;
 
 /**
- * A scenario's day: edge nodes, their own network code unmodified, and their world on one thread in virtual time.
- * The same
- * seed and the same build give the same events, to the byte. Code takes no time here: what a request costs the node in
- * CPU is not part of it, and neither is the network's way. Belongs to the thread that made it.
+ * A scenario's day: edge nodes, their own network code unmodified, and their world on one thread in
+ * virtual time. The same seed and the same build give the same events, to the byte. Code takes no
+ * time here: what a request costs the node in CPU is not part of it, and neither is the network's
+ * way. Belongs to the thread that made it.
  */
 final class Simulation {
-    private static final AtomicLong WORLDS = new AtomicLong();
-    private static final double WINDOW = 7500;
-    private static final double READY_WITHIN = 10_000;
-    private static final int PORT = 7000;
-    /** From a process's start until it begins to come up (ms): here code takes no time. */
-    private static final double START = 800;
-    /** From a server's return until it is listed (ms). */
-    private static final double LISTED = 300;
-    /** After the day each open request comes to its end within this (ms). */
-    private static final double SETTLE = 6000;
-    /** What the platform grants after SIGTERM (ms), beyond the longest deadline. */
-    private static final double KILLED_AFTER = 700;
-    private static final CampusClients.Habits HABITS = new CampusClients.Habits(2, 200, true, 100);
-
-    /** One edge node's place: its address stays, its processes come and go. */
-    private final class Place {
-        private final int number;
-        private ProcessLoop process;
-        private Node node;
-        private Config told;
-        private long starts;
-
-        Place(int number) {
-            this.number = number;
-        }
+  private static final AtomicLong WORLDS = new AtomicLong();
+  private static final double WINDOW = 7500;
+  private static final double READY_WITHIN = 10_000;
+  private static final int PORT = 7000;
 
-        void start() {
-            try {
-                told = configuration();
-            } catch (IOException e) {
-                throw new IllegalStateException(e); // it was read at the first start
-            }
-            process = new ProcessLoop(loop, transport, log);
-            node = new Node(told, maker, null, process);
-            Node mine = node;
-            node.begin(part -> { }).whenComplete((up, failed) -> {
-                if (failed != null) {
-                    log.accept("edge node " + number + ": " + failed);
-                } else if (mine == node) {
-                    events.accept(new Event.NodeUp(day(loop.now()), number));
-                    front.up(number);
-                }
-            });
-        }
+  /** From a process's start until it begins to come up (ms): here code takes no time. */
+  private static final double START = 800;
 
-        private Config configuration() throws IOException {
-            return Config.of(Json.read(World.CONFIG.formatted("n" + number, text(address(3, number)),
-                text(address(1, moved ? 3 : 1)), text(address(1, moved ? 4 : 2)),
-                seed + number + 1000 * starts++, number, scenario.nodes())), Map.of());
-        }
+  /** From a server's return until it is listed (ms). */
+  private static final double LISTED = 300;
 
-        /** The process ends and another one starts after a while (ms). */
-        private void end(Event.End how, double startAfter) {
-            ProcessLoop gone = process;
-            node = null;
-            process = null;
-            events.accept(new Event.NodeEnded(day(loop.now()), number, how));
-            front.down(number, loop.now());
-            gone.kill();
-            shared.after(startAfter + START, this::start);
-        }
+  /** After the day each open request comes to its end within this (ms). */
+  private static final double SETTLE = 6000;
 
-        void kill(double startAfter) {
-            if (process != null) {
-                end(Event.End.KILLED, startAfter);
-            }
-        }
+  /** What the platform grants after SIGTERM (ms), beyond the longest deadline. */
+  private static final double KILLED_AFTER = 700;
 
-        /** SIGTERM, and what the platform grants after it. */
-        void restart() {
-            Node leaving = node;
-            if (leaving == null) {
-                return;
-            }
-            double most = told.settings().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
-            front.down(number, loop.now() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
-            leaving.leave().thenRun(() -> {
-                if (node == leaving) {
-                    end(Event.End.LEFT, 0);
-                }
-            });
-            shared.after(most + KILLED_AFTER, () -> {
-                if (node == leaving) {
-                    end(Event.End.LEFT, 0);
-                }
-            });
-        }
+  private static final CampusClients.Habits HABITS = new CampusClients.Habits(2, 200, true, 100);
 
-        void reload() {
-            if (node != null) {
-                try {
-                    told = configuration();
-                    node.reload(told);
-                } catch (IOException e) {
-                    throw new IllegalStateException(e);
-                }
-            }
-        }
-    }
+  /** One edge node's place: its address stays, its processes come and go. */
+  private final class Place {
+    private final int number;
+    private ProcessLoop process;
+    private Node node;
+    private Config told;
+    private long starts;
 
-    private final Scenario scenario;
-    private final long seed;
-    private final Node.Maker maker;
-    private final Consumer<Event> events;
-    private final Consumer<String> log;
-    private final VirtualLoop loop;
-    private final LocalTransport transport = new LocalTransport("world" + WORLDS.incrementAndGet());
-    private final LoopThread shared;
-    private final Trace trace = new Trace();
-    private final Recorder recorder;
-    private final Random chance;
-    private final List<EnrolmentServer> servers = new ArrayList<>();
-    private final List<Place> places = new ArrayList<>();
-    private final Discovery discovery;
-    private final Counter counter;
-    private final Front front;
-    private final CampusClients clients;
-    private final Map<CampusClients.Fate, Integer> fates = new EnumMap<>(CampusClients.Fate.class);
-    private final Rack[] racks = {new Rack("a", 0, WINDOW), new Rack("b", 1, WINDOW)};
-    /** Discovery and counter answer at their second addresses too; new configurations name those from here on. */
-    private boolean moved;
-    private int extras;
-    /** How far the day has gone on the loop (ms), and where the campuses began. */
-    private double elapsed;
-    private double began;
-
-    /**
-     * Comes up; {@link #play} then plays the day.
-     *
-     * @param maker the decision module of each edge node
-     * @param events hears what passes on the stand-ins' sockets, in ms since the campuses began
-     * @param log hears the nodes' lines
-     * @param reached hears how far the day has gone (ms, 0 until the campuses begin), whenever that moves
-     * @throws IOException where a configuration cannot be read
-     */
-    Simulation(Scenario scenario, long seed, Node.Maker maker, Consumer<Event> events, Consumer<String> log,
-        DoubleConsumer reached) throws IOException, InterruptedException {
-        this.scenario = scenario;
-        this.seed = seed;
-        this.maker = maker;
-        this.events = event -> {
-            trace.event(event);
-            events.accept(event);
-        };
-        this.log = log;
-        loop = new VirtualLoop(ms -> reached.accept(began > 0 ? ms - began : 0));
-        shared = new LoopThread(loop, transport, loop, log);
-        recorder = new Recorder(this.events, this::day);
-        chance = new Random(seed ^ 0x5eed);
-        discovery = new Discovery(shared, 0, recorder).start(address(1, 1));
-        discovery.start(address(1, 3));
-        counter = new Counter(shared, Counter.Size.of(scenario.nodes()), trace).start(address(1, 2));
-        counter.start(address(1, 4));
-        for (int i = 0; i < scenario.servers(); i++) {
-            begin("s" + i, i, address(2, i), false);
-            discovery.set(servers.get(i).entry("active"));
-        }
-        for (int i = 0; i < scenario.nodes(); i++) {
-            places.add(new Place(i));
-        }
-        front = new Front(scenario.nodes(), scenario.noticeMs(), seed * 17 + 3);
-        places.forEach(Place::start);
-        double until = 0;
-        while (places.stream().anyMatch(p -> p.node.address() == null)) {
-            until += 10;
-            loop.runUntil(until);
-            if (until > READY_WITHIN) {
-                throw new IllegalStateException("no edge node came up");
-            }
-        }
-        elapsed = until;
-        began = until;
-        Arrivals arrivals = new Arrivals(seed, campuses(), World.KINDS, scenario::rate, scenario.most());
-        clients = new CampusClients(shared, arrivals, HABITS, this::way, new CampusClients.Heard() {
-            @Override public void ended(Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {
-                fates.merge(fate, 1, Integer::sum);
-                trace.ended(shared.now(), of, retry, fate);
-            }
-
-            @Override public void asked(double now, String id, Arrivals.Arrival of, CampusClients.Way way,
-                double wait) {
-                recorder.asked(now, id, of, way, wait);
-            }
-
-            @Override public void message(double now, String id, CampusClients.Fate kind, String text) {
-                recorder.message(now, id, kind, text);
-            }
-
-            @Override public void cut(double now, String id) {
-                recorder.cut(now, id);
-            }
-
-            @Override public void gaveUp(double now, String id) {
-                recorder.gaveUp(now, id);
-            }
-        }, seed);
+    Place(int number) {
+      this.number = number;
     }
 
-    private CampusClients.Way way(Arrivals.Arrival of, double now) {
-        int node = front.node(of.campus().customer(), now);
-        return new CampusClients.Way(address(3, node), node, scenario.nodes(), 0);
+    void start() {
+      try {
+        told = configuration();
+      } catch (IOException e) {
+        throw new IllegalStateException(e); // it was read at the first start
+      }
+      process = new ProcessLoop(loop, transport, log);
+      node = new Node(told, maker, null, process);
+      Node mine = node;
+      node.begin(part -> {})
+          .whenComplete(
+              (up, failed) -> {
+                if (failed != null) {
+                  log.accept("edge node " + number + ": " + failed);
+                } else if (mine == node) {
+                  events.accept(new Event.NodeUp(day(loop.now()), number));
+                  front.up(number);
+                }
+              });
     }
 
-    private double day(double now) {
-        return now - VirtualLoop.START - began;
+    private Config configuration() throws IOException {
+      return Config.of(
+          Json.read(
+              World.CONFIG.formatted(
+                  "n" + number,
+                  text(address(3, number)),
+                  text(address(1, moved ? 3 : 1)),
+                  text(address(1, moved ? 4 : 2)),
+                  seed + number + 1000 * starts++,
+                  number,
+                  scenario.nodes())),
+          Map.of());
     }
 
-    private void begin(String id, int number, InetSocketAddress at, boolean cold) throws InterruptedException {
-        EnrolmentServer server = new EnrolmentServer(shared, id, racks[number % racks.length], scenario.size(),
-            EnrolmentServer.Habits.USUAL, recorder, seed * 31 + number);
-        server.start(at);
-        servers.add(server);
-        events.accept(new Event.Born(day(loop.now()), id, server.rack().block(), scenario.size(), cold));
+    /** The process ends and another one starts after a while (ms). */
+    private void end(Event.End how, double startAfter) {
+      ProcessLoop gone = process;
+      node = null;
+      process = null;
+      events.accept(new Event.NodeEnded(day(loop.now()), number, how));
+      front.down(number, loop.now());
+      gone.kill();
+      shared.after(startAfter + START, this::start);
     }
 
-    private static InetSocketAddress address(int net, int number) {
-        return new InetSocketAddress("10." + net + "." + number / 250 + "." + (1 + number % 250), PORT);
+    void kill(double startAfter) {
+      if (process != null) {
+        end(Event.End.KILLED, startAfter);
+      }
     }
 
-    private static String text(InetSocketAddress at) {
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+    /** SIGTERM, and what the platform grants after it. */
+    void restart() {
+      Node leaving = node;
+      if (leaving == null) {
+        return;
+      }
+      double most =
+          told.settings().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
+      front.down(number, loop.now() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
+      leaving
+          .leave()
+          .thenRun(
+              () -> {
+                if (node == leaving) {
+                  end(Event.End.LEFT, 0);
+                }
+              });
+      shared.after(
+          most + KILLED_AFTER,
+          () -> {
+            if (node == leaving) {
+              end(Event.End.LEFT, 0);
+            }
+          });
     }
 
-    /** Most campuses use a part of their quota; some ask far more than it holds. */
-    private List<Arrivals.Campus> campuses() {
-        Random draw = new Random(seed * 7 + 1);
-        List<Arrivals.Campus> all = new ArrayList<>();
-        for (int i = 0; i < scenario.campuses(); i++) {
-            World.Plan plan = World.PLANS.get(i % World.PLANS.size());
-            double use = draw.nextInt(6) == 0 ? 3 : 0.2 + 0.6 * draw.nextDouble();
-            all.add(new Arrivals.Campus(String.format("%016x", 0x100000000L + (draw.nextLong() & 0xffffffffL)),
-                plan.name(), plan.perSecond() * use));
+    void reload() {
+      if (node != null) {
+        try {
+          told = configuration();
+          node.reload(told);
+        } catch (IOException e) {
+          throw new IllegalStateException(e);
         }
-        return all;
+      }
     }
-
-    /** Plays the day to the end of its last request. */
-    void play() {
-        scenario.faults().forEach(f -> shared.after(f.at(), () -> strike(f)));
-        clients.start();
-        elapsed += scenario.lengthMs();
-        loop.runUntil(elapsed);
-        clients.stop();
-        double end = elapsed + SETTLE;
-        while (elapsed < end && clients.open() > 0) {
-            elapsed += 100;
-            loop.runUntil(elapsed);
-        }
-        elapsed += 200; // what clients wait on for a little longer than their patience
-        loop.runUntil(elapsed);
+  }
+
+  private final Scenario scenario;
+  private final long seed;
+  private final Node.Maker maker;
+  private final Consumer<Event> events;
+  private final Consumer<String> log;
+  private final VirtualLoop loop;
+  private final LocalTransport transport = new LocalTransport("world" + WORLDS.incrementAndGet());
+  private final LoopThread shared;
+  private final Trace trace = new Trace();
+  private final Recorder recorder;
+  private final Random chance;
+  private final List<EnrolmentServer> servers = new ArrayList<>();
+  private final List<Place> places = new ArrayList<>();
+  private final Discovery discovery;
+  private final Counter counter;
+  private final Front front;
+  private final CampusClients clients;
+  private final Map<CampusClients.Fate, Integer> fates = new EnumMap<>(CampusClients.Fate.class);
+  private final Rack[] racks = {new Rack("a", 0, WINDOW), new Rack("b", 1, WINDOW)};
+
+  /**
+   * Discovery and counter answer at their second addresses too; new configurations name those from
+   * here on.
+   */
+  private boolean moved;
+
+  private int extras;
+
+  /** How far the day has gone on the loop (ms), and where the campuses began. */
+  private double elapsed;
+
+  private double began;
+
+  /**
+   * Comes up; {@link #play} then plays the day.
+   *
+   * @param maker the decision module of each edge node
+   * @param events hears what passes on the stand-ins' sockets, in ms since the campuses began
+   * @param log hears the nodes' lines
+   * @param reached hears how far the day has gone (ms, 0 until the campuses begin), whenever that
+   *     moves
+   * @throws IOException where a configuration cannot be read
+   */
+  Simulation(
+      Scenario scenario,
+      long seed,
+      Node.Maker maker,
+      Consumer<Event> events,
+      Consumer<String> log,
+      DoubleConsumer reached)
+      throws IOException, InterruptedException {
+    this.scenario = scenario;
+    this.seed = seed;
+    this.maker = maker;
+    this.events =
+        event -> {
+          trace.event(event);
+          events.accept(event);
+        };
+    this.log = log;
+    loop = new VirtualLoop(ms -> reached.accept(began > 0 ? ms - began : 0));
+    shared = new LoopThread(loop, transport, loop, log);
+    recorder = new Recorder(this.events, this::day);
+    chance = new Random(seed ^ 0x5eed);
+    discovery = new Discovery(shared, 0, recorder).start(address(1, 1));
+    discovery.start(address(1, 3));
+    counter = new Counter(shared, Counter.Size.of(scenario.nodes()), trace).start(address(1, 2));
+    counter.start(address(1, 4));
+    for (int i = 0; i < scenario.servers(); i++) {
+      begin("s" + i, i, address(2, i), false);
+      discovery.set(servers.get(i).entry("active"));
     }
-
-    /** How long the day was, with what came after it (ms). */
-    double length() {
-        return elapsed - began;
+    for (int i = 0; i < scenario.nodes(); i++) {
+      places.add(new Place(i));
     }
-
-    Trace trace() {
-        return trace;
+    front = new Front(scenario.nodes(), scenario.noticeMs(), seed * 17 + 3);
+    places.forEach(Place::start);
+    double until = 0;
+    while (places.stream().anyMatch(p -> p.node.address() == null)) {
+      until += 10;
+      loop.runUntil(until);
+      if (until > READY_WITHIN) {
+        throw new IllegalStateException("no edge node came up");
+      }
     }
+    elapsed = until;
+    began = until;
+    Arrivals arrivals =
+        new Arrivals(seed, campuses(), World.KINDS, scenario::rate, scenario.most());
+    clients =
+        new CampusClients(
+            shared,
+            arrivals,
+            HABITS,
+            this::way,
+            new CampusClients.Heard() {
+              @Override
+              public void ended(
+                  Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {
+                fates.merge(fate, 1, Integer::sum);
+                trace.ended(shared.now(), of, retry, fate);
+              }
 
-    Map<CampusClients.Fate, Integer> fates() {
-        return fates;
-    }
+              @Override
+              public void asked(
+                  double now, String id, Arrivals.Arrival of, CampusClients.Way way, double wait) {
+                recorder.asked(now, id, of, way, wait);
+              }
 
-    // ---- faults ----
+              @Override
+              public void message(double now, String id, CampusClients.Fate kind, String text) {
+                recorder.message(now, id, kind, text);
+              }
 
-    private void done(String what) {
-        events.accept(new Event.Done(day(loop.now()), what));
-    }
+              @Override
+              public void cut(double now, String id) {
+                recorder.cut(now, id);
+              }
 
-    private void strike(Scenario.Fault f) {
-        switch (f.kind().target()) {
-            case SERVER -> {
-                int n = f.index() >= 0 ? f.index() : chance.nextInt(scenario.servers());
-                done(f.kind().word() + " s" + n);
-                server(f, servers.get(n), n);
-            }
-            case NODE -> {
-                int n = f.index() >= 0 ? f.index() : chance.nextInt(scenario.nodes());
-                done(f.kind().word() + " node " + n);
-                node(f, n);
-            }
-            default -> {
-                done(f.text());
-                service(f);
-            }
-        }
+              @Override
+              public void gaveUp(double now, String id) {
+                recorder.gaveUp(now, id);
+              }
+            },
+            seed);
+  }
+
+  private CampusClients.Way way(Arrivals.Arrival of, double now) {
+    int node = front.node(of.campus().customer(), now);
+    return new CampusClients.Way(address(3, node), node, scenario.nodes(), 0);
+  }
+
+  private double day(double now) {
+    return now - VirtualLoop.START - began;
+  }
+
+  private void begin(String id, int number, InetSocketAddress at, boolean cold)
+      throws InterruptedException {
+    EnrolmentServer server =
+        new EnrolmentServer(
+            shared,
+            id,
+            racks[number % racks.length],
+            scenario.size(),
+            EnrolmentServer.Habits.USUAL,
+            recorder,
+            seed * 31 + number);
+    server.start(at);
+    servers.add(server);
+    events.accept(
+        new Event.Born(day(loop.now()), id, server.rack().block(), scenario.size(), cold));
+  }
+
+  private static InetSocketAddress address(int net, int number) {
+    return new InetSocketAddress("10." + net + "." + number / 250 + "." + (1 + number % 250), PORT);
+  }
+
+  private static String text(InetSocketAddress at) {
+    return at.getAddress().getHostAddress() + ":" + at.getPort();
+  }
+
+  /** Most campuses use a part of their quota; some ask far more than it holds. */
+  private List<Arrivals.Campus> campuses() {
+    Random draw = new Random(seed * 7 + 1);
+    List<Arrivals.Campus> all = new ArrayList<>();
+    for (int i = 0; i < scenario.campuses(); i++) {
+      World.Plan plan = World.PLANS.get(i % World.PLANS.size());
+      double use = draw.nextInt(6) == 0 ? 3 : 0.2 + 0.6 * draw.nextDouble();
+      all.add(
+          new Arrivals.Campus(
+              String.format("%016x", 0x100000000L + (draw.nextLong() & 0xffffffffL)),
+              plan.name(),
+              plan.perSecond() * use));
     }
-
-    private void server(Scenario.Fault f, EnrolmentServer server, int number) {
-        switch (f.kind()) {
-            case DIE -> die(f, server, number);
-            case DRAIN -> {
-                shared.after(f.lag(), () -> discovery.set(server.entry("leaving")));
-                lifted(f, () -> discovery.set(server.entry("active")));
-            }
-            case NEIGHBOUR -> {
-                server.neighbour(f.share());
-                lifted(f, () -> server.neighbour(0));
-            }
-            default -> {
-                server.mood(EnrolmentServer.Mood.valueOf(f.kind().name()));
-                lifted(f, () -> server.mood(EnrolmentServer.Mood.WELL));
-            }
-        }
+    return all;
+  }
+
+  /** Plays the day to the end of its last request. */
+  void play() {
+    scenario.faults().forEach(f -> shared.after(f.at(), () -> strike(f)));
+    clients.start();
+    elapsed += scenario.lengthMs();
+    loop.runUntil(elapsed);
+    clients.stop();
+    double end = elapsed + SETTLE;
+    while (elapsed < end && clients.open() > 0) {
+      elapsed += 100;
+      loop.runUntil(elapsed);
     }
-
-    private void lifted(Scenario.Fault f, Runnable what) {
-        if (f.lasts() > 0) {
-            shared.after(f.lasts(), () -> {
-                done(f.kind().word() + " is over");
-                what.run();
-            });
-        }
+    elapsed += 200; // what clients wait on for a little longer than their patience
+    loop.runUntil(elapsed);
+  }
+
+  /** How long the day was, with what came after it (ms). */
+  double length() {
+    return elapsed - began;
+  }
+
+  Trace trace() {
+    return trace;
+  }
+
+  Map<CampusClients.Fate, Integer> fates() {
+    return fates;
+  }
+
+  // ---- faults ----
+
+  private void done(String what) {
+    events.accept(new Event.Done(day(loop.now()), what));
+  }
+
+  private void strike(Scenario.Fault f) {
+    switch (f.kind().target()) {
+      case SERVER -> {
+        int n = f.index() >= 0 ? f.index() : chance.nextInt(scenario.servers());
+        done(f.kind().word() + " s" + n);
+        server(f, servers.get(n), n);
+      }
+      case NODE -> {
+        int n = f.index() >= 0 ? f.index() : chance.nextInt(scenario.nodes());
+        done(f.kind().word() + " node " + n);
+        node(f, n);
+      }
+      default -> {
+        done(f.text());
+        service(f);
+      }
     }
-
-    private void die(Scenario.Fault f, EnrolmentServer server, int number) {
-        server.die();
-        events.accept(new Event.Died(day(loop.now()), server.id()));
-        Agent.Host gone = server.entry("left");
-        boolean[] back = new boolean[1];
-        shared.after(f.lag(), () -> {
-            if (!back[0]) {
-                discovery.set(gone);
-            }
+  }
+
+  private void server(Scenario.Fault f, EnrolmentServer server, int number) {
+    switch (f.kind()) {
+      case DIE -> die(f, server, number);
+      case DRAIN -> {
+        shared.after(f.lag(), () -> discovery.set(server.entry("leaving")));
+        lifted(f, () -> discovery.set(server.entry("active")));
+      }
+      case NEIGHBOUR -> {
+        server.neighbour(f.share());
+        lifted(f, () -> server.neighbour(0));
+      }
+      default -> {
+        server.mood(EnrolmentServer.Mood.valueOf(f.kind().name()));
+        lifted(f, () -> server.mood(EnrolmentServer.Mood.WELL));
+      }
+    }
+  }
+
+  private void lifted(Scenario.Fault f, Runnable what) {
+    if (f.lasts() > 0) {
+      shared.after(
+          f.lasts(),
+          () -> {
+            done(f.kind().word() + " is over");
+            what.run();
+          });
+    }
+  }
+
+  private void die(Scenario.Fault f, EnrolmentServer server, int number) {
+    server.die();
+    events.accept(new Event.Died(day(loop.now()), server.id()));
+    Agent.Host gone = server.entry("left");
+    boolean[] back = new boolean[1];
+    shared.after(
+        f.lag(),
+        () -> {
+          if (!back[0]) {
+            discovery.set(gone);
+          }
         });
-        lifted(f, () -> {
-            InetSocketAddress old = server.address();
-            back[0] = !f.elsewhere();
-            server.back(f.elsewhere() ? address(4, number) : old);
-            events.accept(new Event.Born(day(loop.now()), server.id(), server.rack().block(), scenario.size(), true));
-            shared.after(f.elsewhere() ? f.lag() : LISTED, () -> discovery.set(server.entry("active")));
-            if (f.elsewhere()) {
-                follow(old, number);
-            }
+    lifted(
+        f,
+        () -> {
+          InetSocketAddress old = server.address();
+          back[0] = !f.elsewhere();
+          server.back(f.elsewhere() ? address(4, number) : old);
+          events.accept(
+              new Event.Born(
+                  day(loop.now()), server.id(), server.rack().block(), scenario.size(), true));
+          shared.after(
+              f.elsewhere() ? f.lag() : LISTED, () -> discovery.set(server.entry("active")));
+          if (f.elsewhere()) {
+            follow(old, number);
+          }
         });
+  }
+
+  /** Another server starts where one has died, and the list still names that one there. */
+  private void follow(InetSocketAddress at, int number) {
+    try {
+      begin("x" + ++extras, number, at, true);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      return;
     }
-
-    /** Another server starts where one has died, and the list still names that one there. */
-    private void follow(InetSocketAddress at, int number) {
-        try {
-            begin("x" + ++extras, number, at, true);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return;
-        }
-        EnrolmentServer another = servers.get(servers.size() - 1);
-        shared.after(LISTED, () -> discovery.set(another.entry("active")));
-    }
-
-    private void node(Scenario.Fault f, int number) {
-        Place place = places.get(number);
-        switch (f.kind()) {
-            case KILL -> place.kill(f.lasts());
-            case RESTART -> place.restart();
-            case RELOAD -> {
-                moved = !moved;
-                place.reload();
-            }
-            default -> {
-                front.crowd(number, f.share());
-                lifted(f, () -> front.crowd(number, 0));
-            }
-        }
+    EnrolmentServer another = servers.get(servers.size() - 1);
+    shared.after(LISTED, () -> discovery.set(another.entry("active")));
+  }
+
+  private void node(Scenario.Fault f, int number) {
+    Place place = places.get(number);
+    switch (f.kind()) {
+      case KILL -> place.kill(f.lasts());
+      case RESTART -> place.restart();
+      case RELOAD -> {
+        moved = !moved;
+        place.reload();
+      }
+      default -> {
+        front.crowd(number, f.share());
+        lifted(f, () -> front.crowd(number, 0));
+      }
     }
-
-    private void service(Scenario.Fault f) {
-        switch (f.kind()) {
-            case DISCOVERY_SILENT -> {
-                discovery.silent(true);
-                lifted(f, () -> discovery.silent(false));
-            }
-            case DISCOVERY_LAG -> {
-                discovery.lag(f.lag());
-                lifted(f, () -> discovery.lag(0));
-            }
-            case DISCOVERY_STALL -> discovery.stall(chance.nextInt(300));
-            case DISCOVERY_EMPTY -> discovery.emptyNext(1 + chance.nextInt(scenario.nodes()));
-            case COUNTER_EMPTY -> counter.restart();
-            case COUNTER_RESET -> counter.reset();
-            case RESHUFFLE -> front.reshuffle();
-            default -> {
-                counter.mood(Counter.Mood.valueOf(f.kind().name().substring("COUNTER_".length())));
-                lifted(f, () -> counter.mood(Counter.Mood.WELL));
-            }
-        }
+  }
+
+  private void service(Scenario.Fault f) {
+    switch (f.kind()) {
+      case DISCOVERY_SILENT -> {
+        discovery.silent(true);
+        lifted(f, () -> discovery.silent(false));
+      }
+      case DISCOVERY_LAG -> {
+        discovery.lag(f.lag());
+        lifted(f, () -> discovery.lag(0));
+      }
+      case DISCOVERY_STALL -> discovery.stall(chance.nextInt(300));
+      case DISCOVERY_EMPTY -> discovery.emptyNext(1 + chance.nextInt(scenario.nodes()));
+      case COUNTER_EMPTY -> counter.restart();
+      case COUNTER_RESET -> counter.reset();
+      case RESHUFFLE -> front.reshuffle();
+      default -> {
+        counter.mood(Counter.Mood.valueOf(f.kind().name().substring("COUNTER_".length())));
+        lifted(f, () -> counter.mood(Counter.Mood.WELL));
+      }
     }
+  }
 }
--- a/src/main/java/willowyoke/kit/Trace.java
+++ b/src/main/java/willowyoke/kit/Trace.java
@@ -9,46 +9,50 @@
 import willowyoke.standin.CampusClients;
 import willowyoke.standin.Counter;
 
-/** Each event on the stand-ins' sockets as a line, and the SHA-256 of all lines: two runs are one if these are. */
+/**
+ * Each event on the stand-ins' sockets as a line, and the SHA-256 of all lines: two runs are one if
+ * these are.
+ */
 final class Trace implements Counter.Calls {
-    private final MessageDigest digest;
-    private long events;
-
-    Trace() {
-        try {
-            digest = MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every Java platform has it
-        }
+  private final MessageDigest digest;
+  private long events;
+
+  Trace() {
+    try {
+      digest = MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e); // every Java platform has it
     }
-
-    private void line(String text) {
-        events++;
-        digest.update((text + "\n").getBytes(StandardCharsets.UTF_8));
-    }
-
-    long events() {
-        return events;
-    }
-
-    /** Of all events so far, in hexadecimal; more may follow. */
-    String sha256() {
-        try {
-            return HexFormat.of().formatHex(((MessageDigest) digest.clone()).digest());
-        } catch (CloneNotSupportedException e) {
-            throw new IllegalStateException(e);
-        }
+  }
+
+  private void line(String text) {
+    events++;
+    digest.update((text + "\n").getBytes(StandardCharsets.UTF_8));
+  }
+
+  long events() {
+    return events;
+  }
+
+  /** Of all events so far, in hexadecimal; more may follow. */
+  String sha256() {
+    try {
+      return HexFormat.of().formatHex(((MessageDigest) digest.clone()).digest());
+    } catch (CloneNotSupportedException e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    void event(Event event) {
-        line(event.toString());
-    }
+  void event(Event event) {
+    line(event.toString());
+  }
 
-    @Override public void added(double now, String name, double amount, double total) {
-        line(now + " counter " + name + " " + amount + " " + total);
-    }
+  @Override
+  public void added(double now, String name, double amount, double total) {
+    line(now + " counter " + name + " " + amount + " " + total);
+  }
 
-    void ended(double now, Arrivals.Arrival of, int retry, CampusClients.Fate fate) {
-        line(now + " client " + of.number() + " " + retry + " " + fate);
-    }
+  void ended(double now, Arrivals.Arrival of, int retry, CampusClients.Fate fate) {
+    line(now + " client " + of.number() + " " + retry + " " + fate);
+  }
 }
--- a/src/main/java/willowyoke/kit/TryCommand.java
+++ b/src/main/java/willowyoke/kit/TryCommand.java
@@ -20,182 +20,263 @@
 import willowyoke.standin.Effects;
 
 /** {@code try}: an edge node and its world on loopback, for a first look. */
-@Command(name = "try", mixinStandardHelpOptions = true, sortOptions = false,
-    description = {"One edge node with stand-ins for enrolment servers, discovery and the quota counter, on loopback,",
-        "until Ctrl-C. Nothing to configure: it prints its address, a request to paste, then what passes."})
+@Command(
+    name = "try",
+    mixinStandardHelpOptions = true,
+    sortOptions = false,
+    description = {
+      "One edge node with stand-ins for enrolment servers, discovery and the quota counter, on loopback,",
+      "until Ctrl-C. Nothing to configure: it prints its address, a request to paste, then what passes."
+    })
 public final class TryCommand implements Callable<Integer> {
-    private static final int MOST_LINES = 20;
-    private static final int MOST_RATE = 2000;
-    private static final int MOST_SERVERS = 50;
-    private static final int PORTS = 65_535;
-
-    @Spec private CommandSpec spec;
-    @Option(names = "--port", paramLabel = "PORT", defaultValue = "0",
-        description = "where the edge node listens; 0, the default: any free one")
-    private int port;
-    @Option(names = "--servers", paramLabel = "N", defaultValue = "3",
-        description = "enrolment servers, 1 to 50; default ${DEFAULT-VALUE}")
-    private int servers;
-    @Option(names = "--rate", paramLabel = "R", defaultValue = "0",
-        description = "requests a second of stand-in campuses, 0 to 2000; default ${DEFAULT-VALUE}, only yours")
-    private int rate;
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1",
-        description = "of what the campuses ask and the servers' work; default ${DEFAULT-VALUE}")
-    private long seed;
-
-    /** What passes, a line each, so many a second; the rest is counted. */
-    private static final class Told implements Effects {
-        private final PrintStream out;
-        private long second;
-        private int lines;
-        private int more;
-
-        Told(PrintStream out) {
-            this.out = out;
-        }
+  private static final int MOST_LINES = 20;
+  private static final int MOST_RATE = 2000;
+  private static final int MOST_SERVERS = 50;
+  private static final int PORTS = 65_535;
 
-        synchronized void line(double now, String text) {
-            long at = (long) (now / 1000);
-            if (at != second) {
-                if (more > 0) {
-                    out.println("             ... and " + more + " more in that second");
-                }
-                second = at;
-                lines = 0;
-                more = 0;
-            }
-            if (++lines > MOST_LINES) {
-                more++;
-                return;
-            }
-            out.println(LocalTime.now().truncatedTo(ChronoUnit.MILLIS) + "  " + text);
-        }
+  @Spec private CommandSpec spec;
 
-        @Override public void came(double now, String server, String verb, String customer, String id, String list,
-            String key, boolean ran) {
-            line(now, server + " gets " + verb + " " + id + " of " + customer + " " + list
-                + (ran ? "" : key == null ? ": full" : ": full, or a repeat"));
-        }
+  @Option(
+      names = "--port",
+      paramLabel = "PORT",
+      defaultValue = "0",
+      description = "where the edge node listens; 0, the default: any free one")
+  private int port;
 
-        @Override public void answered(double now, String server, String id, String text) {
-            line(now, server + " answers " + id + ": " + text);
-        }
+  @Option(
+      names = "--servers",
+      paramLabel = "N",
+      defaultValue = "3",
+      description = "enrolment servers, 1 to 50; default ${DEFAULT-VALUE}")
+  private int servers;
 
-        @Override public void malformed(double now, String server, String what) {
-            line(now, server + " got what is no command: " + what);
-        }
+  @Option(
+      names = "--rate",
+      paramLabel = "R",
+      defaultValue = "0",
+      description =
+          "requests a second of stand-in campuses, 0 to 2000; default ${DEFAULT-VALUE}, only yours")
+  private int rate;
+
+  @Option(
+      names = "--seed",
+      paramLabel = "N",
+      defaultValue = "1",
+      description = "of what the campuses ask and the servers' work; default ${DEFAULT-VALUE}")
+  private long seed;
+
+  /** What passes, a line each, so many a second; the rest is counted. */
+  private static final class Told implements Effects {
+    private final PrintStream out;
+    private long second;
+    private int lines;
+    private int more;
+
+    Told(PrintStream out) {
+      this.out = out;
     }
 
-    /** A second of the stand-in campuses. */
-    private static final class Tally implements CampusClients.Heard {
-        private final int[] fates = new int[CampusClients.Fate.values().length];
-        private double[] served = new double[64];
-        private int n;
-
-        @Override public void ended(Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {
-            fates[fate.ordinal()]++;
-            if (fate == CampusClients.Fate.SERVED) {
-                served = n == served.length ? Arrays.copyOf(served, 2 * n) : served;
-                served[n++] = ms;
-            }
+    synchronized void line(double now, String text) {
+      long at = (long) (now / 1000);
+      if (at != second) {
+        if (more > 0) {
+          out.println("             ... and " + more + " more in that second");
         }
+        second = at;
+        lines = 0;
+        more = 0;
+      }
+      if (++lines > MOST_LINES) {
+        more++;
+        return;
+      }
+      out.println(LocalTime.now().truncatedTo(ChronoUnit.MILLIS) + "  " + text);
+    }
 
-        String take() {
-            StringBuilder text = new StringBuilder("campuses:");
-            for (CampusClients.Fate fate : CampusClients.Fate.values()) {
-                int count = fates[fate.ordinal()];
-                if (count > 0 || fate == CampusClients.Fate.SERVED) {
-                    text.append(' ').append(fate.name().toLowerCase(Locale.ROOT).replace('_', ' ')).append(' ')
-                        .append(count).append(',');
-                }
-            }
-            Arrays.sort(served, 0, n);
-            text.append(n == 0 ? " nothing served" : String.format(Locale.ROOT, " median %.1f ms, 99th %.1f ms",
-                served[n / 2], served[Math.min(n - 1, n * 99 / 100)]));
-            Arrays.fill(fates, 0);
-            n = 0;
-            return text.toString();
-        }
+    @Override
+    public void came(
+        double now,
+        String server,
+        String verb,
+        String customer,
+        String id,
+        String list,
+        String key,
+        boolean ran) {
+      line(
+          now,
+          server
+              + " gets "
+              + verb
+              + " "
+              + id
+              + " of "
+              + customer
+              + " "
+              + list
+              + (ran ? "" : key == null ? ": full" : ": full, or a repeat"));
     }
 
-    @Override public Integer call() throws InterruptedException {
-        check("--port", port, 0, PORTS);
-        check("--servers", servers, 1, MOST_SERVERS);
-        check("--rate", rate, 0, MOST_RATE);
-        PrintStream out = System.out;
-        Told told = new Told(out);
-        Counter.Calls calls = (now, name, amount, total) -> { };
-        World world;
-        try {
-            world = new World(port, servers, seed, rate == 0 ? told : new Effects() { }, calls, System.err::println);
-        } catch (IOException e) {
-            System.err.println("try: " + e.getMessage());
-            return 2;
-        }
-        CountDownLatch ended = new CountDownLatch(1);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            try {
-                world.close();
-            } catch (IOException e) {
-                System.err.println("try: " + e.getMessage());
-            }
-            ended.countDown();
-        }, "end"));
-        greet(out, world);
-        if (rate > 0) {
-            traffic(world, told);
-        }
-        ended.await(); // Ctrl-C, or whoever ends the process
-        return 0;
+    @Override
+    public void answered(double now, String server, String id, String text) {
+      line(now, server + " answers " + id + ": " + text);
     }
 
-    private void check(String option, int value, int least, int most) {
-        if (value < least || value > most) {
-            throw new ParameterException(spec.commandLine(), option + ": found " + value + ", allowed is " + least
-                + " to " + most);
-        }
+    @Override
+    public void malformed(double now, String server, String what) {
+      line(now, server + " got what is no command: " + what);
     }
+  }
 
-    private void greet(PrintStream out, World world) {
-        InetSocketAddress at = world.address();
-        String list = "c=seat-lookup,t=estandar,d=900,units=1,spread=1,first=0";
-        String customer = World.CAMPUSES.get(1).customer();
-        out.println("edge node   " + at.getAddress().getHostAddress() + ":" + at.getPort());
-        world.servers().forEach(s -> out.println("enrolment   " + s.id() + " 127.0.0.1:" + s.address().getPort()
-            + ", rack " + s.rack().site()));
-        out.println("discovery   " + world.discovery().address());
-        out.println("counter     127.0.0.1:" + world.counter().address().getPort());
-        out.println();
-        out.println("Ask it (a campus of plan estandar has 20 requests a second, 40 at once):");
-        out.println("  redis-cli -p " + at.getPort() + " CALL.GET " + customer + " 1 " + list);
-        out.println("  printf '" + resp("CALL.GET", customer, "1", list) + "' | nc -w 1 127.0.0.1 " + at.getPort());
-        out.println();
-        out.println("What passes, until Ctrl-C" + (rate > 0 ? " (" + rate + " requests a second of stand-in campuses):"
-            : "; --rate 50 has campuses ask by themselves:"));
-        out.flush();
+  /** A second of the stand-in campuses. */
+  private static final class Tally implements CampusClients.Heard {
+    private final int[] fates = new int[CampusClients.Fate.values().length];
+    private double[] served = new double[64];
+    private int n;
+
+    @Override
+    public void ended(Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {
+      fates[fate.ordinal()]++;
+      if (fate == CampusClients.Fate.SERVED) {
+        served = n == served.length ? Arrays.copyOf(served, 2 * n) : served;
+        served[n++] = ms;
+      }
     }
 
-    private static String resp(String... words) {
-        StringBuilder text = new StringBuilder("*" + words.length + "\\r\\n");
-        for (String word : words) {
-            text.append('$').append(word.length()).append("\\r\\n").append(word).append("\\r\\n");
+    String take() {
+      StringBuilder text = new StringBuilder("campuses:");
+      for (CampusClients.Fate fate : CampusClients.Fate.values()) {
+        int count = fates[fate.ordinal()];
+        if (count > 0 || fate == CampusClients.Fate.SERVED) {
+          text.append(' ')
+              .append(fate.name().toLowerCase(Locale.ROOT).replace('_', ' '))
+              .append(' ')
+              .append(count)
+              .append(',');
         }
-        return text.toString();
+      }
+      Arrays.sort(served, 0, n);
+      text.append(
+          n == 0
+              ? " nothing served"
+              : String.format(
+                  Locale.ROOT,
+                  " median %.1f ms, 99th %.1f ms",
+                  served[n / 2],
+                  served[Math.min(n - 1, n * 99 / 100)]));
+      Arrays.fill(fates, 0);
+      n = 0;
+      return text.toString();
+    }
+  }
+
+  @Override
+  public Integer call() throws InterruptedException {
+    check("--port", port, 0, PORTS);
+    check("--servers", servers, 1, MOST_SERVERS);
+    check("--rate", rate, 0, MOST_RATE);
+    PrintStream out = System.out;
+    Told told = new Told(out);
+    Counter.Calls calls = (now, name, amount, total) -> {};
+    World world;
+    try {
+      world =
+          new World(
+              port, servers, seed, rate == 0 ? told : new Effects() {}, calls, System.err::println);
+    } catch (IOException e) {
+      System.err.println("try: " + e.getMessage());
+      return 2;
+    }
+    CountDownLatch ended = new CountDownLatch(1);
+    Runtime.getRuntime()
+        .addShutdownHook(
+            new Thread(
+                () -> {
+                  try {
+                    world.close();
+                  } catch (IOException e) {
+                    System.err.println("try: " + e.getMessage());
+                  }
+                  ended.countDown();
+                },
+                "end"));
+    greet(out, world);
+    if (rate > 0) {
+      traffic(world, told);
     }
+    ended.await(); // Ctrl-C, or whoever ends the process
+    return 0;
+  }
 
-    private void traffic(World world, Told told) {
-        Arrivals arrivals = new Arrivals(seed, World.CAMPUSES, World.KINDS, ms -> rate, rate);
-        Tally tally = new Tally();
-        CampusClients clients = new CampusClients(world.loop(), arrivals, CampusClients.Habits.USUAL, world.address(),
-            tally, seed);
-        world.loop().later(clients::start);
-        world.loop().later(() -> second(world, tally, told));
+  private void check(String option, int value, int least, int most) {
+    if (value < least || value > most) {
+      throw new ParameterException(
+          spec.commandLine(),
+          option + ": found " + value + ", allowed is " + least + " to " + most);
     }
+  }
+
+  private void greet(PrintStream out, World world) {
+    InetSocketAddress at = world.address();
+    String list = "c=seat-lookup,t=estandar,d=900,units=1,spread=1,first=0";
+    String customer = World.CAMPUSES.get(1).customer();
+    out.println("edge node   " + at.getAddress().getHostAddress() + ":" + at.getPort());
+    world
+        .servers()
+        .forEach(
+            s ->
+                out.println(
+                    "enrolment   "
+                        + s.id()
+                        + " 127.0.0.1:"
+                        + s.address().getPort()
+                        + ", rack "
+                        + s.rack().site()));
+    out.println("discovery   " + world.discovery().address());
+    out.println("counter     127.0.0.1:" + world.counter().address().getPort());
+    out.println();
+    out.println("Ask it (a campus of plan estandar has 20 requests a second, 40 at once):");
+    out.println("  redis-cli -p " + at.getPort() + " CALL.GET " + customer + " 1 " + list);
+    out.println(
+        "  printf '"
+            + resp("CALL.GET", customer, "1", list)
+            + "' | nc -w 1 127.0.0.1 "
+            + at.getPort());
+    out.println();
+    out.println(
+        "What passes, until Ctrl-C"
+            + (rate > 0
+                ? " (" + rate + " requests a second of stand-in campuses):"
+                : "; --rate 50 has campuses ask by themselves:"));
+    out.flush();
+  }
 
-    private static void second(World world, Tally tally, Told told) {
-        world.loop().after(1000, () -> {
-            told.line(world.loop().now(), tally.take());
-            second(world, tally, told);
-        });
+  private static String resp(String... words) {
+    StringBuilder text = new StringBuilder("*" + words.length + "\\r\\n");
+    for (String word : words) {
+      text.append('$').append(word.length()).append("\\r\\n").append(word).append("\\r\\n");
     }
+    return text.toString();
+  }
+
+  private void traffic(World world, Told told) {
+    Arrivals arrivals = new Arrivals(seed, World.CAMPUSES, World.KINDS, ms -> rate, rate);
+    Tally tally = new Tally();
+    CampusClients clients =
+        new CampusClients(
+            world.loop(), arrivals, CampusClients.Habits.USUAL, world.address(), tally, seed);
+    world.loop().later(clients::start);
+    world.loop().later(() -> second(world, tally, told));
+  }
+
+  private static void second(World world, Tally tally, Told told) {
+    world
+        .loop()
+        .after(
+            1000,
+            () -> {
+              told.line(world.loop().now(), tally.take());
+              second(world, tally, told);
+            });
+  }
 }
--- a/src/main/java/willowyoke/kit/judge/Breach.java
+++ b/src/main/java/willowyoke/kit/judge/Breach.java
@@ -8,4 +8,4 @@
  * @param id the request, or null where it is none's
  * @param what in a sentence, with figures
  */
-public record Breach(String rule, double at, String id, String what) { }
+public record Breach(String rule, double at, String id, String what) {}
--- a/src/main/java/willowyoke/kit/judge/Ceilings.java
+++ b/src/main/java/willowyoke/kit/judge/Ceilings.java
@@ -10,46 +10,60 @@
 import willowyoke.Gateway;
 
 /**
- * The fifth rule: a plan's second store, one for a customer over all edge nodes, from which each request takes its
- * units when it is first sent on, never goes below its slack.
+ * The fifth rule: a plan's second store, one for a customer over all edge nodes, from which each
+ * request takes its units when it is first sent on, never goes below its slack.
  */
 public final class Ceilings implements Judge {
-    private final Terms terms;
-    private final Map<String, Event.Asked> asked = new HashMap<>();
-    private final Map<String, Bucket> stores = new HashMap<>();
-    private final Set<String> sent = new HashSet<>();
-    private final Set<String> broken = new HashSet<>();
-    private final List<Breach> breaches = new ArrayList<>();
+  private final Terms terms;
+  private final Map<String, Event.Asked> asked = new HashMap<>();
+  private final Map<String, Bucket> stores = new HashMap<>();
+  private final Set<String> sent = new HashSet<>();
+  private final Set<String> broken = new HashSet<>();
+  private final List<Breach> breaches = new ArrayList<>();
 
-    public Ceilings(Terms terms) {
-        this.terms = terms;
-    }
+  public Ceilings(Terms terms) {
+    this.terms = terms;
+  }
 
-    @Override public String rule() {
-        return "ceiling";
-    }
+  @Override
+  public String rule() {
+    return "ceiling";
+  }
 
-    @Override public void see(Event event) {
-        if (event instanceof Event.Asked a) {
-            asked.put(a.id(), a);
-        } else if (event instanceof Event.Came came && asked.containsKey(came.id()) && sent.add(came.id())) {
-            Event.Asked a = asked.get(came.id());
-            Gateway.Plan plan = terms.plan(a.plan());
-            if (plan.ceilingRate() > 0) {
-                Bucket store = stores.computeIfAbsent(a.customer(),
-                    c -> new Bucket(plan.ceilingRate(), plan.ceilingBurst(), came.at()));
-                store.take(came.at(), a.units());
-                if (store.units(came.at()) < -plan.ceilingSlack() - 1e-9 && broken.add(a.customer())) {
-                    breaches.add(new Breach(rule(), came.at(), came.id(), String.format(Locale.ROOT,
-                        "customer %s has taken %.2f"
-                        + " units more than its ceiling holds, %.2f are granted", a.customer(),
-                        -store.units(came.at()), plan.ceilingSlack())));
-                }
-            }
+  @Override
+  public void see(Event event) {
+    if (event instanceof Event.Asked a) {
+      asked.put(a.id(), a);
+    } else if (event instanceof Event.Came came
+        && asked.containsKey(came.id())
+        && sent.add(came.id())) {
+      Event.Asked a = asked.get(came.id());
+      Gateway.Plan plan = terms.plan(a.plan());
+      if (plan.ceilingRate() > 0) {
+        Bucket store =
+            stores.computeIfAbsent(
+                a.customer(), c -> new Bucket(plan.ceilingRate(), plan.ceilingBurst(), came.at()));
+        store.take(came.at(), a.units());
+        if (store.units(came.at()) < -plan.ceilingSlack() - 1e-9 && broken.add(a.customer())) {
+          breaches.add(
+              new Breach(
+                  rule(),
+                  came.at(),
+                  came.id(),
+                  String.format(
+                      Locale.ROOT,
+                      "customer %s has taken %.2f"
+                          + " units more than its ceiling holds, %.2f are granted",
+                      a.customer(),
+                      -store.units(came.at()),
+                      plan.ceilingSlack())));
         }
+      }
     }
+  }
 
-    @Override public List<Breach> verdict(double at) {
-        return List.copyOf(breaches);
-    }
+  @Override
+  public List<Breach> verdict(double at) {
+    return List.copyOf(breaches);
+  }
 }
--- a/src/main/java/willowyoke/kit/judge/EffectsOnce.java
+++ b/src/main/java/willowyoke/kit/judge/EffectsOnce.java
@@ -8,84 +8,113 @@
 import willowyoke.Gateway;
 
 /**
- * The second rule: nothing that may have run goes out again unless its class allows it, and it is refused only where
- * nothing has run. A keyed request may go to servers that drop its repeats, and within the window.
+ * The second rule: nothing that may have run goes out again unless its class allows it, and it is
+ * refused only where nothing has run. A keyed request may go to servers that drop its repeats, and
+ * within the window.
  */
 public final class EffectsOnce implements Judge {
-    private static final class Attempt {
-        private final String server;
-        private final int rack;
-        private final double at;
-        private boolean neverRan;
+  private static final class Attempt {
+    private final String server;
+    private final int rack;
+    private final double at;
+    private boolean neverRan;
 
-        Attempt(String server, int rack, double at) {
-            this.server = server;
-            this.rack = rack;
-            this.at = at;
-        }
+    Attempt(String server, int rack, double at) {
+      this.server = server;
+      this.rack = rack;
+      this.at = at;
     }
+  }
 
-    private final Terms terms;
-    private final Map<String, Gateway.RequestClass> types = new HashMap<>();
-    private final Map<String, Integer> racks = new HashMap<>();
-    private final Map<String, List<Attempt>> attempts = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
+  private final Terms terms;
+  private final Map<String, Gateway.RequestClass> types = new HashMap<>();
+  private final Map<String, Integer> racks = new HashMap<>();
+  private final Map<String, List<Attempt>> attempts = new HashMap<>();
+  private final List<Breach> breaches = new ArrayList<>();
 
-    public EffectsOnce(Terms terms) {
-        this.terms = terms;
-    }
+  public EffectsOnce(Terms terms) {
+    this.terms = terms;
+  }
 
-    @Override public String rule() {
-        return "no-second-effect";
-    }
+  @Override
+  public String rule() {
+    return "no-second-effect";
+  }
 
-    @Override public void see(Event event) {
-        if (event instanceof Event.Born born) {
-            racks.put(born.server(), born.rack());
-        } else if (event instanceof Event.Asked asked) {
-            types.put(asked.id(), terms.type(asked.type()));
-        } else if (event instanceof Event.Came came) {
-            came(came);
-        } else if (event instanceof Event.Replied replied && replied.kind().equals("BUSY")) {
-            attempts.getOrDefault(replied.id(), List.of()).stream()
-                .filter(a -> a.server.equals(replied.server())).reduce((a, b) -> b).ifPresent(a -> a.neverRan = true);
-        } else if (event instanceof Event.Heard heard && heard.answer() == Event.Answer.BUSY) {
-            Gateway.RequestClass type = types.get(heard.id());
-            attempts.getOrDefault(heard.id(), List.of()).stream().filter(a -> !a.neverRan).findFirst().ifPresent(a -> {
+  @Override
+  public void see(Event event) {
+    if (event instanceof Event.Born born) {
+      racks.put(born.server(), born.rack());
+    } else if (event instanceof Event.Asked asked) {
+      types.put(asked.id(), terms.type(asked.type()));
+    } else if (event instanceof Event.Came came) {
+      came(came);
+    } else if (event instanceof Event.Replied replied && replied.kind().equals("BUSY")) {
+      attempts.getOrDefault(replied.id(), List.of()).stream()
+          .filter(a -> a.server.equals(replied.server()))
+          .reduce((a, b) -> b)
+          .ifPresent(a -> a.neverRan = true);
+    } else if (event instanceof Event.Heard heard && heard.answer() == Event.Answer.BUSY) {
+      Gateway.RequestClass type = types.get(heard.id());
+      attempts.getOrDefault(heard.id(), List.of()).stream()
+          .filter(a -> !a.neverRan)
+          .findFirst()
+          .ifPresent(
+              a -> {
                 if (type != null && type.effect() != Gateway.Effect.SAFE && !anywhere(type)) {
-                    breaches.add(new Breach(rule(), heard.at(), heard.id(), "refused as if nothing had run, and "
-                        + a.server + " may have run it"));
+                  breaches.add(
+                      new Breach(
+                          rule(),
+                          heard.at(),
+                          heard.id(),
+                          "refused as if nothing had run, and " + a.server + " may have run it"));
                 }
-            });
-        }
+              });
     }
+  }
 
-    private static boolean anywhere(Gateway.RequestClass type) {
-        return type.effect() == Gateway.Effect.KEYED && type.group() == Gateway.Group.ALL;
-    }
+  private static boolean anywhere(Gateway.RequestClass type) {
+    return type.effect() == Gateway.Effect.KEYED && type.group() == Gateway.Group.ALL;
+  }
 
-    private void came(Event.Came came) {
-        Gateway.RequestClass type = types.get(came.id());
-        if (type == null) {
-            breaches.add(new Breach(rule(), came.at(), came.id(), came.server() + " got what no client asked"));
-            return;
-        }
-        int rack = racks.getOrDefault(came.server(), -1);
-        List<Attempt> before = attempts.computeIfAbsent(came.id(), id -> new ArrayList<>(2));
-        before.stream().filter(a -> !a.neverRan).findFirst().ifPresent(first -> {
-            boolean dropped = type.effect() == Gateway.Effect.KEYED && (anywhere(type) || first.rack == rack)
-                && came.at() - first.at <= type.window() + Terms.SOCKETS;
-            if (type.effect() != Gateway.Effect.SAFE && !dropped) {
-                breaches.add(new Breach(rule(), came.at(), came.id(), String.format(Locale.ROOT,
-                    "%s may have run it %.0f ms before,"
-                    + " and %s got it again%s", first.server, came.at() - first.at, came.server(),
-                    first.rack == rack ? "" : " in another rack")));
-            }
-        });
-        before.add(new Attempt(came.server(), rack, came.at()));
+  private void came(Event.Came came) {
+    Gateway.RequestClass type = types.get(came.id());
+    if (type == null) {
+      breaches.add(
+          new Breach(rule(), came.at(), came.id(), came.server() + " got what no client asked"));
+      return;
     }
+    int rack = racks.getOrDefault(came.server(), -1);
+    List<Attempt> before = attempts.computeIfAbsent(came.id(), id -> new ArrayList<>(2));
+    before.stream()
+        .filter(a -> !a.neverRan)
+        .findFirst()
+        .ifPresent(
+            first -> {
+              boolean dropped =
+                  type.effect() == Gateway.Effect.KEYED
+                      && (anywhere(type) || first.rack == rack)
+                      && came.at() - first.at <= type.window() + Terms.SOCKETS;
+              if (type.effect() != Gateway.Effect.SAFE && !dropped) {
+                breaches.add(
+                    new Breach(
+                        rule(),
+                        came.at(),
+                        came.id(),
+                        String.format(
+                            Locale.ROOT,
+                            "%s may have run it %.0f ms before," + " and %s got it again%s",
+                            first.server,
+                            came.at() - first.at,
+                            came.server(),
+                            first.rack == rack ? "" : " in another rack")));
+              }
+            });
+    before.add(new Attempt(came.server(), rack, came.at()));
+  }
 
-    @Override public List<Breach> verdict(double at) {
-        return List.copyOf(breaches);
-    }
+  @Override
+  public List<Breach> verdict(double at) {
+    return List.copyOf(breaches);
+  }
 }
--- a/src/main/java/willowyoke/kit/scale/Assumed.java
+++ b/src/main/java/willowyoke/kit/scale/Assumed.java
@@ -5,83 +5,151 @@
 import java.util.Locale;
 import willowyoke.Gateway;
 
-/** What no run has shown: the figures of the world around the nodes. The report prints them with each run. */
+/**
+ * What no run has shown: the figures of the world around the nodes. The report prints them with
+ * each run.
+ */
 final class Assumed {
-    /** Adds a second that the counter's machines bear for one edge node: 16 machines of 100,000 over 5,500 nodes. */
-    static final double COUNTER_PER_NODE = 16 * 100_000.0 / 5500;
-    /** Bytes a ms that discovery's machines send for one edge node: 10 machines of 10 Gbit/s over 5,500 nodes. */
-    static final double DISCOVERY_PER_NODE = 10 * 1.25e6 / 5500;
-    /** One way through the network (ms). */
-    static final double WAY = 0.25;
-    /** Connects to a machine that is gone are given up after this (ms). */
-    static final double CONNECT = 250;
-    /** Mean work of a request at an app server (ms of a core). */
-    static final double WORK = 40;
-    static final double COLD_SHARE = 0.2;
-    static final double WARM_MS = 5000;
-    /** Until discovery knows that a server has died (ms). */
-    static final double DETECTED = 1000;
-    /** Changes within this time (ms) are told in one message. */
-    static final double BATCH = 10;
-    /** Counter calls that wait longer (ms) are turned away. */
-    static final double COUNTER_LINE = 200;
-    /** A watch's line while nothing changes: every so often (ms), bytes with its chunk. */
-    static final double BEAT = 2000;
-    static final int BEAT_BYTES = 7;
-    /** A day's failures, restarts and changes of routes over the whole fleet of the issue. */
-    static final double FAILURES = 1000;
-    static final double RESTARTS = 9800;
-    static final double CHANGES = 30_000;
-    static final int ALL_MACHINES = 195_500;
-    /** Customers' rates fall with their rank by this power; each comes through a node for each so many a second. */
-    static final double ZIPF = 0.8;
-    static final double PER_NODE = 20;
-    /** Zones of the whole fleet, and regions. */
-    static final int ZONES = 10;
-    static final int REGIONS = 5;
-    /** Servers in a rack. */
-    static final int RACK = 40;
-    static final double KEEP_ALIVE = 15_000;
-    static final double COUNTER_TIMEOUT = 80;
-    /** After so long (ms) a node ends a connection on which the counter owes an answer. */
-    static final double COUNTER_DEAD = 400;
-    private static final int PLANS = 14;
-
-    private Assumed() { }
-
-    /** A quota's rate (units a second) on a ladder of powers of four. */
-    static double planRate(int step) {
-        return 0.25 * Math.pow(4, step);
-    }
+  /**
+   * Adds a second that the counter's machines bear for one edge node: 16 machines of 100,000 over
+   * 5,500 nodes.
+   */
+  static final double COUNTER_PER_NODE = 16 * 100_000.0 / 5500;
 
-    static int plans() {
-        return PLANS;
-    }
+  /**
+   * Bytes a ms that discovery's machines send for one edge node: 10 machines of 10 Gbit/s over
+   * 5,500 nodes.
+   */
+  static final double DISCOVERY_PER_NODE = 10 * 1.25e6 / 5500;
 
-    static Gateway.Settings settings(int me, int nodes, String zone) {
-        List<Gateway.Plan> plans = new ArrayList<>();
-        for (int i = 0; i < PLANS; i++) {
-            plans.add(new Gateway.Plan("p" + i, planRate(i), Math.max(4, 2 * planRate(i)), 0, 1, 0, 1, 0, 0, 0));
-        }
-        List<Gateway.RequestClass> classes = List.of(
-            new Gateway.RequestClass("read", Gateway.Effect.SAFE, Gateway.Group.CELL, 300, 900, 1, 0, 0, false),
-            new Gateway.RequestClass("enrol", Gateway.Effect.KEYED, Gateway.Group.CELL, 600, 1500, 2, 0, 7500, false));
-        return new Gateway.Settings(me, nodes, zone, 4, false, false, 1, List.of(), classes, plans,
-            new Gateway.Allowed(false, true, false, true, false, true, 5, 2000, COUNTER_TIMEOUT, KEEP_ALIVE),
-            new Gateway.Rules(16, 250, COLD_SHARE, WARM_MS, 3, 2000), new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
-    }
+  /** One way through the network (ms). */
+  static final double WAY = 0.25;
+
+  /** Connects to a machine that is gone are given up after this (ms). */
+  static final double CONNECT = 250;
+
+  /** Mean work of a request at an app server (ms of a core). */
+  static final double WORK = 40;
+
+  static final double COLD_SHARE = 0.2;
+  static final double WARM_MS = 5000;
+
+  /** Until discovery knows that a server has died (ms). */
+  static final double DETECTED = 1000;
+
+  /** Changes within this time (ms) are told in one message. */
+  static final double BATCH = 10;
+
+  /** Counter calls that wait longer (ms) are turned away. */
+  static final double COUNTER_LINE = 200;
+
+  /** A watch's line while nothing changes: every so often (ms), bytes with its chunk. */
+  static final double BEAT = 2000;
+
+  static final int BEAT_BYTES = 7;
+
+  /** A day's failures, restarts and changes of routes over the whole fleet of the issue. */
+  static final double FAILURES = 1000;
+
+  static final double RESTARTS = 9800;
+  static final double CHANGES = 30_000;
+  static final int ALL_MACHINES = 195_500;
 
-    static List<String> lines() {
-        return List.of(
-            String.format(Locale.ROOT, "counter: %.0f adds/s for each node, a line of %.0f ms, %.2f ms each way",
-                COUNTER_PER_NODE, COUNTER_LINE, WAY),
-            String.format(Locale.ROOT, "discovery: %.1f MB/s for each node, changes of %.0f ms in one message, a death"
-                + " known after %.0f ms", DISCOVERY_PER_NODE / 1000, BATCH, DETECTED),
-            String.format(Locale.ROOT, "app servers: %d cores, mean work %.0f ms, cold %.0f%% growing to all in %.0f s",
-                AppServer.CORES, WORK, 100 * COLD_SHARE, WARM_MS / 1000),
-            String.format(Locale.ROOT, "tenants: rate by rank^-%.1f, a node for each %.0f requests/s and two at least,"
-                + " homed in groups of %d nodes; one in 20 asks more than its quota", ZIPF, PER_NODE, Shape.GROUP),
-            "a node carries one service's list, or with --flat all servers; a change of a route is told as a change of"
-                + " one entry");
+  /**
+   * Customers' rates fall with their rank by this power; each comes through a node for each so many
+   * a second.
+   */
+  static final double ZIPF = 0.8;
+
+  static final double PER_NODE = 20;
+
+  /** Zones of the whole fleet, and regions. */
+  static final int ZONES = 10;
+
+  static final int REGIONS = 5;
+
+  /** Servers in a rack. */
+  static final int RACK = 40;
+
+  static final double KEEP_ALIVE = 15_000;
+  static final double COUNTER_TIMEOUT = 80;
+
+  /** After so long (ms) a node ends a connection on which the counter owes an answer. */
+  static final double COUNTER_DEAD = 400;
+
+  private static final int PLANS = 14;
+
+  private Assumed() {}
+
+  /** A quota's rate (units a second) on a ladder of powers of four. */
+  static double planRate(int step) {
+    return 0.25 * Math.pow(4, step);
+  }
+
+  static int plans() {
+    return PLANS;
+  }
+
+  static Gateway.Settings settings(int me, int nodes, String zone) {
+    List<Gateway.Plan> plans = new ArrayList<>();
+    for (int i = 0; i < PLANS; i++) {
+      plans.add(
+          new Gateway.Plan(
+              "p" + i, planRate(i), Math.max(4, 2 * planRate(i)), 0, 1, 0, 1, 0, 0, 0));
     }
+    List<Gateway.RequestClass> classes =
+        List.of(
+            new Gateway.RequestClass(
+                "read", Gateway.Effect.SAFE, Gateway.Group.CELL, 300, 900, 1, 0, 0, false),
+            new Gateway.RequestClass(
+                "enrol", Gateway.Effect.KEYED, Gateway.Group.CELL, 600, 1500, 2, 0, 7500, false));
+    return new Gateway.Settings(
+        me,
+        nodes,
+        zone,
+        4,
+        false,
+        false,
+        1,
+        List.of(),
+        classes,
+        plans,
+        new Gateway.Allowed(
+            false, true, false, true, false, true, 5, 2000, COUNTER_TIMEOUT, KEEP_ALIVE),
+        new Gateway.Rules(16, 250, COLD_SHARE, WARM_MS, 3, 2000),
+        new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
+  }
+
+  static List<String> lines() {
+    return List.of(
+        String.format(
+            Locale.ROOT,
+            "counter: %.0f adds/s for each node, a line of %.0f ms, %.2f ms each way",
+            COUNTER_PER_NODE,
+            COUNTER_LINE,
+            WAY),
+        String.format(
+            Locale.ROOT,
+            "discovery: %.1f MB/s for each node, changes of %.0f ms in one message, a death"
+                + " known after %.0f ms",
+            DISCOVERY_PER_NODE / 1000,
+            BATCH,
+            DETECTED),
+        String.format(
+            Locale.ROOT,
+            "app servers: %d cores, mean work %.0f ms, cold %.0f%% growing to all in %.0f s",
+            AppServer.CORES,
+            WORK,
+            100 * COLD_SHARE,
+            WARM_MS / 1000),
+        String.format(
+            Locale.ROOT,
+            "tenants: rate by rank^-%.1f, a node for each %.0f requests/s and two at least,"
+                + " homed in groups of %d nodes; one in 20 asks more than its quota",
+            ZIPF,
+            PER_NODE,
+            Shape.GROUP),
+        "a node carries one service's list, or with --flat all servers; a change of a route is told as a change of"
+            + " one entry");
+  }
 }
--- a/src/main/java/willowyoke/kit/scale/WireForms.java
+++ b/src/main/java/willowyoke/kit/scale/WireForms.java
@@ -14,55 +14,66 @@
 
 /** Messages as the connections write and read them, for their lengths (bytes) and what they say. */
 final class WireForms {
-    /** A chunk's length and line ends (RFC 9112 7.1): hex digits and two CRLF. */
-    private static final int CHUNK = 4;
+  /** A chunk's length and line ends (RFC 9112 7.1): hex digits and two CRLF. */
+  private static final int CHUNK = 4;
 
-    /** A list or change as told: its entries as the node's own reader has them, and its bytes on the wire. */
-    record Listed(long seq, boolean whole, List<Entry> entries, int bytes) { }
+  /**
+   * A list or change as told: its entries as the node's own reader has them, and its bytes on the
+   * wire.
+   */
+  record Listed(long seq, boolean whole, List<Entry> entries, int bytes) {}
 
-    private final EmbeddedChannel resp = new EmbeddedChannel();
+  private final EmbeddedChannel resp = new EmbeddedChannel();
 
-    WireForms() {
-        Resp.codec(resp.pipeline(), 4);
-    }
+  WireForms() {
+    Resp.codec(resp.pipeline(), 4);
+  }
 
-    private int length(Object message) {
-        resp.writeOutbound(message);
-        int length = 0;
-        for (ByteBuf out = resp.readOutbound(); out != null; out = resp.readOutbound()) {
-            length += out.readableBytes();
-            out.release();
-        }
-        return length;
+  private int length(Object message) {
+    resp.writeOutbound(message);
+    int length = 0;
+    for (ByteBuf out = resp.readOutbound(); out != null; out = resp.readOutbound()) {
+      length += out.readableBytes();
+      out.release();
     }
+    return length;
+  }
 
-    /** {@code CNT.ADD} as the counter's client writes it. */
-    int add(long name, double amount, double keepFor) {
-        return length(Resp.command(resp.alloc(), CounterClient.words(name, amount, keepFor)));
-    }
+  /** {@code CNT.ADD} as the counter's client writes it. */
+  int add(long name, double amount, double keepFor) {
+    return length(Resp.command(resp.alloc(), CounterClient.words(name, amount, keepFor)));
+  }
 
-    /** Its answer. */
-    int total(double total) {
-        return length(Resp.bulk(resp.alloc(), CounterClient.plain(total)));
-    }
+  /** Its answer. */
+  int total(double total) {
+    return length(Resp.bulk(resp.alloc(), CounterClient.plain(total)));
+  }
 
-    /** A line of the watch, in its chunk. */
-    static Listed listed(long seq, boolean whole, Iterable<Agent.Host> hosts) {
-        StringJoiner all = new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[", "]}\n");
-        hosts.forEach(h -> all.add(h.json()));
-        byte[] text = all.toString().getBytes(StandardCharsets.US_ASCII);
-        try {
-            MembersJson read = MembersJson.read(text, text.length, bad -> {
+  /** A line of the watch, in its chunk. */
+  static Listed listed(long seq, boolean whole, Iterable<Agent.Host> hosts) {
+    StringJoiner all =
+        new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[", "]}\n");
+    hosts.forEach(h -> all.add(h.json()));
+    byte[] text = all.toString().getBytes(StandardCharsets.US_ASCII);
+    try {
+      MembersJson read =
+          MembersJson.read(
+              text,
+              text.length,
+              bad -> {
                 throw new IllegalStateException(bad);
-            });
-            return new Listed(read.seq(), read.whole(), read.entries(),
-                text.length + CHUNK + Integer.toHexString(text.length).length());
-        } catch (IOException e) {
-            throw new IllegalStateException(e); // it is a text of ours
-        }
+              });
+      return new Listed(
+          read.seq(),
+          read.whole(),
+          read.entries(),
+          text.length + CHUNK + Integer.toHexString(text.length).length());
+    } catch (IOException e) {
+      throw new IllegalStateException(e); // it is a text of ours
     }
+  }
 
-    void close() {
-        resp.finishAndReleaseAll();
-    }
+  void close() {
+    resp.finishAndReleaseAll();
+  }
 }
--- a/src/main/java/willowyoke/loop/Transport.java
+++ b/src/main/java/willowyoke/loop/Transport.java
@@ -18,10 +18,10 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.DatagramChannel;
 import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.nio.NioChannelOption;
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.channel.socket.nio.NioChannelOption;
 import io.netty.channel.unix.UnixChannelOption;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -29,119 +29,148 @@
 
 /** The kinds of channel of an event loop, and how an address is said on them. */
 public interface Transport {
-    /** Sockets of this machine: native epoll, measured to take a fifth less CPU than NIO; NIO where it is not there. */
-    Transport SOCKETS = new Sockets();
-
-    /** What connects: a bootstrap without a handler. */
-    Bootstrap connecting(EventLoopGroup group, int withinMs);
-
-    /** What accepts connections: a bootstrap without handlers. */
-    ServerBootstrap accepting(EventLoopGroup group, int backlog);
-
-    /** Lets another process of this user listen at the same address: a new version beside the old one. */
-    default ServerBootstrap shared(ServerBootstrap accepting) {
-        return accepting;
-    }
+  /**
+   * Sockets of this machine: native epoll, measured to take a fifth less CPU than NIO; NIO where it
+   * is not there.
+   */
+  Transport SOCKETS = new Sockets();
+
+  /** What connects: a bootstrap without a handler. */
+  Bootstrap connecting(EventLoopGroup group, int withinMs);
+
+  /** What accepts connections: a bootstrap without handlers. */
+  ServerBootstrap accepting(EventLoopGroup group, int backlog);
+
+  /**
+   * Lets another process of this user listen at the same address: a new version beside the old one.
+   */
+  default ServerBootstrap shared(ServerBootstrap accepting) {
+    return accepting;
+  }
+
+  /**
+   * Of the two processes that share this listener's address, the other one gets all new connections
+   * from now on; where there is no other, nothing changes. What waits in this listener's queue
+   * stays there.
+   *
+   * @return false where this cannot be had, and connections go on being dealt to both
+   */
+  default boolean giveWay(Channel listener) {
+    return false;
+  }
+
+  /**
+   * Whether the other side of a connection has ended its own, as far as that can be told without
+   * reading: behind bytes that are not read its end is seen by nobody. False also where this cannot
+   * be had.
+   */
+  default boolean ended(Channel connection) {
+    return false;
+  }
+
+  /** An address as these channels have it. */
+  SocketAddress at(InetSocketAddress address);
+
+  /** For questions to name servers: sockets, whatever the other channels are. */
+  default Class<? extends DatagramChannel> datagram() {
+    return Sockets.NATIVE ? EpollDatagramChannel.class : NioDatagramChannel.class;
+  }
+
+  /** For answers of name servers that are too long for a datagram. */
+  default Class<? extends SocketChannel> stream() {
+    return Sockets.NATIVE ? EpollSocketChannel.class : NioSocketChannel.class;
+  }
+
+  /** A thread of its own for {@link #SOCKETS}. */
+  static EventLoopGroup loop() {
+    return new MultiThreadIoEventLoopGroup(
+        1, Sockets.NATIVE ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
+  }
+
+  /** The machine's own. */
+  final class Sockets implements Transport {
+    private static final boolean NATIVE = Epoll.isAvailable();
 
     /**
-     * Of the two processes that share this listener's address, the other one gets all new connections from now on;
-     * where there is no other, nothing changes. What waits in this listener's queue stays there.
-     *
-     * @return false where this cannot be had, and connections go on being dealt to both
+     * States of a connection as Linux counts them (TCP_INFO in tcp(7), the states of RFC 9293
+     * 3.3.2).
      */
-    default boolean giveWay(Channel listener) {
-        return false;
-    }
+    private static final int CLOSED = 7;
+
+    private static final int CLOSE_WAIT = 8;
 
     /**
-     * Whether the other side of a connection has ended its own, as far as that can be told without reading: behind
-     * bytes that are not read its end is seen by nobody. False also where this cannot be had.
+     * Accepted in one pass of the loop at most: a burst of connects must not hold up what else is
+     * ready.
      */
-    default boolean ended(Channel connection) {
-        return false;
-    }
+    private static final int ACCEPTED_AT_ONCE = 16;
 
-    /** An address as these channels have it. */
-    SocketAddress at(InetSocketAddress address);
+    private Sockets() {}
 
-    /** For questions to name servers: sockets, whatever the other channels are. */
-    default Class<? extends DatagramChannel> datagram() {
-        return Sockets.NATIVE ? EpollDatagramChannel.class : NioDatagramChannel.class;
+    private static Class<? extends Channel> socket() {
+      return NATIVE ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
-    /** For answers of name servers that are too long for a datagram. */
-    default Class<? extends SocketChannel> stream() {
-        return Sockets.NATIVE ? EpollSocketChannel.class : NioSocketChannel.class;
+    private static Class<? extends ServerChannel> listener() {
+      return NATIVE ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 
-    /** A thread of its own for {@link #SOCKETS}. */
-    static EventLoopGroup loop() {
-        return new MultiThreadIoEventLoopGroup(1,
-            Sockets.NATIVE ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
+    @Override
+    public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+      return new Bootstrap()
+          .group(group)
+          .channel(socket())
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
     }
 
-    /** The machine's own. */
-    final class Sockets implements Transport {
-        private static final boolean NATIVE = Epoll.isAvailable();
-        /** States of a connection as Linux counts them (TCP_INFO in tcp(7), the states of RFC 9293 3.3.2). */
-        private static final int CLOSED = 7;
-        private static final int CLOSE_WAIT = 8;
-        /** Accepted in one pass of the loop at most: a burst of connects must not hold up what else is ready. */
-        private static final int ACCEPTED_AT_ONCE = 16;
-
-        private Sockets() { }
-
-        private static Class<? extends Channel> socket() {
-            return NATIVE ? EpollSocketChannel.class : NioSocketChannel.class;
-        }
-
-        private static Class<? extends ServerChannel> listener() {
-            return NATIVE ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
-        }
-
-        @Override public Bootstrap connecting(EventLoopGroup group, int withinMs) {
-            return new Bootstrap().group(group).channel(socket())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
-        }
-
-        @Override public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
-            return new ServerBootstrap().group(group).channel(listener())
-                .option(ChannelOption.SO_BACKLOG, backlog).option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, untilNoneWaits());
-        }
+    @Override
+    public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+      return new ServerBootstrap()
+          .group(group)
+          .channel(listener())
+          .option(ChannelOption.SO_BACKLOG, backlog)
+          .option(ChannelOption.SO_REUSEADDR, true)
+          .option(ChannelOption.RECVBUF_ALLOCATOR, untilNoneWaits());
+    }
 
-        /**
-         * Accepts until none waits. By default Netty's epoll channel compares the accepted descriptor with 1 to tell
-         * whether more wait, and so accepts one connection in each pass of the loop.
-         */
-        private static RecvByteBufAllocator untilNoneWaits() {
-            return new ServerChannelRecvByteBufAllocator().respectMaybeMoreData(false)
-                .maxMessagesPerRead(ACCEPTED_AT_ONCE);
-        }
+    /**
+     * Accepts until none waits. By default Netty's epoll channel compares the accepted descriptor
+     * with 1 to tell whether more wait, and so accepts one connection in each pass of the loop.
+     */
+    private static RecvByteBufAllocator untilNoneWaits() {
+      return new ServerChannelRecvByteBufAllocator()
+          .respectMaybeMoreData(false)
+          .maxMessagesPerRead(ACCEPTED_AT_ONCE);
+    }
 
-        @Override public ServerBootstrap shared(ServerBootstrap accepting) {
-            return NATIVE ? accepting.option(UnixChannelOption.SO_REUSEPORT, true)
-                : accepting.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
-        }
+    @Override
+    public ServerBootstrap shared(ServerBootstrap accepting) {
+      return NATIVE
+          ? accepting.option(UnixChannelOption.SO_REUSEPORT, true)
+          : accepting.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
+    }
 
-        @Override public boolean giveWay(Channel listener) {
-            return NATIVE && Reuseport.giveWay(listener);
-        }
+    @Override
+    public boolean giveWay(Channel listener) {
+      return NATIVE && Reuseport.giveWay(listener);
+    }
 
-        @Override public boolean ended(Channel connection) {
-            try {
-                if (connection instanceof EpollSocketChannel socket && socket.isActive()) {
-                    int state = socket.tcpInfo().state();
-                    return state == CLOSED || state == CLOSE_WAIT;
-                }
-            } catch (ChannelException e) {
-                // it has just been closed, or the system does not tell
-            }
-            return false;
+    @Override
+    public boolean ended(Channel connection) {
+      try {
+        if (connection instanceof EpollSocketChannel socket && socket.isActive()) {
+          int state = socket.tcpInfo().state();
+          return state == CLOSED || state == CLOSE_WAIT;
         }
+      } catch (ChannelException e) {
+        // it has just been closed, or the system does not tell
+      }
+      return false;
+    }
 
-        @Override public SocketAddress at(InetSocketAddress address) {
-            return address;
-        }
+    @Override
+    public SocketAddress at(InetSocketAddress address) {
+      return address;
     }
+  }
 }
