--- a/src/main/java/willowyoke/net/discovery/EdsSource.java
+++ b/src/main/java/willowyoke/net/discovery/EdsSource.java
@@ -24,153 +24,186 @@
 
 /**
  * Envoy's endpoint discovery over REST (xDS protocol, "REST-JSON polling subscriptions"): a POST to
- * {@code /v3/discovery:endpoints} each so often, with the version and the nonce of the answer before; an answer that
- * cannot be used is rejected with {@code error_detail} and the version that is still in force. Both spellings of
- * proto3 JSON are read.
+ * {@code /v3/discovery:endpoints} each so often, with the version and the nonce of the answer
+ * before; an answer that cannot be used is rejected with {@code error_detail} and the version that
+ * is still in force. Both spellings of proto3 JSON are read.
  *
- * <p>{@code HEALTHY} and {@code UNKNOWN} are up, {@code DEGRADED} is up with a tenth of its weight, {@code DRAINING},
- * {@code UNHEALTHY} and {@code TIMEOUT} are out of service. Only the first priority that has an endpoint counts.
+ * <p>{@code HEALTHY} and {@code UNKNOWN} are up, {@code DEGRADED} is up with a tenth of its weight,
+ * {@code DRAINING}, {@code UNHEALTHY} and {@code TIMEOUT} are out of service. Only the first
+ * priority that has an endpoint counts.
  */
 public final class EdsSource extends HttpSource {
-    private static final String TYPE = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-    private static final JsonFactory FACTORY = new JsonFactory();
-    private static final double WITHIN = 1000;
-    private static final double DEGRADED = 0.1;
-    private static final int MESSAGE = 200;
-    private final String cluster;
-    private final String nodeId;
-    private final double refresh;
-    private String version = "";
-    private String nonce = "";
-    private String rejected;
+  private static final String TYPE =
+      "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+  private static final JsonFactory FACTORY = new JsonFactory();
+  private static final double WITHIN = 1000;
+  private static final double DEGRADED = 0.1;
+  private static final int MESSAGE = 200;
+  private final String cluster;
+  private final String nodeId;
+  private final double refresh;
+  private String version = "";
+  private String nonce = "";
+  private String rejected;
 
-    public EdsSource(Loop loop, Sink sink, InetSocketAddress address, String space, String cluster, String nodeId,
-        double refresh) {
-        super(loop, sink, address, space);
-        this.cluster = cluster;
-        this.nodeId = nodeId;
-        this.refresh = refresh;
-    }
+  public EdsSource(
+      Loop loop,
+      Sink sink,
+      InetSocketAddress address,
+      String space,
+      String cluster,
+      String nodeId,
+      double refresh) {
+    super(loop, sink, address, space);
+    this.cluster = cluster;
+    this.nodeId = nodeId;
+    this.refresh = refresh;
+  }
 
-    @Override FullHttpRequest question() {
-        byte[] body = discoveryRequest().getBytes(StandardCharsets.UTF_8);
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-            "/v3/discovery:endpoints", Unpooled.wrappedBuffer(body));
-        request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json")
-            .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        return request;
-    }
+  @Override
+  FullHttpRequest question() {
+    byte[] body = discoveryRequest().getBytes(StandardCharsets.UTF_8);
+    DefaultFullHttpRequest request =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1,
+            HttpMethod.POST,
+            "/v3/discovery:endpoints",
+            Unpooled.wrappedBuffer(body));
+    request
+        .headers()
+        .set(HttpHeaderNames.CONTENT_TYPE, "application/json")
+        .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+    return request;
+  }
 
-    private String discoveryRequest() {
-        StringWriter text = new StringWriter();
-        try (JsonGenerator out = FACTORY.createGenerator(text)) {
-            out.writeStartObject();
-            out.writeStringField("version_info", version);
-            out.writeObjectFieldStart("node");
-            out.writeStringField("id", nodeId);
-            out.writeEndObject();
-            out.writeArrayFieldStart("resource_names");
-            out.writeString(cluster);
-            out.writeEndArray();
-            out.writeStringField("type_url", TYPE);
-            out.writeStringField("response_nonce", nonce);
-            if (rejected != null) {
-                out.writeObjectFieldStart("error_detail");
-                out.writeNumberField("code", 3); // INVALID_ARGUMENT
-                out.writeStringField("message", rejected);
-                out.writeEndObject();
-            }
-            out.writeEndObject();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e); // a writer to memory has none
-        }
-        return text.toString();
+  private String discoveryRequest() {
+    StringWriter text = new StringWriter();
+    try (JsonGenerator out = FACTORY.createGenerator(text)) {
+      out.writeStartObject();
+      out.writeStringField("version_info", version);
+      out.writeObjectFieldStart("node");
+      out.writeStringField("id", nodeId);
+      out.writeEndObject();
+      out.writeArrayFieldStart("resource_names");
+      out.writeString(cluster);
+      out.writeEndArray();
+      out.writeStringField("type_url", TYPE);
+      out.writeStringField("response_nonce", nonce);
+      if (rejected != null) {
+        out.writeObjectFieldStart("error_detail");
+        out.writeNumberField("code", 3); // INVALID_ARGUMENT
+        out.writeStringField("message", rejected);
+        out.writeEndObject();
+      }
+      out.writeEndObject();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e); // a writer to memory has none
     }
+    return text.toString();
+  }
 
-    @Override double within() {
-        return WITHIN;
-    }
+  @Override
+  double within() {
+    return WITHIN;
+  }
 
-    @Override double pause() {
-        return refresh;
-    }
+  @Override
+  double pause() {
+    return refresh;
+  }
 
-    @Override void forget() {
-        nonce = "";
-    }
+  @Override
+  void forget() {
+    nonce = "";
+  }
 
-    private static Json get(Json in, String snake, String camel) {
-        Json found = in.get(snake);
-        return found.isNull() ? in.get(camel) : found;
-    }
+  private static Json get(Json in, String snake, String camel) {
+    Json found = in.get(snake);
+    return found.isNull() ? in.get(camel) : found;
+  }
 
-    @Override List<Entry> answer(FullHttpResponse response) throws IOException {
-        Json all = Json.read(bytes(response.content()));
-        String toldNonce = all.get("nonce").text("");
-        String told = get(all, "version_info", "versionInfo").text("");
-        if (!told.isEmpty() && told.equals(version)) {
-            nonce = toldNonce;
-            return null;
-        }
-        try {
-            List<Entry> entries = entries(all);
-            version = told;
-            nonce = toldNonce;
-            rejected = null;
-            return entries;
-        } catch (IllegalArgumentException e) { // the list in force stays; it is told why
-            nonce = toldNonce;
-            String text = String.valueOf(e.getMessage());
-            boolean news = !text.equals(rejected);
-            rejected = text.length() > MESSAGE ? text.substring(0, MESSAGE) : text;
-            if (news) {
-                loop.say("discovery: version '" + told + "' at " + space + " is rejected: " + rejected);
-            }
-            return null;
-        }
+  @Override
+  List<Entry> answer(FullHttpResponse response) throws IOException {
+    Json all = Json.read(bytes(response.content()));
+    String toldNonce = all.get("nonce").text("");
+    String told = get(all, "version_info", "versionInfo").text("");
+    if (!told.isEmpty() && told.equals(version)) {
+      nonce = toldNonce;
+      return null;
+    }
+    try {
+      List<Entry> entries = entries(all);
+      version = told;
+      nonce = toldNonce;
+      rejected = null;
+      return entries;
+    } catch (IllegalArgumentException e) { // the list in force stays; it is told why
+      nonce = toldNonce;
+      String text = String.valueOf(e.getMessage());
+      boolean news = !text.equals(rejected);
+      rejected = text.length() > MESSAGE ? text.substring(0, MESSAGE) : text;
+      if (news) {
+        loop.say("discovery: version '" + told + "' at " + space + " is rejected: " + rejected);
+      }
+      return null;
     }
+  }
 
-    private List<Entry> entries(Json all) {
-        String type = get(all, "type_url", "typeUrl").text(TYPE);
-        if (!type.equals(TYPE)) {
-            throw new IllegalArgumentException("type " + type);
-        }
-        if (!all.get("resources").isArray()) {
-            throw new IllegalArgumentException("no resources");
-        }
-        for (Json resource : all.get("resources").elements()) {
-            if (get(resource, "cluster_name", "clusterName").text("").equals(cluster)) {
-                return assignment(resource);
-            }
-        }
-        throw new IllegalArgumentException("no resource for cluster " + cluster);
+  private List<Entry> entries(Json all) {
+    String type = get(all, "type_url", "typeUrl").text(TYPE);
+    if (!type.equals(TYPE)) {
+      throw new IllegalArgumentException("type " + type);
+    }
+    if (!all.get("resources").isArray()) {
+      throw new IllegalArgumentException("no resources");
+    }
+    for (Json resource : all.get("resources").elements()) {
+      if (get(resource, "cluster_name", "clusterName").text("").equals(cluster)) {
+        return assignment(resource);
+      }
     }
+    throw new IllegalArgumentException("no resource for cluster " + cluster);
+  }
 
-    private static List<Entry> assignment(Json resource) {
-        double first = resource.get("endpoints").elements().stream()
+  private static List<Entry> assignment(Json resource) {
+    double first =
+        resource.get("endpoints").elements().stream()
             .filter(l -> !get(l, "lb_endpoints", "lbEndpoints").elements().isEmpty())
-            .mapToDouble(l -> l.get("priority").number(0)).min().orElse(0);
-        List<Entry> entries = new ArrayList<>();
-        for (Json locality : resource.get("endpoints").elements()) {
-            if (locality.get("priority").number(0) != first) {
-                continue;
-            }
-            String zone = locality.get("locality").get("zone").text("");
-            for (Json each : get(locality, "lb_endpoints", "lbEndpoints").elements()) {
-                Json at = get(each.get("endpoint").get("address"), "socket_address", "socketAddress");
-                String host = at.get("address").text("");
-                String dial = (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":"
-                    + (int) get(at, "port_value", "portValue").number(0);
-                Config.address(dial);
-                String health = get(each, "health_status", "healthStatus").text("UNKNOWN");
-                boolean up = health.equals("HEALTHY") || health.equals("UNKNOWN") || health.equals("DEGRADED");
-                double weight = get(each, "load_balancing_weight", "loadBalancingWeight").number(1);
-                String name = each.get("endpoint").get("hostname").text("");
-                entries.add(new Entry(new Gateway.Server(name.isEmpty() ? dial : name, 0, zone,
-                    up && weight > 0 ? Gateway.State.UP : Gateway.State.DRAINING, "", 0,
-                    Math.max(0, health.equals("DEGRADED") ? DEGRADED * weight : weight)), dial));
-            }
-        }
-        return entries;
+            .mapToDouble(l -> l.get("priority").number(0))
+            .min()
+            .orElse(0);
+    List<Entry> entries = new ArrayList<>();
+    for (Json locality : resource.get("endpoints").elements()) {
+      if (locality.get("priority").number(0) != first) {
+        continue;
+      }
+      String zone = locality.get("locality").get("zone").text("");
+      for (Json each : get(locality, "lb_endpoints", "lbEndpoints").elements()) {
+        Json at = get(each.get("endpoint").get("address"), "socket_address", "socketAddress");
+        String host = at.get("address").text("");
+        String dial =
+            (host.indexOf(':') >= 0 ? "[" + host + "]" : host)
+                + ":"
+                + (int) get(at, "port_value", "portValue").number(0);
+        Config.address(dial);
+        String health = get(each, "health_status", "healthStatus").text("UNKNOWN");
+        boolean up =
+            health.equals("HEALTHY") || health.equals("UNKNOWN") || health.equals("DEGRADED");
+        double weight = get(each, "load_balancing_weight", "loadBalancingWeight").number(1);
+        String name = each.get("endpoint").get("hostname").text("");
+        entries.add(
+            new Entry(
+                new Gateway.Server(
+                    name.isEmpty() ? dial : name,
+                    0,
+                    zone,
+                    up && weight > 0 ? Gateway.State.UP : Gateway.State.DRAINING,
+                    "",
+                    0,
+                    Math.max(0, health.equals("DEGRADED") ? DEGRADED * weight : weight)),
+                dial));
+      }
     }
+    return entries;
+  }
 }
--- a/src/main/java/willowyoke/net/discovery/HttpSource.java
+++ b/src/main/java/willowyoke/net/discovery/HttpSource.java
@@ -22,213 +22,238 @@
 import willowyoke.membership.Source;
 
 /**
- * A source that asks one question after another over HTTP, on one connection that is kept: an answer within a time,
- * whole and of a bounded length, or the question is asked again on a new connection after a {@link Backoff}.
+ * A source that asks one question after another over HTTP, on one connection that is kept: an
+ * answer within a time, whole and of a bounded length, or the question is asked again on a new
+ * connection after a {@link Backoff}.
  */
 abstract class HttpSource implements Source {
-    /** No list is as long as this (bytes). */
-    static final int LONGEST = 8 << 20;
-    private static final double BACKOFF = 50;
-    private static final int CONNECT = 1000;
-
-    final Loop loop;
-    final String space;
-    private final Sink sink;
-    private final InetSocketAddress address;
-    private final Bootstrap bootstrap;
-    private Channel channel;
-    private boolean left;
-    private boolean waiting;
-    private boolean connecting;
-    private Future<?> next;
-    private int turn;
-    private int open;
-    private final Backoff backoff;
-    private long version;
-    private List<Entry> before;
-
-    HttpSource(Loop loop, Sink sink, InetSocketAddress address, String space) {
-        this.loop = loop;
-        this.sink = sink;
-        this.address = address;
-        this.space = space;
-        bootstrap = loop.transport().connecting(loop.group(), CONNECT);
-        backoff = new Backoff(BACKOFF, loop.now());
-    }
+  /** No list is as long as this (bytes). */
+  static final int LONGEST = 8 << 20;
+
+  private static final double BACKOFF = 50;
+  private static final int CONNECT = 1000;
+
+  final Loop loop;
+  final String space;
+  private final Sink sink;
+  private final InetSocketAddress address;
+  private final Bootstrap bootstrap;
+  private Channel channel;
+  private boolean left;
+  private boolean waiting;
+  private boolean connecting;
+  private Future<?> next;
+  private int turn;
+  private int open;
+  private final Backoff backoff;
+  private long version;
+  private List<Entry> before;
+
+  HttpSource(Loop loop, Sink sink, InetSocketAddress address, String space) {
+    this.loop = loop;
+    this.sink = sink;
+    this.address = address;
+    this.space = space;
+    bootstrap = loop.transport().connecting(loop.group(), CONNECT);
+    backoff = new Backoff(BACKOFF, loop.now());
+  }
+
+  /** The next question. */
+  abstract FullHttpRequest question();
 
-    /** The next question. */
-    abstract FullHttpRequest question();
+  /** How long its answer may take (ms). */
+  abstract double within();
 
-    /** How long its answer may take (ms). */
-    abstract double within();
+  /**
+   * Reads an answer of status 200: the whole list, or null where nothing has changed.
+   *
+   * @throws IOException where it cannot be understood; the question is asked again
+   */
+  abstract List<Entry> answer(FullHttpResponse response) throws IOException;
 
-    /**
-     * Reads an answer of status 200: the whole list, or null where nothing has changed.
-     *
-     * @throws IOException where it cannot be understood; the question is asked again
-     */
-    abstract List<Entry> answer(FullHttpResponse response) throws IOException;
+  /** How long to wait until the next question (ms). */
+  abstract double pause();
 
-    /** How long to wait until the next question (ms). */
-    abstract double pause();
+  /** The last answer was not used: what it said must not be taken for known. */
+  abstract void forget();
 
-    /** The last answer was not used: what it said must not be taken for known. */
-    abstract void forget();
+  @Override
+  public final void start() {
+    ask();
+  }
 
-    @Override public final void start() {
-        ask();
+  @Override
+  public final void askAnew() {
+    forget();
+    before = null;
+    if (channel != null) {
+      Channel old = channel;
+      channel = null;
+      waiting = false;
+      old.close();
+      ask();
     }
+  }
 
-    @Override public final void askAnew() {
-        forget();
-        before = null;
-        if (channel != null) {
-            Channel old = channel;
-            channel = null;
-            waiting = false;
-            old.close();
-            ask();
-        }
+  @Override
+  public final void leave(double within) {
+    left = true;
+    if (channel != null) {
+      channel.close();
+    } else if (open == 0) {
+      sink.ended(space);
     }
+  }
 
-    @Override public final void leave(double within) {
-        left = true;
-        if (channel != null) {
-            channel.close();
-        } else if (open == 0) {
-            sink.ended(space);
-        }
+  final String host() {
+    return address.getHostString() + ":" + address.getPort();
+  }
+
+  private void ask() {
+    if (left || waiting || connecting) {
+      return;
     }
+    if (channel == null) {
+      connect();
+      return;
+    }
+    waiting = true;
+    int now = ++turn;
+    FullHttpRequest question = question();
+    question.headers().set(HttpHeaderNames.HOST, host());
+    channel.writeAndFlush(question);
+    loop.after(
+        within(),
+        () -> {
+          if (waiting && turn == now && channel != null) {
+            loop.say(
+                "discovery: no answer from " + space + " within " + Math.round(within()) + " ms");
+            channel.close();
+          }
+        });
+  }
 
-    final String host() {
-        return address.getHostString() + ":" + address.getPort();
+  /** One chain of questions only, however often it is asked anew. */
+  private void askAfter(double ms) {
+    if (next != null) {
+      next.cancel(false);
     }
+    next = loop.after(ms, this::ask);
+  }
 
-    private void ask() {
-        if (left || waiting || connecting) {
-            return;
-        }
-        if (channel == null) {
-            connect();
-            return;
-        }
-        waiting = true;
-        int now = ++turn;
-        FullHttpRequest question = question();
-        question.headers().set(HttpHeaderNames.HOST, host());
-        channel.writeAndFlush(question);
-        loop.after(within(), () -> {
-            if (waiting && turn == now && channel != null) {
-                loop.say("discovery: no answer from " + space + " within " + Math.round(within()) + " ms");
-                channel.close();
-            }
-        });
+  private void connect() {
+    open++;
+    connecting = true;
+    bootstrap
+        .clone()
+        .handler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel c) {
+                c.pipeline()
+                    .addLast(
+                        new HttpClientCodec(), new HttpObjectAggregator(LONGEST), new Answers());
+              }
+            })
+        .connect(loop.transport().at(address))
+        .addListener(
+            f -> {
+              connecting = false;
+              if (!f.isSuccess()) {
+                open--;
+                failed(
+                    f.cause() instanceof ConnectException
+                        && !(f.cause() instanceof ConnectTimeoutException));
+              }
+            });
+  }
+
+  private void failed(boolean refused) {
+    waiting = false;
+    if (left) {
+      if (open == 0) {
+        sink.ended(space);
+      }
+      return;
     }
+    forget();
+    sink.failed(space, refused);
+    askAfter(backoff.next());
+  }
 
-    /** One chain of questions only, however often it is asked anew. */
-    private void askAfter(double ms) {
-        if (next != null) {
-            next.cancel(false);
-        }
-        next = loop.after(ms, this::ask);
+  private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private String why;
+    private boolean counted = true;
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+      if (left) {
+        ctx.close();
+        return;
+      }
+      channel = ctx.channel();
+      connecting = false; // the connect's own listener comes after this
+      ask();
     }
 
-    private void connect() {
-        open++;
-        connecting = true;
-        bootstrap.clone().handler(new ChannelInitializer<Channel>() {
-            @Override protected void initChannel(Channel c) {
-                c.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LONGEST), new Answers());
-            }
-        }).connect(loop.transport().at(address)).addListener(f -> {
-            connecting = false;
-            if (!f.isSuccess()) {
-                open--;
-                failed(f.cause() instanceof ConnectException && !(f.cause() instanceof ConnectTimeoutException));
-            }
-        });
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse msg)
+        throws IOException {
+      if (!waiting || msg.decoderResult().isFailure()) {
+        throw new IOException("no HTTP answer");
+      }
+      if (msg.status().code() != 200) {
+        throw new IOException("status " + msg.status().code());
+      }
+      List<Entry> told = answer(msg);
+      waiting = false;
+      backoff.reset();
+      if (told == null || told.equals(before)) {
+        sink.heard(space);
+      } else {
+        before = told;
+        sink.told(space, ++version, true, told);
+      }
+      if (msg.headers().contains(HttpHeaderNames.CONNECTION, "close", true)) {
+        channel = null;
+        ctx.close();
+      }
+      askAfter(pause());
     }
 
-    private void failed(boolean refused) {
-        waiting = false;
-        if (left) {
-            if (open == 0) {
-                sink.ended(space);
-            }
-            return;
-        }
-        forget();
-        sink.failed(space, refused);
-        askAfter(backoff.next());
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+      loop.flush();
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private String why;
-        private boolean counted = true;
-
-        @Override public void channelActive(ChannelHandlerContext ctx) {
-            if (left) {
-                ctx.close();
-                return;
-            }
-            channel = ctx.channel();
-            connecting = false; // the connect's own listener comes after this
-            ask();
-        }
-
-        @Override protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse msg) throws IOException {
-            if (!waiting || msg.decoderResult().isFailure()) {
-                throw new IOException("no HTTP answer");
-            }
-            if (msg.status().code() != 200) {
-                throw new IOException("status " + msg.status().code());
-            }
-            List<Entry> told = answer(msg);
-            waiting = false;
-            backoff.reset();
-            if (told == null || told.equals(before)) {
-                sink.heard(space);
-            } else {
-                before = told;
-                sink.told(space, ++version, true, told);
-            }
-            if (msg.headers().contains(HttpHeaderNames.CONNECTION, "close", true)) {
-                channel = null;
-                ctx.close();
-            }
-            askAfter(pause());
-        }
-
-        @Override public void channelReadComplete(ChannelHandlerContext ctx) {
-            loop.flush();
-        }
-
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
-            open -= counted ? 1 : 0;
-            counted = false;
-            if (ctx.channel() == channel) {
-                channel = null;
-                if (waiting || left) {
-                    failed(false);
-                } // else it was idle: the next question opens another
-            } else if (left && open == 0) {
-                sink.ended(space);
-            }
-        }
-
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            String text = String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
-            if (why == null && !(cause instanceof java.net.SocketException)) {
-                why = text;
-                loop.say("discovery: an answer at " + space + " is not taken: " + text);
-            }
-            ctx.close();
-        }
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+      open -= counted ? 1 : 0;
+      counted = false;
+      if (ctx.channel() == channel) {
+        channel = null;
+        if (waiting || left) {
+          failed(false);
+        } // else it was idle: the next question opens another
+      } else if (left && open == 0) {
+        sink.ended(space);
+      }
     }
 
-    static byte[] bytes(ByteBuf content) {
-        byte[] all = new byte[content.readableBytes()];
-        content.getBytes(content.readerIndex(), all);
-        return all;
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      String text = String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
+      if (why == null && !(cause instanceof java.net.SocketException)) {
+        why = text;
+        loop.say("discovery: an answer at " + space + " is not taken: " + text);
+      }
+      ctx.close();
     }
+  }
+
+  static byte[] bytes(ByteBuf content) {
+    byte[] all = new byte[content.readableBytes()];
+    content.getBytes(content.readerIndex(), all);
+    return all;
+  }
 }
--- a/src/main/java/willowyoke/node/Prime.java
+++ b/src/main/java/willowyoke/node/Prime.java
@@ -12,11 +12,12 @@
 import java.util.Map;
 
 /**
- * One start and end of an edge node at build time, among stand-ins on loopback, so that the JVM can write the
- * archive of classes that such a start loads. Nothing of it is kept but that archive.
+ * One start and end of an edge node at build time, among stand-ins on loopback, so that the JVM can
+ * write the archive of classes that such a start loads. Nothing of it is kept but that archive.
  */
 public final class Prime implements AutoCloseable {
-    private static final String CONFIG = """
+  private static final String CONFIG =
+      """
         {"name":"prime","listen":"127.0.0.1:0","admin_addr":"127.0.0.1:0",
          "discovery":"127.0.0.1:%1$d","counter":"127.0.0.1:%1$d",
          "seed":"1","known":%2$s,
@@ -29,75 +30,80 @@
            {"name":"write","effect":"idempotency_key","group":"cell","aim":800,"hard_limit":200,"worth":2,
             "repeat_window":7500}],
           "tariffs":[{"name":"plan","per_second":8,"depth":8,"price":1}]}}""";
-    private static final String LIST = """
+  private static final String LIST =
+      """
         {"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:%d","site":"a","class":"m","block":1,\
         "health":"active","share":1.0,"born_ms":0}]}
         """;
 
-    private final ServerSocket peers = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final Path file = Files.createTempFile("prime", ".json");
+  private final ServerSocket peers = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  private final Path file = Files.createTempFile("prime", ".json");
 
-    public Prime() throws IOException {
-        String list = String.format(LIST, peers.getLocalPort());
-        Files.writeString(file, String.format(CONFIG, peers.getLocalPort(), list));
-        Thread answering = new Thread(() -> answer(peers, list), "stand-ins");
-        answering.setDaemon(true);
-        answering.start();
-    }
+  public Prime() throws IOException {
+    String list = String.format(LIST, peers.getLocalPort());
+    Files.writeString(file, String.format(CONFIG, peers.getLocalPort(), list));
+    Thread answering = new Thread(() -> answer(peers, list), "stand-ins");
+    answering.setDaemon(true);
+    answering.start();
+  }
 
-    /** As an edge node finds it. */
-    public Map<String, String> environment() {
-        return Map.of("EDGE_CONFIG", file.toString());
-    }
+  /** As an edge node finds it. */
+  public Map<String, String> environment() {
+    return Map.of("EDGE_CONFIG", file.toString());
+  }
 
-    /** One client that asks and is answered, and operators that call. */
-    public void ask(Node node) throws IOException {
-        InetSocketAddress at = (InetSocketAddress) node.address();
-        try (Socket client = new Socket(at.getAddress(), at.getPort())) {
-            client.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
-            client.getInputStream().read();
-        }
-        call((InetSocketAddress) node.adminAddress(), "GET /api/ready");
-        call((InetSocketAddress) node.adminAddress(), "GET /api/telemetry");
-        Files.delete(file);
+  /** One client that asks and is answered, and operators that call. */
+  public void ask(Node node) throws IOException {
+    InetSocketAddress at = (InetSocketAddress) node.address();
+    try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+      client.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
+      client.getInputStream().read();
     }
+    call((InetSocketAddress) node.adminAddress(), "GET /api/ready");
+    call((InetSocketAddress) node.adminAddress(), "GET /api/telemetry");
+    Files.delete(file);
+  }
 
-    private static void call(InetSocketAddress at, String what) throws IOException {
-        try (Socket caller = new Socket(at.getAddress(), at.getPort())) {
-            caller.getOutputStream().write((what + " HTTP/1.1\r\nHost: prime\r\n\r\n").getBytes(
-                StandardCharsets.US_ASCII));
-            caller.getInputStream().readAllBytes();
-        }
+  private static void call(InetSocketAddress at, String what) throws IOException {
+    try (Socket caller = new Socket(at.getAddress(), at.getPort())) {
+      caller
+          .getOutputStream()
+          .write((what + " HTTP/1.1\r\nHost: prime\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+      caller.getInputStream().readAllBytes();
     }
+  }
 
-    @Override public void close() throws IOException {
-        peers.close();
-    }
+  @Override
+  public void close() throws IOException {
+    peers.close();
+  }
 
-    /** What speaks HTTP is discovery; the others are let in and owed nothing. */
-    private static void answer(ServerSocket peers, String list) {
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
-        try {
-            while (true) {
-                Socket peer = peers.accept();
-                Thread reading = new Thread(() -> {
-                    try (peer) {
-                        InputStream in = peer.getInputStream();
-                        byte[] some = new byte[1024];
-                        for (int n = in.read(some); n >= 0; n = in.read(some)) {
-                            if (new String(some, 0, n, StandardCharsets.US_ASCII).startsWith("GET")) {
-                                peer.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
-                            }
-                        }
-                    } catch (IOException e) {
-                        // it is done
+  /** What speaks HTTP is discovery; the others are let in and owed nothing. */
+  private static void answer(ServerSocket peers, String list) {
+    String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
+    try {
+      while (true) {
+        Socket peer = peers.accept();
+        Thread reading =
+            new Thread(
+                () -> {
+                  try (peer) {
+                    InputStream in = peer.getInputStream();
+                    byte[] some = new byte[1024];
+                    for (int n = in.read(some); n >= 0; n = in.read(some)) {
+                      if (new String(some, 0, n, StandardCharsets.US_ASCII).startsWith("GET")) {
+                        peer.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                      }
                     }
+                  } catch (IOException e) {
+                    // it is done
+                  }
                 });
-                reading.setDaemon(true);
-                reading.start();
-            }
-        } catch (IOException e) {
-            // it is done
-        }
+        reading.setDaemon(true);
+        reading.start();
+      }
+    } catch (IOException e) {
+      // it is done
     }
+  }
 }
--- a/src/main/java/willowyoke/node/StartLog.java
+++ b/src/main/java/willowyoke/node/StartLog.java
@@ -5,41 +5,43 @@
 import java.nio.file.Path;
 
 /**
- * What the parts of a start take, told in the log of every start: an edge node that starts again is down for
- * so long, and the others carry its load. Wall time and CPU (ms) since the process began, by the system's own
- * count in hundredths of a second; on part of a core the two differ by what the node was held back.
+ * What the parts of a start take, told in the log of every start: an edge node that starts again is
+ * down for so long, and the others carry its load. Wall time and CPU (ms) since the process began,
+ * by the system's own count in hundredths of a second; on part of a core the two differ by what the
+ * node was held back.
  */
 public final class StartLog {
-    /** Of the fields behind the name in brackets: user and system time, and the time of the start. */
-    private static final int USER = 11;
-    private static final int SYSTEM = 12;
-    private static final int STARTED = 19;
-    private static final int TICK = 10;
-    private static final StringBuilder TEXT = new StringBuilder("start, wall/CPU ms:");
+  /** Of the fields behind the name in brackets: user and system time, and the time of the start. */
+  private static final int USER = 11;
 
-    private StartLog() { }
+  private static final int SYSTEM = 12;
+  private static final int STARTED = 19;
+  private static final int TICK = 10;
+  private static final StringBuilder TEXT = new StringBuilder("start, wall/CPU ms:");
 
-    /** A part has ended. */
-    public static synchronized void ended(String part) {
-        TEXT.append(' ').append(part).append(' ').append(times()).append(',');
-    }
+  private StartLog() {}
 
-    /** The whole start has. */
-    public static synchronized void tell(String part) {
-        System.err.println(TEXT.append(' ').append(part).append(' ').append(times()));
-        TEXT.setLength(0);
-    }
+  /** A part has ended. */
+  public static synchronized void ended(String part) {
+    TEXT.append(' ').append(part).append(' ').append(times()).append(',');
+  }
+
+  /** The whole start has. */
+  public static synchronized void tell(String part) {
+    System.err.println(TEXT.append(' ').append(part).append(' ').append(times()));
+    TEXT.setLength(0);
+  }
 
-    private static String times() {
-        try {
-            String stat = Files.readString(Path.of("/proc/self/stat"));
-            String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            String uptime = Files.readString(Path.of("/proc/uptime"));
-            double up = 1000 * Double.parseDouble(uptime.substring(0, uptime.indexOf(' ')));
-            long cpu = TICK * (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM]));
-            return Math.round(up - TICK * Long.parseLong(fields[STARTED])) + "/" + cpu;
-        } catch (IOException | RuntimeException e) {
-            return "not told"; // not this system's /proc
-        }
+  private static String times() {
+    try {
+      String stat = Files.readString(Path.of("/proc/self/stat"));
+      String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+      String uptime = Files.readString(Path.of("/proc/uptime"));
+      double up = 1000 * Double.parseDouble(uptime.substring(0, uptime.indexOf(' ')));
+      long cpu = TICK * (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM]));
+      return Math.round(up - TICK * Long.parseLong(fields[STARTED])) + "/" + cpu;
+    } catch (IOException | RuntimeException e) {
+      return "not told"; // not this system's /proc
     }
+  }
 }
--- a/src/main/java/willowyoke/standin/Agent.java
+++ b/src/main/java/willowyoke/standin/Agent.java
@@ -17,332 +17,367 @@
 import java.util.StringJoiner;
 
 /**
- * A stand-in for discovery's agent, from its protocol page: the whole list, and a watch in chunks. It keeps
- * the list with a version, and can be told to fail: to stall the bytes that it sends on some connections at
- * an offset, to say nothing at all, to lag, to answer with given bytes. Each connection has a thread of its
- * own; for tests and rehearsals, not for load.
+ * A stand-in for discovery's agent, from its protocol page: the whole list, and a watch in chunks.
+ * It keeps the list with a version, and can be told to fail: to stall the bytes that it sends on
+ * some connections at an offset, to say nothing at all, to lag, to answer with given bytes. Each
+ * connection has a thread of its own; for tests and rehearsals, not for load.
  */
 public final class Agent implements Closeable {
-    /** One server in the list; site and block tell its rack. */
-    public record Host(String id, String dial, String health, double bornMs, String site, int block) {
-        public Host(String id, String dial, String health, double bornMs) {
-            this(id, dial, health, bornMs, "a", 3);
-        }
-
-        /** As the list has it. */
-        public String json() {
-            return "{\"host\":\"" + id + "\",\"dial\":\"" + dial + "\",\"site\":\"" + site
-                + "\",\"class\":\"m\",\"block\":" + block + ","
-                + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":" + Math.round(bornMs) + "}";
-        }
+  /** One server in the list; site and block tell its rack. */
+  public record Host(String id, String dial, String health, double bornMs, String site, int block) {
+    public Host(String id, String dial, String health, double bornMs) {
+      this(id, dial, health, bornMs, "a", 3);
     }
 
-    /** Which of the connections a fault is for. */
-    public enum Kind { LIST, WATCH }
-
-    /** A line every so often (ms) while nothing changes, as the protocol has it. */
-    private static final long BEAT = 2000;
-
-    private final ServerSocket socket;
-    private final List<Line> lines = new ArrayList<>();
-    private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final List<Change> changes = new ArrayList<>();
-    private long seq;
-    private boolean silent;
-    private boolean closed;
-    private Kind stalls;
-    private long stallAt = -1;
-    private int stallsLeft;
-    private long bytes;
-    private String garbled = "";
-    private int garbles;
-    private int watches;
-    private long flood;
-    private int requests;
-
-    private record Change(long seq, Host host) { }
-
-    public Agent(long seq) throws IOException {
-        this("127.0.0.1", seq);
+    /** As the list has it. */
+    public String json() {
+      return "{\"host\":\""
+          + id
+          + "\",\"dial\":\""
+          + dial
+          + "\",\"site\":\""
+          + site
+          + "\",\"class\":\"m\",\"block\":"
+          + block
+          + ","
+          + "\"health\":\""
+          + health
+          + "\",\"share\":1.0,\"born_ms\":"
+          + Math.round(bornMs)
+          + "}";
     }
-
-    public Agent(String address, long seq) throws IOException {
-        this(address, 0, seq);
+  }
+
+  /** Which of the connections a fault is for. */
+  public enum Kind {
+    LIST,
+    WATCH
+  }
+
+  /** A line every so often (ms) while nothing changes, as the protocol has it. */
+  private static final long BEAT = 2000;
+
+  private final ServerSocket socket;
+  private final List<Line> lines = new ArrayList<>();
+  private final Map<String, Host> hosts = new LinkedHashMap<>();
+  private final List<Change> changes = new ArrayList<>();
+  private long seq;
+  private boolean silent;
+  private boolean closed;
+  private Kind stalls;
+  private long stallAt = -1;
+  private int stallsLeft;
+  private long bytes;
+  private String garbled = "";
+  private int garbles;
+  private int watches;
+  private long flood;
+  private int requests;
+
+  private record Change(long seq, Host host) {}
+
+  public Agent(long seq) throws IOException {
+    this("127.0.0.1", seq);
+  }
+
+  public Agent(String address, long seq) throws IOException {
+    this(address, 0, seq);
+  }
+
+  /**
+   * @param port 0 for any; one that was in use a moment ago is taken again, as by a restart
+   */
+  public Agent(String address, int port, long seq) throws IOException {
+    this.seq = seq;
+    socket = new ServerSocket();
+    socket.setReuseAddress(true);
+    socket.bind(new InetSocketAddress(InetAddress.getByName(address), port), 128);
+    thread("stand-in discovery", this::accept);
+  }
+
+  public String address() {
+    return socket.getInetAddress().getHostAddress() + ":" + socket.getLocalPort();
+  }
+
+  // ---- the list ----
+
+  /**
+   * Changes an entry, under a new version, and tells those that watch. Health: active, leaving or
+   * left.
+   */
+  public synchronized long set(Host host) {
+    seq++;
+    if (host.health().equals("left")) {
+      hosts.remove(host.id());
+    } else {
+      hosts.put(host.id(), host);
     }
-
-    /** @param port 0 for any; one that was in use a moment ago is taken again, as by a restart */
-    public Agent(String address, int port, long seq) throws IOException {
-        this.seq = seq;
-        socket = new ServerSocket();
-        socket.setReuseAddress(true);
-        socket.bind(new InetSocketAddress(InetAddress.getByName(address), port), 128);
-        thread("stand-in discovery", this::accept);
+    changes.add(new Change(seq, host));
+    notifyAll();
+    return seq;
+  }
+
+  /** Goes on from another version with another list, as one that lost its state. */
+  public synchronized void restart(long from, List<Host> list) {
+    seq = from;
+    changes.clear();
+    hosts.clear();
+    list.forEach(h -> hosts.put(h.id(), h));
+    notifyAll();
+  }
+
+  public synchronized long seq() {
+    return seq;
+  }
+
+  // ---- faults ----
+
+  /**
+   * The next so many connections of this kind send so many bytes of their answer and then nothing
+   * more, while they stay open. For a watch the bytes count from the head of its chunked answer on.
+   */
+  public synchronized void stall(Kind kind, long offset, int connections) {
+    stalls = kind;
+    stallAt = offset;
+    stallsLeft = connections;
+  }
+
+  /** Whether the connections that were to stall have been asked. */
+  public synchronized boolean stalled() {
+    return stallsLeft == 0;
+  }
+
+  /** Stops what is sent on the standing connections of this kind right where it is. */
+  public synchronized void stallNow(Kind kind) {
+    for (Line line : lines) {
+      if (line.kind == kind) {
+        line.limit = line.sent;
+      }
     }
-
-    public String address() {
-        return socket.getInetAddress().getHostAddress() + ":" + socket.getLocalPort();
+  }
+
+  /** Sends this line on the standing watches, whatever it is. */
+  public synchronized void garble(String text) {
+    garbled = text;
+    garbles++;
+    notifyAll();
+  }
+
+  /**
+   * The next watch that is asked for gets a line of so many bytes, in chunks and without an end.
+   */
+  public synchronized void flood(long length) {
+    flood = length;
+  }
+
+  /**
+   * From here on nothing is sent on any connection, until silence ends. What was to be told is told
+   * then.
+   */
+  public synchronized void silent(boolean on) {
+    silent = on;
+    notifyAll();
+  }
+
+  /** Closes the standing connections. */
+  public synchronized void reset() {
+    for (Line line : lines.toArray(new Line[0])) {
+      line.close();
     }
-
-    // ---- the list ----
-
-    /** Changes an entry, under a new version, and tells those that watch. Health: active, leaving or left. */
-    public synchronized long set(Host host) {
-        seq++;
-        if (host.health().equals("left")) {
-            hosts.remove(host.id());
-        } else {
-            hosts.put(host.id(), host);
+  }
+
+  /** Watches that have begun, so far. */
+  public synchronized int watches() {
+    return watches;
+  }
+
+  public synchronized int requests() {
+    return requests;
+  }
+
+  public synchronized long bytes() {
+    return bytes;
+  }
+
+  @Override
+  public synchronized void close() throws IOException {
+    closed = true;
+    socket.close();
+    reset();
+    notifyAll();
+  }
+
+  // ---- connections ----
+
+  private static void thread(String name, Runnable what) {
+    Thread thread = new Thread(what, name);
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  private void accept() {
+    try {
+      while (true) {
+        Line line = new Line(socket.accept());
+        synchronized (this) {
+          lines.add(line);
         }
-        changes.add(new Change(seq, host));
-        notifyAll();
-        return seq;
+        thread("stand-in discovery, a connection", line::serve);
+      }
+    } catch (IOException e) {
+      // closed
     }
-
-    /** Goes on from another version with another list, as one that lost its state. */
-    public synchronized void restart(long from, List<Host> list) {
-        seq = from;
-        changes.clear();
-        hosts.clear();
-        list.forEach(h -> hosts.put(h.id(), h));
-        notifyAll();
-    }
-
-    public synchronized long seq() {
-        return seq;
-    }
-
-    // ---- faults ----
-
-    /**
-     * The next so many connections of this kind send so many bytes of their answer and then nothing more,
-     * while they stay open. For a watch the bytes count from the head of its chunked answer on.
-     */
-    public synchronized void stall(Kind kind, long offset, int connections) {
-        stalls = kind;
-        stallAt = offset;
-        stallsLeft = connections;
+  }
+
+  private synchronized String whole() {
+    StringJoiner all =
+        new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[", "]}\n");
+    hosts.values().forEach(h -> all.add(h.json()));
+    return all.toString();
+  }
+
+  private final class Line {
+    private final Socket peer;
+    private Kind kind = Kind.LIST;
+    private long sent;
+    private long limit = Long.MAX_VALUE;
+
+    Line(Socket peer) {
+      this.peer = peer;
     }
 
-    /** Whether the connections that were to stall have been asked. */
-    public synchronized boolean stalled() {
-        return stallsLeft == 0;
+    void close() {
+      try {
+        peer.close();
+      } catch (IOException e) {
+        // it is gone
+      }
     }
 
-    /** Stops what is sent on the standing connections of this kind right where it is. */
-    public synchronized void stallNow(Kind kind) {
-        for (Line line : lines) {
-            if (line.kind == kind) {
-                line.limit = line.sent;
-            }
+    void serve() {
+      try (peer) {
+        peer.setTcpNoDelay(true);
+        BufferedReader in =
+            new BufferedReader(
+                new InputStreamReader(peer.getInputStream(), StandardCharsets.US_ASCII));
+        for (String request = in.readLine(); request != null; request = in.readLine()) {
+          String header = in.readLine();
+          while (header != null && !header.isEmpty()) {
+            header = in.readLine();
+          }
+          answer(request);
         }
+      } catch (IOException | InterruptedException e) {
+        // the other side has gone
+      } finally {
+        synchronized (Agent.this) {
+          lines.remove(this);
+        }
+      }
     }
 
-    /** Sends this line on the standing watches, whatever it is. */
-    public synchronized void garble(String text) {
-        garbled = text;
-        garbles++;
-        notifyAll();
-    }
-
-    /** The next watch that is asked for gets a line of so many bytes, in chunks and without an end. */
-    public synchronized void flood(long length) {
-        flood = length;
+    private void answer(String request) throws IOException, InterruptedException {
+      int since = request.indexOf("since=");
+      synchronized (Agent.this) {
+        requests++;
+        kind = request.contains("follow=1") ? Kind.WATCH : Kind.LIST;
+        sent = 0;
+        limit = Long.MAX_VALUE;
+        if (kind == stalls && stallsLeft > 0) {
+          stallsLeft--;
+          limit = stallAt;
+        }
+      }
+      if (kind == Kind.LIST) {
+        String list = whole();
+        write(
+            "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: "
+                + list.length()
+                + "\r\n\r\n"
+                + list);
+      } else {
+        watch(Long.parseLong(request.substring(since + 6, request.indexOf(' ', since))));
+      }
     }
 
     /**
-     * From here on nothing is sent on any connection, until silence ends. What was to be told is told then.
+     * The changes after a version, or the whole list where those are not known; then what comes.
      */
-    public synchronized void silent(boolean on) {
-        silent = on;
-        notifyAll();
-    }
-
-    /** Closes the standing connections. */
-    public synchronized void reset() {
-        for (Line line : lines.toArray(new Line[0])) {
-            line.close();
-        }
-    }
-
-    /** Watches that have begun, so far. */
-    public synchronized int watches() {
-        return watches;
-    }
-
-    public synchronized int requests() {
-        return requests;
-    }
-
-    public synchronized long bytes() {
-        return bytes;
-    }
-
-    @Override public synchronized void close() throws IOException {
-        closed = true;
-        socket.close();
-        reset();
-        notifyAll();
-    }
-
-    // ---- connections ----
-
-    private static void thread(String name, Runnable what) {
-        Thread thread = new Thread(what, name);
-        thread.setDaemon(true);
-        thread.start();
-    }
-
-    private void accept() {
-        try {
-            while (true) {
-                Line line = new Line(socket.accept());
-                synchronized (this) {
-                    lines.add(line);
-                }
-                thread("stand-in discovery, a connection", line::serve);
+    private void watch(long since) throws IOException, InterruptedException {
+      write(
+          "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n");
+      long at = since;
+      boolean first = true;
+      int garbledBefore;
+      long floods;
+      synchronized (Agent.this) {
+        garbledBefore = garbles;
+        floods = flood;
+        flood = 0;
+      }
+      synchronized (Agent.this) {
+        watches++;
+      }
+      String some = "x".repeat(1 << 16);
+      for (long flooded = 0; flooded < floods; flooded += some.length()) {
+        write("10000\r\n" + some + "\r\n");
+      }
+      while (true) {
+        String text;
+        synchronized (Agent.this) {
+          long until = System.nanoTime() / 1_000_000 + BEAT;
+          while (!first
+              && !closed
+              && seq == at
+              && garbles == garbledBefore
+              && System.nanoTime() / 1_000_000 < until) {
+            Agent.this.wait(Math.max(1, until - System.nanoTime() / 1_000_000));
+          }
+          if (closed) {
+            return;
+          }
+          if (garbles != garbledBefore) {
+            garbledBefore = garbles;
+            text = garbled + "\n";
+          } else if (seq == at) {
+            text = "\n";
+          } else if (seq < at
+              || !changes.isEmpty() && changes.get(0).seq > at + 1
+              || changes.isEmpty()) {
+            text = whole();
+          } else {
+            StringJoiner all =
+                new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[", "]}\n");
+            Map<String, Host> last = new LinkedHashMap<>();
+            for (Change c : changes) {
+              if (c.seq > at) {
+                last.put(c.host.id(), c.host);
+              }
             }
-        } catch (IOException e) {
-            // closed
+            last.values().forEach(h -> all.add(h.json()));
+            text = all.toString();
+          }
+          at = text.startsWith("{\"seq\":" + seq + ",") ? seq : at;
+          first = false;
         }
+        write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+      }
     }
 
-    private synchronized String whole() {
-        StringJoiner all = new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[", "]}\n");
-        hosts.values().forEach(h -> all.add(h.json()));
-        return all.toString();
-    }
-
-    private final class Line {
-        private final Socket peer;
-        private Kind kind = Kind.LIST;
-        private long sent;
-        private long limit = Long.MAX_VALUE;
-
-        Line(Socket peer) {
-            this.peer = peer;
-        }
-
-        void close() {
-            try {
-                peer.close();
-            } catch (IOException e) {
-                // it is gone
-            }
-        }
-
-        void serve() {
-            try (peer) {
-                peer.setTcpNoDelay(true);
-                BufferedReader in = new BufferedReader(new InputStreamReader(peer.getInputStream(),
-                    StandardCharsets.US_ASCII));
-                for (String request = in.readLine(); request != null; request = in.readLine()) {
-                    String header = in.readLine();
-                    while (header != null && !header.isEmpty()) {
-                        header = in.readLine();
-                    }
-                    answer(request);
-                }
-            } catch (IOException | InterruptedException e) {
-                // the other side has gone
-            } finally {
-                synchronized (Agent.this) {
-                    lines.remove(this);
-                }
-            }
-        }
-
-        private void answer(String request) throws IOException, InterruptedException {
-            int since = request.indexOf("since=");
-            synchronized (Agent.this) {
-                requests++;
-                kind = request.contains("follow=1") ? Kind.WATCH : Kind.LIST;
-                sent = 0;
-                limit = Long.MAX_VALUE;
-                if (kind == stalls && stallsLeft > 0) {
-                    stallsLeft--;
-                    limit = stallAt;
-                }
-            }
-            if (kind == Kind.LIST) {
-                String list = whole();
-                write("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: " + list.length()
-                    + "\r\n\r\n" + list);
-            } else {
-                watch(Long.parseLong(request.substring(since + 6, request.indexOf(' ', since))));
-            }
-        }
-
-        /** The changes after a version, or the whole list where those are not known; then what comes. */
-        private void watch(long since) throws IOException, InterruptedException {
-            write("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n");
-            long at = since;
-            boolean first = true;
-            int garbledBefore;
-            long floods;
-            synchronized (Agent.this) {
-                garbledBefore = garbles;
-                floods = flood;
-                flood = 0;
-            }
-            synchronized (Agent.this) {
-                watches++;
-            }
-            String some = "x".repeat(1 << 16);
-            for (long flooded = 0; flooded < floods; flooded += some.length()) {
-                write("10000\r\n" + some + "\r\n");
-            }
-            while (true) {
-                String text;
-                synchronized (Agent.this) {
-                    long until = System.nanoTime() / 1_000_000 + BEAT;
-                    while (!first && !closed && seq == at && garbles == garbledBefore
-                        && System.nanoTime() / 1_000_000 < until) {
-                        Agent.this.wait(Math.max(1, until - System.nanoTime() / 1_000_000));
-                    }
-                    if (closed) {
-                        return;
-                    }
-                    if (garbles != garbledBefore) {
-                        garbledBefore = garbles;
-                        text = garbled + "\n";
-                    } else if (seq == at) {
-                        text = "\n";
-                    } else if (seq < at || !changes.isEmpty() && changes.get(0).seq > at + 1
-                        || changes.isEmpty()) {
-                        text = whole();
-                    } else {
-                        StringJoiner all = new StringJoiner(",", "{\"seq\":" + seq
-                            + ",\"whole\":false,\"hosts\":[", "]}\n");
-                        Map<String, Host> last = new LinkedHashMap<>();
-                        for (Change c : changes) {
-                            if (c.seq > at) {
-                                last.put(c.host.id(), c.host);
-                            }
-                        }
-                        last.values().forEach(h -> all.add(h.json()));
-                        text = all.toString();
-                    }
-                    at = text.startsWith("{\"seq\":" + seq + ",") ? seq : at;
-                    first = false;
-                }
-                write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
-            }
-        }
-
-        private void write(String text) throws IOException, InterruptedException {
-            byte[] all = text.getBytes(StandardCharsets.US_ASCII);
-            int n;
-            synchronized (Agent.this) {
-                while (silent && !closed) {
-                    Agent.this.wait();
-                }
-                n = (int) Math.max(0, Math.min(all.length, limit - sent));
-                sent += n;
-                bytes += n;
-            }
-            OutputStream out = peer.getOutputStream();
-            out.write(all, 0, n);
-            out.flush();
+    private void write(String text) throws IOException, InterruptedException {
+      byte[] all = text.getBytes(StandardCharsets.US_ASCII);
+      int n;
+      synchronized (Agent.this) {
+        while (silent && !closed) {
+          Agent.this.wait();
         }
+        n = (int) Math.max(0, Math.min(all.length, limit - sent));
+        sent += n;
+        bytes += n;
+      }
+      OutputStream out = peer.getOutputStream();
+      out.write(all, 0, n);
+      out.flush();
     }
+  }
 }
--- a/src/main/java/willowyoke/standin/Capacity.java
+++ b/src/main/java/willowyoke/standin/Capacity.java
@@ -7,192 +7,220 @@
 import java.util.Random;
 
 /**
- * What an app server can do: processor sharing over a part of some cores, a waiting room, a cold start. A pure core:
- * time (ms) is an argument and never goes back, chance comes from the seed; the same calls give the same results.
+ * What an app server can do: processor sharing over a part of some cores, a waiting room, a cold
+ * start. A pure core: time (ms) is an argument and never goes back, chance comes from the seed; the
+ * same calls give the same results.
  *
- * <p>Up to {@code slots} jobs run at once and share {@code cores} cores evenly, none faster than one core
- * (generalised processor sharing; Parekh and Gallager 1993); the rest wait in order, up to {@code room}. A server that
- * has just started works at {@code coldShare} of its speed, which grows evenly to all of it over {@code warmMs}. What a
- * neighbour takes is taken from the cores. An event costs O(running).
+ * <p>Up to {@code slots} jobs run at once and share {@code cores} cores evenly, none faster than
+ * one core (generalised processor sharing; Parekh and Gallager 1993); the rest wait in order, up to
+ * {@code room}. A server that has just started works at {@code coldShare} of its speed, which grows
+ * evenly to all of it over {@code warmMs}. What a neighbour takes is taken from the cores. An event
+ * costs O(running).
  */
 public final class Capacity {
-    /** While the speed changes with time it is taken as steady for so long (ms). */
-    private static final double STEP = 50;
-    private static final double NEVER = Double.POSITIVE_INFINITY;
-    /** A rest of work (ms of one core) that is no work any more. */
-    private static final double NOTHING = 1e-9;
-
-    /**
-     * @param cores how many, above 0
-     * @param slots jobs that run at once, 1 or more
-     * @param room jobs that wait, 0 or more
-     * @param workMs mean work of a job (ms of one core); drawn from an exponential distribution, at most ten times this
-     * @param coldShare of the speed that a server has when it starts, above 0 and up to 1
-     * @param warmMs until it has all of it
-     */
-    public record Size(double cores, int slots, int room, double workMs, double coldShare, double warmMs) {
-        public Size {
-            if (!(cores > 0 && slots > 0 && room >= 0 && workMs > 0 && coldShare > 0 && coldShare <= 1
-                && warmMs >= 0)) {
-                throw new IllegalArgumentException("a server's size is out of range: " + cores + " cores, " + slots
-                    + " slots, room " + room + ", work " + workMs + " ms, cold " + coldShare + " for " + warmMs
-                    + " ms");
-            }
-        }
-    }
-
-    /** A job that was taken. */
-    public static final class Job {
-        /** What it is for; the caller's. */
-        public final Object what;
-        private double left;
-
-        private Job(Object what, double work) {
-            this.what = what;
-            left = work;
-        }
-    }
-
-    private final Size size;
-    private final Random random;
-    private final double startedAt;
-    private final List<Job> running = new ArrayList<>();
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final List<Job> done = new ArrayList<>();
-    private double at;
-    private double neighbour;
-    private double busy;
-
-    /** @param startedAt when the server started; negative infinity for long ago */
-    public Capacity(Size size, long seed, double now, double startedAt) {
-        this.size = size;
-        this.startedAt = startedAt;
-        random = new Random(seed);
+  /** While the speed changes with time it is taken as steady for so long (ms). */
+  private static final double STEP = 50;
+
+  private static final double NEVER = Double.POSITIVE_INFINITY;
+
+  /** A rest of work (ms of one core) that is no work any more. */
+  private static final double NOTHING = 1e-9;
+
+  /**
+   * @param cores how many, above 0
+   * @param slots jobs that run at once, 1 or more
+   * @param room jobs that wait, 0 or more
+   * @param workMs mean work of a job (ms of one core); drawn from an exponential distribution, at
+   *     most ten times this
+   * @param coldShare of the speed that a server has when it starts, above 0 and up to 1
+   * @param warmMs until it has all of it
+   */
+  public record Size(
+      double cores, int slots, int room, double workMs, double coldShare, double warmMs) {
+    public Size {
+      if (!(cores > 0
+          && slots > 0
+          && room >= 0
+          && workMs > 0
+          && coldShare > 0
+          && coldShare <= 1
+          && warmMs >= 0)) {
+        throw new IllegalArgumentException(
+            "a server's size is out of range: "
+                + cores
+                + " cores, "
+                + slots
+                + " slots, room "
+                + room
+                + ", work "
+                + workMs
+                + " ms, cold "
+                + coldShare
+                + " for "
+                + warmMs
+                + " ms");
+      }
+    }
+  }
+
+  /** A job that was taken. */
+  public static final class Job {
+    /** What it is for; the caller's. */
+    public final Object what;
+
+    private double left;
+
+    private Job(Object what, double work) {
+      this.what = what;
+      left = work;
+    }
+  }
+
+  private final Size size;
+  private final Random random;
+  private final double startedAt;
+  private final List<Job> running = new ArrayList<>();
+  private final ArrayDeque<Job> waiting = new ArrayDeque<>();
+  private final List<Job> done = new ArrayList<>();
+  private double at;
+  private double neighbour;
+  private double busy;
+
+  /**
+   * @param startedAt when the server started; negative infinity for long ago
+   */
+  public Capacity(Size size, long seed, double now, double startedAt) {
+    this.size = size;
+    this.startedAt = startedAt;
+    random = new Random(seed);
+    at = now;
+  }
+
+  /** A job comes; null where the waiting room is full, and nothing has run then. */
+  public Job offer(double now, Object what) {
+    pass(now);
+    if (running.size() >= size.slots && waiting.size() >= size.room) {
+      return null;
+    }
+    double work = Math.min(10 * size.workMs, -Math.log(1 - random.nextDouble()) * size.workMs);
+    Job job = new Job(what, Math.max(1e-3, work));
+    (running.size() < size.slots ? running : waiting).add(job);
+    return job;
+  }
+
+  /** A job is not wanted any more; what has run of it has run. */
+  public void drop(double now, Job job) {
+    pass(now);
+    if (!running.remove(job)) {
+      waiting.remove(job);
+    }
+    fill();
+  }
+
+  /** From now on a neighbour takes this share (0 to below 1) of the cores. */
+  public void neighbour(double now, double share) {
+    if (!(share >= 0 && share < 1)) {
+      throw new IllegalArgumentException("a neighbour's share is out of range: " + share);
+    }
+    pass(now);
+    neighbour = share;
+  }
+
+  /** When {@link #done} may have something next; infinite where nothing runs. */
+  public double next() {
+    if (!done.isEmpty()) {
+      return at;
+    }
+    double least = NEVER;
+    for (Job job : running) {
+      least = Math.min(least, job.left);
+    }
+    return least == NEVER ? NEVER : Math.min(at + least / rate(), changes());
+  }
+
+  /** The jobs that have ended since the last call, in the order in which they did. */
+  public List<Job> done(double now) {
+    pass(now);
+    List<Job> all = List.copyOf(done);
+    done.clear();
+    return all;
+  }
+
+  public int running() {
+    return running.size();
+  }
+
+  public int waiting() {
+    return waiting.size();
+  }
+
+  /** Work done so far (ms of one core). */
+  public double busy(double now) {
+    pass(now);
+    return busy;
+  }
+
+  /** Of the cores that are there now, how much is in use: 0 to 1. */
+  public double utilization() {
+    return Math.min(1, running.size() / Math.max(NOTHING, cores()));
+  }
+
+  private double cores() {
+    return size.cores * (1 - neighbour);
+  }
+
+  /** A core's speed now, as a part of a warm one's. */
+  private double speed() {
+    double age = at - startedAt;
+    return age >= size.warmMs ? 1 : size.coldShare + (1 - size.coldShare) * age / size.warmMs;
+  }
+
+  /** Work that each running job gets in a ms. */
+  private double rate() {
+    return speed() * Math.min(1, cores() / running.size());
+  }
+
+  /** Until when the speed is taken as steady. */
+  private double changes() {
+    return at - startedAt >= size.warmMs ? NEVER : at + STEP;
+  }
+
+  /**
+   * Lets the jobs run until this time; each step goes to the next end of a job or change of speed.
+   */
+  private void pass(double now) {
+    while (at < now) {
+      if (running.isEmpty()) {
         at = now;
-    }
-
-    /** A job comes; null where the waiting room is full, and nothing has run then. */
-    public Job offer(double now, Object what) {
-        pass(now);
-        if (running.size() >= size.slots && waiting.size() >= size.room) {
-            return null;
+        return;
+      }
+      double least = NEVER;
+      for (Job job : running) {
+        least = Math.min(least, job.left);
+      }
+      double rate = rate();
+      double until = Math.min(Math.min(now, changes()), at + least / rate);
+      boolean ends = until >= at + least / rate;
+      double given = ends ? least : (until - at) * rate;
+      busy += given * running.size();
+      at = Math.max(until, Math.nextUp(at));
+      double nothing =
+          Math.max(NOTHING, Math.ulp(at) * rate); // less than the clock's next step can give
+      for (Iterator<Job> it = running.iterator(); it.hasNext(); ) {
+        Job job = it.next();
+        job.left -= given;
+        if (job.left <= nothing) {
+          it.remove();
+          done.add(job);
         }
-        double work = Math.min(10 * size.workMs, -Math.log(1 - random.nextDouble()) * size.workMs);
-        Job job = new Job(what, Math.max(1e-3, work));
-        (running.size() < size.slots ? running : waiting).add(job);
-        return job;
-    }
-
-    /** A job is not wanted any more; what has run of it has run. */
-    public void drop(double now, Job job) {
-        pass(now);
-        if (!running.remove(job)) {
-            waiting.remove(job);
-        }
-        fill();
-    }
-
-    /** From now on a neighbour takes this share (0 to below 1) of the cores. */
-    public void neighbour(double now, double share) {
-        if (!(share >= 0 && share < 1)) {
-            throw new IllegalArgumentException("a neighbour's share is out of range: " + share);
-        }
-        pass(now);
-        neighbour = share;
-    }
-
-    /** When {@link #done} may have something next; infinite where nothing runs. */
-    public double next() {
-        if (!done.isEmpty()) {
-            return at;
-        }
-        double least = NEVER;
-        for (Job job : running) {
-            least = Math.min(least, job.left);
-        }
-        return least == NEVER ? NEVER : Math.min(at + least / rate(), changes());
-    }
-
-    /** The jobs that have ended since the last call, in the order in which they did. */
-    public List<Job> done(double now) {
-        pass(now);
-        List<Job> all = List.copyOf(done);
-        done.clear();
-        return all;
+      }
+      fill();
     }
+  }
 
-    public int running() {
-        return running.size();
-    }
-
-    public int waiting() {
-        return waiting.size();
-    }
-
-    /** Work done so far (ms of one core). */
-    public double busy(double now) {
-        pass(now);
-        return busy;
-    }
-
-    /** Of the cores that are there now, how much is in use: 0 to 1. */
-    public double utilization() {
-        return Math.min(1, running.size() / Math.max(NOTHING, cores()));
-    }
-
-    private double cores() {
-        return size.cores * (1 - neighbour);
-    }
-
-    /** A core's speed now, as a part of a warm one's. */
-    private double speed() {
-        double age = at - startedAt;
-        return age >= size.warmMs ? 1 : size.coldShare + (1 - size.coldShare) * age / size.warmMs;
-    }
-
-    /** Work that each running job gets in a ms. */
-    private double rate() {
-        return speed() * Math.min(1, cores() / running.size());
-    }
-
-    /** Until when the speed is taken as steady. */
-    private double changes() {
-        return at - startedAt >= size.warmMs ? NEVER : at + STEP;
-    }
-
-    /** Lets the jobs run until this time; each step goes to the next end of a job or change of speed. */
-    private void pass(double now) {
-        while (at < now) {
-            if (running.isEmpty()) {
-                at = now;
-                return;
-            }
-            double least = NEVER;
-            for (Job job : running) {
-                least = Math.min(least, job.left);
-            }
-            double rate = rate();
-            double until = Math.min(Math.min(now, changes()), at + least / rate);
-            boolean ends = until >= at + least / rate;
-            double given = ends ? least : (until - at) * rate;
-            busy += given * running.size();
-            at = Math.max(until, Math.nextUp(at));
-            double nothing = Math.max(NOTHING, Math.ulp(at) * rate); // less than the clock's next step can give
-            for (Iterator<Job> it = running.iterator(); it.hasNext();) {
-                Job job = it.next();
-                job.left -= given;
-                if (job.left <= nothing) {
-                    it.remove();
-                    done.add(job);
-                }
-            }
-            fill();
-        }
-    }
-
-    private void fill() {
-        while (running.size() < size.slots && !waiting.isEmpty()) {
-            running.add(waiting.poll());
-        }
+  private void fill() {
+    while (running.size() < size.slots && !waiting.isEmpty()) {
+      running.add(waiting.poll());
     }
+  }
 }
--- a/src/main/java/willowyoke/standin/Discovery.java
+++ b/src/main/java/willowyoke/standin/Discovery.java
@@ -14,8 +14,8 @@
 import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpVersion;
@@ -33,298 +33,326 @@
 import willowyoke.loop.Loop;
 
 /**
- * A stand-in for discovery and its agents, from the protocol page, on an event loop that is given: the list, its
- * versions and watches. What is set comes to the agents after a lag. It can be silent, stall what is out at a byte,
- * send an empty first list, and lose its state. All methods are for the loop's thread.
+ * A stand-in for discovery and its agents, from the protocol page, on an event loop that is given:
+ * the list, its versions and watches. What is set comes to the agents after a lag. It can be
+ * silent, stall what is out at a byte, send an empty first list, and lose its state. All methods
+ * are for the loop's thread.
  */
 public final class Discovery {
-    /** What passes: a change that has been written to every watch that stands. */
-    public interface Told {
-        void told(double now, Agent.Host host);
-    }
-
-    private static final int BACKLOG = 128;
-    private static final double BEAT = 2000;
-    /** Changes kept for watches that go on from an older version; before them the whole list is sent. */
-    private static final int KEPT = 4096;
-
-    private record Change(long seq, Agent.Host host) { }
-
-    private final Loop loop;
-    private final Told told;
-    private final Map<String, Agent.Host> hosts = new LinkedHashMap<>();
-    private final ArrayDeque<Change> changes = new ArrayDeque<>();
-    private final Set<Line> lines = new LinkedHashSet<>();
-    private Channel listener;
-    private long seq;
-    private double lag;
-    private boolean silent;
-    /** What changed while it was silent, and was told to nobody. */
-    private final List<Agent.Host> untold = new ArrayList<>();
-    private int empties;
-    private long stallAt = -1;
-
-    public Discovery(Loop loop, long seq, Told told) {
-        this.loop = loop;
-        this.seq = seq;
-        this.told = told;
-    }
-
-    /** Listens there. */
-    public Discovery start(InetSocketAddress at) throws InterruptedException {
-        ServerBootstrap boot = loop.transport().accepting(loop.group(), BACKLOG)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override protected void initChannel(Channel channel) {
+  /** What passes: a change that has been written to every watch that stands. */
+  public interface Told {
+    void told(double now, Agent.Host host);
+  }
+
+  private static final int BACKLOG = 128;
+  private static final double BEAT = 2000;
+
+  /**
+   * Changes kept for watches that go on from an older version; before them the whole list is sent.
+   */
+  private static final int KEPT = 4096;
+
+  private record Change(long seq, Agent.Host host) {}
+
+  private final Loop loop;
+  private final Told told;
+  private final Map<String, Agent.Host> hosts = new LinkedHashMap<>();
+  private final ArrayDeque<Change> changes = new ArrayDeque<>();
+  private final Set<Line> lines = new LinkedHashSet<>();
+  private Channel listener;
+  private long seq;
+  private double lag;
+  private boolean silent;
+
+  /** What changed while it was silent, and was told to nobody. */
+  private final List<Agent.Host> untold = new ArrayList<>();
+
+  private int empties;
+  private long stallAt = -1;
+
+  public Discovery(Loop loop, long seq, Told told) {
+    this.loop = loop;
+    this.seq = seq;
+    this.told = told;
+  }
+
+  /** Listens there. */
+  public Discovery start(InetSocketAddress at) throws InterruptedException {
+    ServerBootstrap boot =
+        loop.transport()
+            .accepting(loop.group(), BACKLOG)
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
                     Line line = new Line(channel);
                     channel.pipeline().addLast(line.cut, new HttpServerCodec(), line);
-                }
-            });
-        boot.bind(loop.transport().at(at)).addListener((io.netty.channel.ChannelFuture f) -> {
-            if (f.isSuccess()) {
+                  }
+                });
+    boot.bind(loop.transport().at(at))
+        .addListener(
+            (io.netty.channel.ChannelFuture f) -> {
+              if (f.isSuccess()) {
                 listener = f.channel();
-            } else {
-                loop.say("stand-in discovery cannot listen at " + at + ": " + f.cause().getMessage());
-            }
-        });
-        return this;
-    }
+              } else {
+                loop.say(
+                    "stand-in discovery cannot listen at " + at + ": " + f.cause().getMessage());
+              }
+            });
+    return this;
+  }
 
-    public long seq() {
-        return seq;
-    }
+  public long seq() {
+    return seq;
+  }
 
-    // ---- the list ----
+  // ---- the list ----
 
-    /** Changes an entry; agents know it after the lag. Health: active, leaving or left. */
-    public void set(Agent.Host host) {
-        if (lag > 0) {
-            loop.after(lag, () -> apply(host));
-        } else {
-            apply(host);
-        }
+  /** Changes an entry; agents know it after the lag. Health: active, leaving or left. */
+  public void set(Agent.Host host) {
+    if (lag > 0) {
+      loop.after(lag, () -> apply(host));
+    } else {
+      apply(host);
+    }
+  }
+
+  private void apply(Agent.Host host) {
+    seq++;
+    if (host.health().equals("left")) {
+      hosts.remove(host.id());
+    } else {
+      hosts.put(host.id(), host);
+    }
+    changes.add(new Change(seq, host));
+    if (changes.size() > KEPT) {
+      changes.poll();
+    }
+    lines.forEach(Line::more);
+    if (silent) {
+      untold.add(host);
+    } else {
+      told.told(loop.now(), host);
+    }
+  }
+
+  // ---- faults ----
+
+  /** From now on a change is known to agents so much later (ms). */
+  public void lag(double ms) {
+    lag = ms;
+  }
+
+  /** Nothing is sent until silence ends; what was to be told is told then. */
+  public void silent(boolean on) {
+    silent = on;
+    if (!on) {
+      for (Line line : lines.toArray(new Line[0])) {
+        line.speak();
+      }
+      untold.forEach(host -> told.told(loop.now(), host));
+      untold.clear();
     }
+  }
+
+  /** The next so many whole lists are empty. */
+  public void emptyNext(int lists) {
+    empties = lists;
+  }
+
+  /** Watches that stand send so many bytes more and then nothing, while they stay open. */
+  public void stall(long bytes) {
+    for (Line line : lines) {
+      if (line.at >= 0) {
+        line.cut.left = bytes;
+      }
+    }
+  }
+
+  /** The next connection's answer stalls after so many bytes. */
+  public void stallNext(long bytes) {
+    stallAt = bytes;
+  }
+
+  /** Its state is lost: versions start again from here, with this list. */
+  public void restart(long from, List<Agent.Host> list) {
+    seq = from;
+    hosts.clear();
+    changes.clear();
+    list.forEach(h -> hosts.put(h.id(), h));
+    for (Line line : lines.toArray(new Line[0])) {
+      line.channel.close();
+    }
+  }
 
-    private void apply(Agent.Host host) {
-        seq++;
-        if (host.health().equals("left")) {
-            hosts.remove(host.id());
-        } else {
-            hosts.put(host.id(), host);
-        }
-        changes.add(new Change(seq, host));
-        if (changes.size() > KEPT) {
-            changes.poll();
-        }
-        lines.forEach(Line::more);
-        if (silent) {
-            untold.add(host);
-        } else {
-            told.told(loop.now(), host);
-        }
+  public void close() {
+    if (listener != null) {
+      listener.close();
+    }
+    for (Line line : lines.toArray(new Line[0])) {
+      line.channel.close();
     }
+  }
 
-    // ---- faults ----
+  // ---- connections ----
 
-    /** From now on a change is known to agents so much later (ms). */
-    public void lag(double ms) {
-        lag = ms;
+  private String whole() {
+    boolean empty = empties > 0;
+    empties -= empty ? 1 : 0;
+    StringJoiner all =
+        new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[", "]}\n");
+    if (!empty) {
+      hosts.values().forEach(h -> all.add(h.json()));
     }
+    return all.toString();
+  }
 
-    /** Nothing is sent until silence ends; what was to be told is told then. */
-    public void silent(boolean on) {
-        silent = on;
-        if (!on) {
-            for (Line line : lines.toArray(new Line[0])) {
-                line.speak();
-            }
-            untold.forEach(host -> told.told(loop.now(), host));
-            untold.clear();
-        }
+  private String since(long version) {
+    if (version > seq || changes.isEmpty() || changes.peek().seq > version + 1) {
+      return whole();
     }
-
-    /** The next so many whole lists are empty. */
-    public void emptyNext(int lists) {
-        empties = lists;
+    Map<String, Agent.Host> last = new LinkedHashMap<>();
+    for (Change c : changes) {
+      if (c.seq > version) {
+        last.put(c.host.id(), c.host);
+      }
     }
-
-    /** Watches that stand send so many bytes more and then nothing, while they stay open. */
-    public void stall(long bytes) {
-        for (Line line : lines) {
-            if (line.at >= 0) {
-                line.cut.left = bytes;
-            }
-        }
+    StringJoiner all =
+        new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[", "]}\n");
+    last.values().forEach(h -> all.add(h.json()));
+    return all.toString();
+  }
+
+  private static ByteBuf bytes(String text) {
+    return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
+  }
+
+  /** Lets so many bytes out, and drops the rest. */
+  private static final class Cut extends ChannelOutboundHandlerAdapter {
+    private long left = Long.MAX_VALUE;
+
+    @Override
+    public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
+      ByteBuf out = (ByteBuf) msg;
+      int n = out.readableBytes();
+      if (n <= left) {
+        left -= left == Long.MAX_VALUE ? 0 : n;
+        ctx.write(out, promise);
+      } else {
+        ctx.write(out.readRetainedSlice((int) left), promise);
+        out.release();
+        left = 0;
+      }
     }
+  }
 
-    /** The next connection's answer stalls after so many bytes. */
-    public void stallNext(long bytes) {
-        stallAt = bytes;
-    }
+  private final class Line extends SimpleChannelInboundHandler<HttpObject> {
+    private final Channel channel;
+    private final Cut cut = new Cut();
 
-    /** Its state is lost: versions start again from here, with this list. */
-    public void restart(long from, List<Agent.Host> list) {
-        seq = from;
-        hosts.clear();
-        changes.clear();
-        list.forEach(h -> hosts.put(h.id(), h));
-        for (Line line : lines.toArray(new Line[0])) {
-            line.channel.close();
-        }
-    }
+    /** The version that its watch has, or -1 where it is none. */
+    private long at = -1;
+
+    private Runnable held;
 
-    public void close() {
-        if (listener != null) {
-            listener.close();
-        }
-        for (Line line : lines.toArray(new Line[0])) {
-            line.channel.close();
-        }
+    Line(Channel channel) {
+      this.channel = channel;
     }
 
-    // ---- connections ----
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+      lines.add(this);
+      if (stallAt >= 0) {
+        cut.left = stallAt;
+        stallAt = -1;
+      }
+    }
 
-    private String whole() {
-        boolean empty = empties > 0;
-        empties -= empty ? 1 : 0;
-        StringJoiner all = new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[", "]}\n");
-        if (!empty) {
-            hosts.values().forEach(h -> all.add(h.json()));
-        }
-        return all.toString();
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+      lines.remove(this);
     }
 
-    private String since(long version) {
-        if (version > seq || changes.isEmpty() || changes.peek().seq > version + 1) {
-            return whole();
-        }
-        Map<String, Agent.Host> last = new LinkedHashMap<>();
-        for (Change c : changes) {
-            if (c.seq > version) {
-                last.put(c.host.id(), c.host);
-            }
-        }
-        StringJoiner all = new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[", "]}\n");
-        last.values().forEach(h -> all.add(h.json()));
-        return all.toString();
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject msg) {
+      if (!(msg instanceof HttpRequest request)) {
+        return;
+      }
+      QueryStringDecoder query = new QueryStringDecoder(request.uri());
+      if (!query.path().equals("/catalog/members")) {
+        channel.writeAndFlush(
+            new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.NOT_FOUND));
+        return;
+      }
+      List<String> since = query.parameters().get("since");
+      boolean follow =
+          query.parameters().containsKey("follow")
+              && since != null
+              && since.get(0).matches("[0-9]{1,18}");
+      Runnable answer = follow ? () -> watch(Long.parseLong(since.get(0))) : this::list;
+      if (silent) {
+        held = answer;
+      } else {
+        answer.run();
+      }
     }
 
-    private static ByteBuf bytes(String text) {
-        return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
+    private void list() {
+      ByteBuf text = bytes(whole());
+      DefaultFullHttpResponse all =
+          new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, text);
+      all.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes());
+      channel.writeAndFlush(all);
     }
 
-    /** Lets so many bytes out, and drops the rest. */
-    private static final class Cut extends ChannelOutboundHandlerAdapter {
-        private long left = Long.MAX_VALUE;
-
-        @Override public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
-            ByteBuf out = (ByteBuf) msg;
-            int n = out.readableBytes();
-            if (n <= left) {
-                left -= left == Long.MAX_VALUE ? 0 : n;
-                ctx.write(out, promise);
-            } else {
-                ctx.write(out.readRetainedSlice((int) left), promise);
-                out.release();
-                left = 0;
-            }
-        }
+    private void watch(long version) {
+      DefaultHttpResponse head =
+          new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+      head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      channel.write(head);
+      line(version == seq ? "\n" : since(version));
+      at = seq;
+      beat();
     }
 
-    private final class Line extends SimpleChannelInboundHandler<HttpObject> {
-        private final Channel channel;
-        private final Cut cut = new Cut();
-        /** The version that its watch has, or -1 where it is none. */
-        private long at = -1;
-        private Runnable held;
-
-        Line(Channel channel) {
-            this.channel = channel;
-        }
-
-        @Override public void channelActive(ChannelHandlerContext ctx) {
-            lines.add(this);
-            if (stallAt >= 0) {
-                cut.left = stallAt;
-                stallAt = -1;
+    private void beat() {
+      long had = at;
+      loop.after(
+          BEAT,
+          () -> {
+            if (channel.isActive()) {
+              if (!silent && at == had) {
+                line("\n");
+              }
+              beat();
             }
-        }
-
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
-            lines.remove(this);
-        }
+          });
+    }
 
-        @Override protected void channelRead0(ChannelHandlerContext ctx, HttpObject msg) {
-            if (!(msg instanceof HttpRequest request)) {
-                return;
-            }
-            QueryStringDecoder query = new QueryStringDecoder(request.uri());
-            if (!query.path().equals("/catalog/members")) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.NOT_FOUND));
-                return;
-            }
-            List<String> since = query.parameters().get("since");
-            boolean follow = query.parameters().containsKey("follow") && since != null
-                && since.get(0).matches("[0-9]{1,18}");
-            Runnable answer = follow ? () -> watch(Long.parseLong(since.get(0))) : this::list;
-            if (silent) {
-                held = answer;
-            } else {
-                answer.run();
-            }
-        }
-
-        private void list() {
-            ByteBuf text = bytes(whole());
-            DefaultFullHttpResponse all =
-                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, text);
-            all.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes());
-            channel.writeAndFlush(all);
-        }
-
-        private void watch(long version) {
-            DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            channel.write(head);
-            line(version == seq ? "\n" : since(version));
-            at = seq;
-            beat();
-        }
-
-        private void beat() {
-            long had = at;
-            loop.after(BEAT, () -> {
-                if (channel.isActive()) {
-                    if (!silent && at == had) {
-                        line("\n");
-                    }
-                    beat();
-                }
-            });
-        }
+    private void line(String text) {
+      channel.writeAndFlush(new DefaultHttpContent(bytes(text)));
+    }
 
-        private void line(String text) {
-            channel.writeAndFlush(new DefaultHttpContent(bytes(text)));
-        }
+    /** The list has changed. */
+    private void more() {
+      if (at >= 0 && !silent) {
+        line(since(at));
+        at = seq;
+      }
+    }
 
-        /** The list has changed. */
-        private void more() {
-            if (at >= 0 && !silent) {
-                line(since(at));
-                at = seq;
-            }
-        }
-
-        private void speak() {
-            if (held != null) {
-                held.run();
-                held = null;
-            } else if (at >= 0 && at != seq) {
-                more();
-            }
-        }
+    private void speak() {
+      if (held != null) {
+        held.run();
+        held = null;
+      } else if (at >= 0 && at != seq) {
+        more();
+      }
+    }
 
-        @Override public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
-        }
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      ctx.close();
     }
+  }
 }
--- a/src/main/java/willowyoke/store/Disk.java
+++ b/src/main/java/willowyoke/store/Disk.java
@@ -4,49 +4,54 @@
 import java.util.List;
 
 /**
- * All that the engine knows of a folder on a disk, so that a test can lose, tear and reorder what was not synced. What
- * is not synced may be lost in any part: bytes by {@link File#sync}, entries of the folder by {@link #syncFolder}.
+ * All that the engine knows of a folder on a disk, so that a test can lose, tear and reorder what
+ * was not synced. What is not synced may be lost in any part: bytes by {@link File#sync}, entries
+ * of the folder by {@link #syncFolder}.
  */
 interface Disk extends AutoCloseable {
-    /** One file. Reads may come from any thread, all else from the writer's. */
-    interface File {
-        /** Fills as much of the buffer as there is from that place (bytes); what lies behind the end stays unread. */
-        void read(ByteBuffer into, long at) throws DiskException;
+  /** One file. Reads may come from any thread, all else from the writer's. */
+  interface File {
+    /**
+     * Fills as much of the buffer as there is from that place (bytes); what lies behind the end
+     * stays unread.
+     */
+    void read(ByteBuffer into, long at) throws DiskException;
 
-        /** Writes all of the buffer at that place, which is the end or before it. */
-        void write(ByteBuffer from, long at) throws DiskException;
+    /** Writes all of the buffer at that place, which is the end or before it. */
+    void write(ByteBuffer from, long at) throws DiskException;
 
-        /** Returns when all that was written lasts. After a failure none of it may be taken to. */
-        void sync() throws DiskException;
+    /** Returns when all that was written lasts. After a failure none of it may be taken to. */
+    void sync() throws DiskException;
 
-        long size() throws DiskException;
+    long size() throws DiskException;
 
-        void truncate(long size) throws DiskException;
+    void truncate(long size) throws DiskException;
 
-        void close();
-    }
+    void close();
+  }
 
-    /** What the disk says when it fails. */
-    final class DiskException extends Exception {
-        private static final long serialVersionUID = 1;
+  /** What the disk says when it fails. */
+  final class DiskException extends Exception {
+    private static final long serialVersionUID = 1;
 
-        DiskException(String message, Throwable cause) {
-            super(message, cause);
-        }
+    DiskException(String message, Throwable cause) {
+      super(message, cause);
     }
+  }
 
-    List<String> names() throws DiskException;
+  List<String> names() throws DiskException;
 
-    /** Opens a file for reading and writing; it is made, or emptied, where fresh. */
-    File open(String name, boolean fresh) throws DiskException;
+  /** Opens a file for reading and writing; it is made, or emptied, where fresh. */
+  File open(String name, boolean fresh) throws DiskException;
 
-    /** Puts the file in the place of another, which is replaced at once or not at all. */
-    void rename(String from, String to) throws DiskException;
+  /** Puts the file in the place of another, which is replaced at once or not at all. */
+  void rename(String from, String to) throws DiskException;
 
-    void delete(String name) throws DiskException;
+  void delete(String name) throws DiskException;
 
-    /** Returns when the folder's entries last: files made, renamed and deleted. */
-    void syncFolder() throws DiskException;
+  /** Returns when the folder's entries last: files made, renamed and deleted. */
+  void syncFolder() throws DiskException;
 
-    @Override void close();
+  @Override
+  void close();
 }
--- a/src/main/java/willowyoke/store/FileDisk.java
+++ b/src/main/java/willowyoke/store/FileDisk.java
@@ -15,153 +15,178 @@
 
 /** A folder of the machine's, held by one process at a time. */
 final class FileDisk implements Disk {
-    private static final String LOCK = "LOCK";
-    private final Path folder;
-    private final FileChannel lockFile;
-    private final FileLock lock;
-
-    /** Opens the folder; it is made where it is missing and its parent is there. */
-    FileDisk(Path folder) throws StoreException, DiskException {
-        this.folder = folder;
-        FileChannel channel = null;
-        try {
-            if (!Files.isDirectory(folder)) {
-                Files.createDirectory(folder);
-                try (FileChannel parent = FileChannel.open(folder.toAbsolutePath().getParent())) {
-                    parent.force(true);
-                }
-            }
-            channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-            lock = channel.tryLock();
-        } catch (OverlappingFileLockException e) {
-            throw locked(channel);
-        } catch (IOException e) {
-            throw failed(folder.toString(), e);
-        }
-        lockFile = channel;
-        if (lock == null) {
-            throw locked(channel);
+  private static final String LOCK = "LOCK";
+  private final Path folder;
+  private final FileChannel lockFile;
+  private final FileLock lock;
+
+  /** Opens the folder; it is made where it is missing and its parent is there. */
+  FileDisk(Path folder) throws StoreException, DiskException {
+    this.folder = folder;
+    FileChannel channel = null;
+    try {
+      if (!Files.isDirectory(folder)) {
+        Files.createDirectory(folder);
+        try (FileChannel parent = FileChannel.open(folder.toAbsolutePath().getParent())) {
+          parent.force(true);
         }
+      }
+      channel =
+          FileChannel.open(
+              folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+      lock = channel.tryLock();
+    } catch (OverlappingFileLockException e) {
+      throw locked(channel);
+    } catch (IOException e) {
+      throw failed(folder.toString(), e);
     }
-
-    private StoreException locked(FileChannel channel) throws DiskException {
-        try {
-            channel.close();
-        } catch (IOException e) {
-            throw failed(LOCK, e);
-        }
-        return new StoreException(StoreException.Reason.LOCKED, folder + " is open in another process");
+    lockFile = channel;
+    if (lock == null) {
+      throw locked(channel);
     }
+  }
 
-    private static DiskException failed(String name, IOException e) {
-        return new DiskException(name + ": " + (e.getMessage() == null ? e.getClass().getSimpleName()
-            : e.getMessage()), e);
+  private StoreException locked(FileChannel channel) throws DiskException {
+    try {
+      channel.close();
+    } catch (IOException e) {
+      throw failed(LOCK, e);
     }
-
-    @Override public List<String> names() throws DiskException {
-        try (Stream<Path> all = Files.list(folder)) {
-            return all.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK)).sorted().toList();
-        } catch (IOException | UncheckedIOException e) {
-            throw failed(folder.toString(), e instanceof IOException io ? io : (IOException) e.getCause());
-        }
+    return new StoreException(StoreException.Reason.LOCKED, folder + " is open in another process");
+  }
+
+  private static DiskException failed(String name, IOException e) {
+    return new DiskException(
+        name + ": " + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage()), e);
+  }
+
+  @Override
+  public List<String> names() throws DiskException {
+    try (Stream<Path> all = Files.list(folder)) {
+      return all.map(p -> p.getFileName().toString())
+          .filter(n -> !n.equals(LOCK))
+          .sorted()
+          .toList();
+    } catch (IOException | UncheckedIOException e) {
+      throw failed(
+          folder.toString(), e instanceof IOException io ? io : (IOException) e.getCause());
     }
-
-    @Override public File open(String name, boolean fresh) throws DiskException {
-        try {
-            return new Open(name, fresh
-                ? FileChannel.open(folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE,
-                    StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING)
-                : FileChannel.open(folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
-        } catch (IOException e) {
-            throw failed(name, e);
-        }
+  }
+
+  @Override
+  public File open(String name, boolean fresh) throws DiskException {
+    try {
+      return new Open(
+          name,
+          fresh
+              ? FileChannel.open(
+                  folder.resolve(name),
+                  StandardOpenOption.READ,
+                  StandardOpenOption.WRITE,
+                  StandardOpenOption.CREATE,
+                  StandardOpenOption.TRUNCATE_EXISTING)
+              : FileChannel.open(
+                  folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
+    } catch (IOException e) {
+      throw failed(name, e);
     }
-
-    @Override public void rename(String from, String to) throws DiskException {
-        try {
-            Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
-        } catch (IOException e) {
-            throw failed(from, e);
-        }
+  }
+
+  @Override
+  public void rename(String from, String to) throws DiskException {
+    try {
+      Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    } catch (IOException e) {
+      throw failed(from, e);
     }
-
-    @Override public void delete(String name) throws DiskException {
-        try {
-            Files.delete(folder.resolve(name));
-        } catch (IOException e) {
-            throw failed(name, e);
-        }
+  }
+
+  @Override
+  public void delete(String name) throws DiskException {
+    try {
+      Files.delete(folder.resolve(name));
+    } catch (IOException e) {
+      throw failed(name, e);
     }
-
-    @Override public void syncFolder() throws DiskException {
-        try (FileChannel entries = FileChannel.open(folder)) {
-            entries.force(true);
-        } catch (IOException e) {
-            throw failed(folder.toString(), e);
-        }
+  }
+
+  @Override
+  public void syncFolder() throws DiskException {
+    try (FileChannel entries = FileChannel.open(folder)) {
+      entries.force(true);
+    } catch (IOException e) {
+      throw failed(folder.toString(), e);
     }
-
-    @Override public void close() {
-        try {
-            lock.release();
-            lockFile.close();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  }
+
+  @Override
+  public void close() {
+    try {
+      lock.release();
+      lockFile.close();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
-
-    private record Open(String name, FileChannel channel) implements File {
-        @Override public void read(ByteBuffer into, long at) throws DiskException {
-            try {
-                long from = at;
-                for (int n = 0; into.hasRemaining() && n >= 0; from += n) {
-                    n = channel.read(into, from);
-                }
-            } catch (IOException e) {
-                throw failed(name, e);
-            }
+  }
+
+  private record Open(String name, FileChannel channel) implements File {
+    @Override
+    public void read(ByteBuffer into, long at) throws DiskException {
+      try {
+        long from = at;
+        for (int n = 0; into.hasRemaining() && n >= 0; from += n) {
+          n = channel.read(into, from);
         }
+      } catch (IOException e) {
+        throw failed(name, e);
+      }
+    }
 
-        @Override public void write(ByteBuffer from, long at) throws DiskException {
-            try {
-                for (long to = at; from.hasRemaining();) {
-                    to += channel.write(from, to);
-                }
-            } catch (IOException e) {
-                throw failed(name, e);
-            }
+    @Override
+    public void write(ByteBuffer from, long at) throws DiskException {
+      try {
+        for (long to = at; from.hasRemaining(); ) {
+          to += channel.write(from, to);
         }
+      } catch (IOException e) {
+        throw failed(name, e);
+      }
+    }
 
-        @Override public void sync() throws DiskException {
-            try {
-                channel.force(false); // with the size, which fdatasync writes too where reading needs it
-            } catch (IOException e) {
-                throw failed(name, e);
-            }
-        }
+    @Override
+    public void sync() throws DiskException {
+      try {
+        channel.force(false); // with the size, which fdatasync writes too where reading needs it
+      } catch (IOException e) {
+        throw failed(name, e);
+      }
+    }
 
-        @Override public long size() throws DiskException {
-            try {
-                return channel.size();
-            } catch (IOException e) {
-                throw failed(name, e);
-            }
-        }
+    @Override
+    public long size() throws DiskException {
+      try {
+        return channel.size();
+      } catch (IOException e) {
+        throw failed(name, e);
+      }
+    }
 
-        @Override public void truncate(long size) throws DiskException {
-            try {
-                channel.truncate(size);
-            } catch (IOException e) {
-                throw failed(name, e);
-            }
-        }
+    @Override
+    public void truncate(long size) throws DiskException {
+      try {
+        channel.truncate(size);
+      } catch (IOException e) {
+        throw failed(name, e);
+      }
+    }
 
-        @Override public void close() {
-            try {
-                channel.close();
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-        }
+    @Override
+    public void close() {
+      try {
+        channel.close();
+      } catch (IOException e) {
+        throw new UncheckedIOException(e);
+      }
     }
+  }
 }
--- a/src/test/java/willowyoke/CommandLineTest.java
+++ b/src/test/java/willowyoke/CommandLineTest.java
@@ -18,65 +18,83 @@
 /** The commands as operators run them: a process each. */
 @Timeout(60)
 class CommandLineTest {
-    private record Ended(int code, String out, String err) { }
+  private record Ended(int code, String out, String err) {}
 
-    @TempDir Path folder;
+  @TempDir Path folder;
 
-    private Ended run(Map<String, String> env, String... args) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            System.getProperty("java.class.path"), "willowyoke.Main"));
-        command.addAll(List.of(args));
-        Path out = folder.resolve("out");
-        Path err = folder.resolve("err");
-        ProcessBuilder start = new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile());
-        start.environment().remove("EDGE_CONFIG");
-        start.environment().putAll(env);
-        Process process = start.start();
-        assertTrue(process.waitFor(30, TimeUnit.SECONDS), "does not end");
-        return new Ended(process.exitValue(), Files.readString(out, StandardCharsets.UTF_8),
-            Files.readString(err, StandardCharsets.UTF_8));
-    }
+  private Ended run(Map<String, String> env, String... args)
+      throws IOException, InterruptedException {
+    List<String> command =
+        new ArrayList<>(
+            List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
+                System.getProperty("java.class.path"), "willowyoke.Main"));
+    command.addAll(List.of(args));
+    Path out = folder.resolve("out");
+    Path err = folder.resolve("err");
+    ProcessBuilder start =
+        new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile());
+    start.environment().remove("EDGE_CONFIG");
+    start.environment().putAll(env);
+    Process process = start.start();
+    assertTrue(process.waitFor(30, TimeUnit.SECONDS), "does not end");
+    return new Ended(
+        process.exitValue(),
+        Files.readString(out, StandardCharsets.UTF_8),
+        Files.readString(err, StandardCharsets.UTF_8));
+  }
 
-    @Test void helpIsAnAnswerAndNotAnError() throws Exception {
-        for (String[] args : new String[][] {{"--help"}, {"help"}, {"serve", "--help"}, {"check-settings", "--help"}}) {
-            Ended help = run(Map.of(), args);
-            assertEquals(0, help.code, String.join(" ", args));
-            assertTrue(help.out.startsWith("usage: "), help.out);
-            assertEquals("", help.err);
-        }
-        Ended unknown = run(Map.of(), "sevre", "--help");
-        assertEquals(2, unknown.code, "there is no such command to be told of");
-        assertTrue(unknown.err.startsWith("usage: "), unknown.err);
-        Ended none = run(Map.of());
-        assertEquals(2, none.code);
-        assertTrue(none.err.startsWith("usage: "), none.err);
+  @Test
+  void helpIsAnAnswerAndNotAnError() throws Exception {
+    for (String[] args :
+        new String[][] {{"--help"}, {"help"}, {"serve", "--help"}, {"check-settings", "--help"}}) {
+      Ended help = run(Map.of(), args);
+      assertEquals(0, help.code, String.join(" ", args));
+      assertTrue(help.out.startsWith("usage: "), help.out);
+      assertEquals("", help.err);
     }
+    Ended unknown = run(Map.of(), "sevre", "--help");
+    assertEquals(2, unknown.code, "there is no such command to be told of");
+    assertTrue(unknown.err.startsWith("usage: "), unknown.err);
+    Ended none = run(Map.of());
+    assertEquals(2, none.code);
+    assertTrue(none.err.startsWith("usage: "), none.err);
+  }
 
-    @Test void settingsAreCheckedBeforeTheyAreUsed() throws Exception {
-        Path good = Files.writeString(folder.resolve("good.toml"), "[membership]\nfail_over_ms = 4000\n");
-        assertEquals(new Ended(0, good + ": good\n", ""), run(Map.of(), "check-settings", good.toString()));
-        Path bad = Files.writeString(folder.resolve("bad.toml"),
-            "[membership]\nfail_over_ms = \"soon\"\nsauces = []\n");
-        Ended refused = run(Map.of(), "check-settings", bad.toString());
-        assertEquals(2, refused.code);
-        assertTrue(refused.err.contains(bad + ":2: membership.fail_over_ms: found 'soon'"), refused.err);
-        assertTrue(refused.err.contains(":3: membership.sauces"), refused.err);
-        Ended missing = run(Map.of(), "check-settings", folder.resolve("none.toml").toString());
-        assertEquals(2, missing.code);
-        assertTrue(missing.err.contains("none.toml: cannot be read"), missing.err);
-    }
+  @Test
+  void settingsAreCheckedBeforeTheyAreUsed() throws Exception {
+    Path good =
+        Files.writeString(folder.resolve("good.toml"), "[membership]\nfail_over_ms = 4000\n");
+    assertEquals(
+        new Ended(0, good + ": good\n", ""), run(Map.of(), "check-settings", good.toString()));
+    Path bad =
+        Files.writeString(
+            folder.resolve("bad.toml"), "[membership]\nfail_over_ms = \"soon\"\nsauces = []\n");
+    Ended refused = run(Map.of(), "check-settings", bad.toString());
+    assertEquals(2, refused.code);
+    assertTrue(
+        refused.err.contains(bad + ":2: membership.fail_over_ms: found 'soon'"), refused.err);
+    assertTrue(refused.err.contains(":3: membership.sauces"), refused.err);
+    Ended missing = run(Map.of(), "check-settings", folder.resolve("none.toml").toString());
+    assertEquals(2, missing.code);
+    assertTrue(missing.err.contains("none.toml: cannot be read"), missing.err);
+  }
 
-    /** Nothing is started with them: the process ends before it listens. */
-    @Test void serveRefusesBadSettings() throws Exception {
-        Path config = Files.writeString(folder.resolve("config.json"), """
+  /** Nothing is started with them: the process ends before it listens. */
+  @Test
+  void serveRefusesBadSettings() throws Exception {
+    Path config =
+        Files.writeString(
+            folder.resolve("config.json"),
+            """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"sockets":64},
              "settings":{"rank":0,"group_size":1,
               "request_classes":[{"name":"read","effect":"read_like","aim":600,"hard_limit":2000}],
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}""");
-        Path bad = Files.writeString(folder.resolve("bad.toml"), "[membership]\nfail_over_ms = 1\n");
-        Ended ended = run(Map.of("EDGE_CONFIG", config.toString()), "serve", "--settings", bad.toString());
-        assertEquals(2, ended.code, ended.err);
-        assertTrue(ended.err.contains(":2: membership.fail_over_ms: found 1, allowed is"), ended.err);
-    }
+    Path bad = Files.writeString(folder.resolve("bad.toml"), "[membership]\nfail_over_ms = 1\n");
+    Ended ended =
+        run(Map.of("EDGE_CONFIG", config.toString()), "serve", "--settings", bad.toString());
+    assertEquals(2, ended.code, ended.err);
+    assertTrue(ended.err.contains(":2: membership.fail_over_ms: found 1, allowed is"), ended.err);
+  }
 }
--- a/src/test/java/willowyoke/Days.java
+++ b/src/test/java/willowyoke/Days.java
@@ -4,54 +4,69 @@
 import java.util.List;
 import java.util.Random;
 
-/** Days of one instance, drawn from a seed: what comes does not depend on what it does, but for answers. */
+/**
+ * Days of one instance, drawn from a seed: what comes does not depend on what it does, but for
+ * answers.
+ */
 final class Days {
-    private Days() { }
+  private Days() {}
 
-    private static Gateway.Server server(Random random, int i, double now) {
-        double started = random.nextInt(3) == 0 ? Math.max(0, now - random.nextInt(20_000)) : 0;
-        int of = random.nextInt(40) == 0 ? i + 2 : i; // now and then one moves to another cell and zone
-        Gateway.Server s = Bench.server(of, Gateway.State.values()[Math.max(0, random.nextInt(6) - 3)], started);
-        return new Gateway.Server("s" + i, s.cell(), s.zone(), s.state(), s.kind(), s.startedAt(), s.weight());
-    }
+  private static Gateway.Server server(Random random, int i, double now) {
+    double started = random.nextInt(3) == 0 ? Math.max(0, now - random.nextInt(20_000)) : 0;
+    int of = random.nextInt(40) == 0 ? i + 2 : i; // now and then one moves to another cell and zone
+    Gateway.Server s =
+        Bench.server(of, Gateway.State.values()[Math.max(0, random.nextInt(6) - 3)], started);
+    return new Gateway.Server(
+        "s" + i, s.cell(), s.zone(), s.state(), s.kind(), s.startedAt(), s.weight());
+  }
 
-    private static void list(Bench b, Random random, int servers) {
-        List<Gateway.Server> list = new ArrayList<>();
-        boolean whole = random.nextInt(6) == 0;
-        for (int n = whole ? random.nextInt(servers) + servers / 2 : 1 + random.nextInt(4); n > 0; n--) {
-            list.add(server(random, random.nextInt(servers), b.now)); // names twice in a list too
-        }
-        b.module.servers(b.now, list, whole);
+  private static void list(Bench b, Random random, int servers) {
+    List<Gateway.Server> list = new ArrayList<>();
+    boolean whole = random.nextInt(6) == 0;
+    for (int n = whole ? random.nextInt(servers) + servers / 2 : 1 + random.nextInt(4);
+        n > 0;
+        n--) {
+      list.add(server(random, random.nextInt(servers), b.now)); // names twice in a list too
     }
+    b.module.servers(b.now, list, whole);
+  }
 
-    /** Plays so many steps of a day; what the instance did stands in the log. */
-    static Bench play(Bench b, long seed, int servers, int steps) {
-        Random random = new Random(seed);
-        String[] types = {"read", "all", "zone", "cell", "once"};
-        String[] plans = {"rate", "open", "big", "big", "ceiling"};
-        Gateway.Outcome[] outcomes = Gateway.Outcome.values();
-        b.start().servers(servers);
-        boolean calm = true;
-        for (int i = 0; i < steps; i++) {
-            b.to(b.now + random.nextInt(random.nextInt(50) == 0 ? 2000 : 30));
-            calm = random.nextInt(100) == 0 ? !calm : calm;
-            switch (random.nextInt(40)) {
-                case 0 -> list(b, random, servers);
-                case 1 -> b.module.gone(b.now, Math.max(0, i - random.nextInt(20)));
-                case 2 -> b.answerCounter(Gateway.Outcome.TIMEOUT);
-                default -> b.answerCounter(Gateway.Outcome.OK);
-            }
-            int type = random.nextInt(types.length);
-            b.arrive(i, types[type], plans[random.nextInt(plans.length)], "c" + random.nextInt(9));
-            for (int k = 0; k < 6; k++) {
-                long id = Math.max(0, i - random.nextInt(30));
-                Gateway.Outcome outcome = calm || random.nextBoolean() ? Gateway.Outcome.OK
-                    : outcomes[random.nextInt(outcomes.length)];
-                b.module.ended(b.now, id, (int) Math.max(0, b.count("send " + id + " ") - 1), outcome,
-                    10 + random.nextInt(random.nextInt(8) == 0 ? 590 : 60), outcome == Gateway.Outcome.OK, 0,
-                    new double[0]);
-            }
-        }
-        return b;
+  /** Plays so many steps of a day; what the instance did stands in the log. */
+  static Bench play(Bench b, long seed, int servers, int steps) {
+    Random random = new Random(seed);
+    String[] types = {"read", "all", "zone", "cell", "once"};
+    String[] plans = {"rate", "open", "big", "big", "ceiling"};
+    Gateway.Outcome[] outcomes = Gateway.Outcome.values();
+    b.start().servers(servers);
+    boolean calm = true;
+    for (int i = 0; i < steps; i++) {
+      b.to(b.now + random.nextInt(random.nextInt(50) == 0 ? 2000 : 30));
+      calm = random.nextInt(100) == 0 ? !calm : calm;
+      switch (random.nextInt(40)) {
+        case 0 -> list(b, random, servers);
+        case 1 -> b.module.gone(b.now, Math.max(0, i - random.nextInt(20)));
+        case 2 -> b.answerCounter(Gateway.Outcome.TIMEOUT);
+        default -> b.answerCounter(Gateway.Outcome.OK);
+      }
+      int type = random.nextInt(types.length);
+      b.arrive(i, types[type], plans[random.nextInt(plans.length)], "c" + random.nextInt(9));
+      for (int k = 0; k < 6; k++) {
+        long id = Math.max(0, i - random.nextInt(30));
+        Gateway.Outcome outcome =
+            calm || random.nextBoolean()
+                ? Gateway.Outcome.OK
+                : outcomes[random.nextInt(outcomes.length)];
+        b.module.ended(
+            b.now,
+            id,
+            (int) Math.max(0, b.count("send " + id + " ") - 1),
+            outcome,
+            10 + random.nextInt(random.nextInt(8) == 0 ? 590 : 60),
+            outcome == Gateway.Outcome.OK,
+            0,
+            new double[0]);
+      }
     }
+    return b;
+  }
 }
--- a/src/test/java/willowyoke/bench/ChangeCost.java
+++ b/src/test/java/willowyoke/bench/ChangeCost.java
@@ -9,57 +9,76 @@
 import willowyoke.membership.Membership;
 
 /**
- * The core's cost of one change, and of one whole list that changes one server, by the length of the list. Run from
- * the repository's root: {@code java -cp target/test-classes:target/classes willowyoke.bench.ChangeCost}. Prints the
- * median of 11 rounds, and their least and most, in microseconds.
+ * The core's cost of one change, and of one whole list that changes one server, by the length of
+ * the list. Run from the repository's root: {@code java -cp target/test-classes:target/classes
+ * willowyoke.bench.ChangeCost}. Prints the median of 11 rounds, and their least and most, in
+ * microseconds.
  */
 final class ChangeCost {
-    private static final int ROUNDS = 11;
+  private static final int ROUNDS = 11;
 
-    private ChangeCost() { }
+  private ChangeCost() {}
 
-    private static Entry entry(int i, Gateway.State state) {
-        return new Entry(new Gateway.Server("s" + i, 0, "z", state, "m", 0, 1), "127.0.0.1:" + (1000 + i));
-    }
+  private static Entry entry(int i, Gateway.State state) {
+    return new Entry(
+        new Gateway.Server("s" + i, 0, "z", state, "m", 0, 1), "127.0.0.1:" + (1000 + i));
+  }
 
-    public static void main(String[] args) {
-        for (int n : new int[] {10, 1000, 10_000}) {
-            Membership core = new Membership(Limits.defaults(18_000), "a");
-            List<Entry> all = new ArrayList<>();
-            for (int i = 0; i < n; i++) {
-                all.add(entry(i, Gateway.State.UP));
-            }
-            double now = 1e6;
-            long seq = 1;
-            core.told(now, "a", seq, true, all);
-            List<Double> one = new ArrayList<>();
-            List<Double> whole = new ArrayList<>();
-            int turns = Math.max(20, 200_000 / n);
-            long told = 0;
-            for (int r = 0; r < ROUNDS + 5; r++) {
-                long t0 = System.nanoTime();
-                for (int k = 0; k < 2000; k++) {
-                    now += 200;
-                    told += core.told(now, "a", ++seq, false, List.of(entry(k % n, k / n % 2 == 0
-                        ? Gateway.State.DRAINING : Gateway.State.UP))).entries().size();
-                }
-                long t1 = System.nanoTime();
-                for (int k = 0; k < turns; k++) {
-                    now += 200;
-                    all.set(k % n, entry(k % n, k % 2 == 0 ? Gateway.State.DRAINING : Gateway.State.UP));
-                    told += core.told(now, "a", ++seq, true, all).entries().size();
-                }
-                long t2 = System.nanoTime();
-                if (r >= 5) {
-                    one.add((t1 - t0) / 2000.0 / 1000);
-                    whole.add((t2 - t1) / (double) turns / 1000);
-                }
-            }
-            one.sort(null);
-            whole.sort(null);
-            System.out.printf(Locale.ROOT, "%d servers: a change %.1f us (%.1f to %.1f), a whole list %.0f us (%.0f to"
-                + " %.0f); %d differences told%n", n, one.get(ROUNDS / 2), one.get(0), one.get(ROUNDS - 1),
-                whole.get(ROUNDS / 2), whole.get(0), whole.get(ROUNDS - 1), told);
+  public static void main(String[] args) {
+    for (int n : new int[] {10, 1000, 10_000}) {
+      Membership core = new Membership(Limits.defaults(18_000), "a");
+      List<Entry> all = new ArrayList<>();
+      for (int i = 0; i < n; i++) {
+        all.add(entry(i, Gateway.State.UP));
+      }
+      double now = 1e6;
+      long seq = 1;
+      core.told(now, "a", seq, true, all);
+      List<Double> one = new ArrayList<>();
+      List<Double> whole = new ArrayList<>();
+      int turns = Math.max(20, 200_000 / n);
+      long told = 0;
+      for (int r = 0; r < ROUNDS + 5; r++) {
+        long t0 = System.nanoTime();
+        for (int k = 0; k < 2000; k++) {
+          now += 200;
+          told +=
+              core.told(
+                      now,
+                      "a",
+                      ++seq,
+                      false,
+                      List.of(
+                          entry(k % n, k / n % 2 == 0 ? Gateway.State.DRAINING : Gateway.State.UP)))
+                  .entries()
+                  .size();
+        }
+        long t1 = System.nanoTime();
+        for (int k = 0; k < turns; k++) {
+          now += 200;
+          all.set(k % n, entry(k % n, k % 2 == 0 ? Gateway.State.DRAINING : Gateway.State.UP));
+          told += core.told(now, "a", ++seq, true, all).entries().size();
+        }
+        long t2 = System.nanoTime();
+        if (r >= 5) {
+          one.add((t1 - t0) / 2000.0 / 1000);
+          whole.add((t2 - t1) / (double) turns / 1000);
         }
+      }
+      one.sort(null);
+      whole.sort(null);
+      System.out.printf(
+          Locale.ROOT,
+          "%d servers: a change %.1f us (%.1f to %.1f), a whole list %.0f us (%.0f to"
+              + " %.0f); %d differences told%n",
+          n,
+          one.get(ROUNDS / 2),
+          one.get(0),
+          one.get(ROUNDS - 1),
+          whole.get(ROUNDS / 2),
+          whole.get(0),
+          whole.get(ROUNDS - 1),
+          told);
     }
+  }
 }
--- a/src/test/java/willowyoke/config/EdgeSettingsTest.java
+++ b/src/test/java/willowyoke/config/EdgeSettingsTest.java
@@ -13,54 +13,68 @@
 import willowyoke.membership.Limits;
 import willowyoke.repeats.Bounds;
 
-/** The operators' settings: all faults together, each with file, line, key, what was found and what is allowed. */
+/**
+ * The operators' settings: all faults together, each with file, line, key, what was found and what
+ * is allowed.
+ */
 class EdgeSettingsTest {
-    @TempDir Path folder;
+  @TempDir Path folder;
 
-    private static EdgeSettings read(String text) throws EdgeSettings.Refused {
-        return EdgeSettings.of(new TomlReader("f.toml", text), 18_000);
-    }
+  private static EdgeSettings read(String text) throws EdgeSettings.Refused {
+    return EdgeSettings.of(new TomlReader("f.toml", text), 18_000);
+  }
 
-    private static List<String> refused(String text) {
-        return assertThrows(EdgeSettings.Refused.class, () -> read(text)).faults();
-    }
+  private static List<String> refused(String text) {
+    return assertThrows(EdgeSettings.Refused.class, () -> read(text)).faults();
+  }
 
-    @Test void nothingIsTheDefaults() throws Exception {
-        EdgeSettings none = read("");
-        assertEquals(Limits.defaults(18_000), none.limits());
-        assertEquals(List.of("agent"), none.sources());
-        assertNull(none.repeats());
-        assertEquals(0, none.campuses());
-        assertEquals(256, none.subset());
-        assertEquals(64, read("subset.servers = 64").subset());
-    }
+  @Test
+  void nothingIsTheDefaults() throws Exception {
+    EdgeSettings none = read("");
+    assertEquals(Limits.defaults(18_000), none.limits());
+    assertEquals(List.of("agent"), none.sources());
+    assertNull(none.repeats());
+    assertEquals(0, none.campuses());
+    assertEquals(256, none.subset());
+    assertEquals(64, read("subset.servers = 64").subset());
+  }
 
-    /** The documented sample is good as it is, and with every key on. */
-    @Test void theSampleIsGood() throws Exception {
-        String sample = Files.readString(Path.of("deploy/edge.toml"));
-        assertEquals(read("").limits(), read(sample).limits());
-        String on = sample.replaceAll("(?m)^# ([a-z_]+ = )", "$1").replace("/run/secrets/consul-token",
-            Files.writeString(folder.resolve("token"), "t").toString()).replaceAll("/var/lib/", folder + "/");
-        String kept = on.replace("enabled = false", "enabled = true");
-        assertEquals(folder.resolve("nickelstand"), read(kept).store());
-        on = on.replaceAll("(?m)^folder = .*", ""); // it is for what is off here
-        EdgeSettings all = read(on);
-        assertEquals(Limits.defaults(18_000), all.limits());
-        assertEquals(new EdgeSettings.Eds("127.0.0.1:18000", "enrol", "nickelstand", 500), all.eds());
-        assertEquals(new EdgeSettings.DnsSrv("_resp._tcp.enrol.example", List.of("127.0.0.1:53"), 1000, 30_000),
-            all.dnsSrv());
-        assertNull(all.repeats()); // the sample has all off
-        assertEquals(Bounds.DEFAULT, read(kept).repeats());
-    }
+  /** The documented sample is good as it is, and with every key on. */
+  @Test
+  void theSampleIsGood() throws Exception {
+    String sample = Files.readString(Path.of("deploy/edge.toml"));
+    assertEquals(read("").limits(), read(sample).limits());
+    String on =
+        sample
+            .replaceAll("(?m)^# ([a-z_]+ = )", "$1")
+            .replace(
+                "/run/secrets/consul-token",
+                Files.writeString(folder.resolve("token"), "t").toString())
+            .replaceAll("/var/lib/", folder + "/");
+    String kept = on.replace("enabled = false", "enabled = true");
+    assertEquals(folder.resolve("nickelstand"), read(kept).store());
+    on = on.replaceAll("(?m)^folder = .*", ""); // it is for what is off here
+    EdgeSettings all = read(on);
+    assertEquals(Limits.defaults(18_000), all.limits());
+    assertEquals(new EdgeSettings.Eds("127.0.0.1:18000", "enrol", "nickelstand", 500), all.eds());
+    assertEquals(
+        new EdgeSettings.DnsSrv("_resp._tcp.enrol.example", List.of("127.0.0.1:53"), 1000, 30_000),
+        all.dnsSrv());
+    assertNull(all.repeats()); // the sample has all off
+    assertEquals(Bounds.DEFAULT, read(kept).repeats());
+  }
 
-    @Test void whatIsWrongWithTheStoreOfRepeatsIsTold() {
-        assertEquals(List.of(
+  @Test
+  void whatIsWrongWithTheStoreOfRepeatsIsTold() {
+    assertEquals(
+        List.of(
             "f.toml:2: repeats.enabled: found 'yes', allowed is true or false",
             "f.toml:3: repeats.entries: found 0, allowed is a whole number from 1 to 1000000",
             "f.toml:4: repeats.when_full: found 'drop', allowed is one of forget, refuse",
             "f.toml:6: figures.campuses: found -1, allowed is a whole number from 0 to 10000",
             "f.toml:8: subset.servers: found 63, allowed is a whole number from 64 to 1000000"),
-            refused("""
+        refused(
+            """
                 [repeats]
                 enabled = "yes"
                 entries = 0
@@ -70,17 +84,20 @@
                 [subset]
                 servers = 63
                 """));
-    }
+  }
 
-    @Test void allFaultsAreToldTogetherEachWithItsPlace() {
-        assertEquals(List.of(
+  @Test
+  void allFaultsAreToldTogetherEachWithItsPlace() {
+    assertEquals(
+        List.of(
             "f.toml:2: membership.sources: found 'zookeeper', allowed is a list of agent, consul, eds, dns_srv",
             "f.toml:3: membership.fail_over_ms: found 10, allowed is a whole number from 500 to 600000",
             "f.toml:4: membership.up_after_ms: found 'soon', allowed is a whole number from 0 to 60000",
             "f.toml:5: membership.shrink_share: found 1.5, allowed is a number from 0 to 1",
             "f.toml:7: membership.eds.address: found 'localhost:80', allowed is address:port, numeric",
             "f.toml:8: membership.eds.refresh_mss: unknown key, 'membership.eds.refresh_ms' perhaps"),
-            refused("""
+        refused(
+            """
                 [membership]
                 sources = ["agent", "zookeeper"]
                 fail_over_ms = 10
@@ -90,41 +107,52 @@
                 address = "localhost:80"
                 refresh_mss = 5
                 """));
-    }
+  }
 
-    @Test void settingsThatContradictEachOtherAreRefused() {
-        assertEquals(List.of(
+  @Test
+  void settingsThatContradictEachOtherAreRefused() {
+    assertEquals(
+        List.of(
             "f.toml:4: membership.up_after_most_ms: is less than membership.up_after_ms, 500",
             "f.toml:5: membership.hold_empty_ms: is less than membership.hold_shrunk_ms, 2000",
             "f.toml:2: membership.sources: names 'consul', and membership.consul.service is not set",
             "f.toml:2: membership.sources: names 'dns_srv', and membership.dns_srv.name is not set",
             "f.toml:2: membership.sources: names 'dns_srv', and membership.dns_srv.servers is not set"),
-            refused("""
+        refused(
+            """
                 [membership]
                 sources = ["consul", "dns_srv"]
                 up_after_ms = 500
                 up_after_most_ms = 100
                 hold_empty_ms = 5
                 """));
-        assertEquals(List.of("f.toml:1: membership.sources: names a source twice"),
-            refused("membership.sources = [\"agent\", \"agent\"]"));
-    }
+    assertEquals(
+        List.of("f.toml:1: membership.sources: names a source twice"),
+        refused("membership.sources = [\"agent\", \"agent\"]"));
+  }
 
-    @Test void whatIsNoTomlIsRefusedWithItsLine() {
-        assertEquals("f.toml:2", refused("[membership]\nfail_over_ms = = 3\n").get(0).substring(0, 8));
-        assertEquals(List.of("f.toml:1: membership: found 3, allowed is a table"), refused("membership = 3"));
-    }
+  @Test
+  void whatIsNoTomlIsRefusedWithItsLine() {
+    assertEquals("f.toml:2", refused("[membership]\nfail_over_ms = = 3\n").get(0).substring(0, 8));
+    assertEquals(
+        List.of("f.toml:1: membership: found 3, allowed is a table"), refused("membership = 3"));
+  }
 
-    @Test void aSecretsFileMustBeThere() {
-        assertEquals(List.of("f.toml:3: membership.consul.token_file: '/nowhere/token' is no file that can be read"),
-            refused("""
+  @Test
+  void aSecretsFileMustBeThere() {
+    assertEquals(
+        List.of(
+            "f.toml:3: membership.consul.token_file: '/nowhere/token' is no file that can be read"),
+        refused(
+            """
             [membership.consul]
             service = "enrol"
             token_file = "/nowhere/token"
             """));
-    }
+  }
 
-    @Test void aFileThatIsMissingIsAnError() {
-        assertThrows(IOException.class, () -> EdgeSettings.read(folder.resolve("none"), 0));
-    }
+  @Test
+  void aFileThatIsMissingIsAnError() {
+    assertThrows(IOException.class, () -> EdgeSettings.read(folder.resolve("none"), 0));
+  }
 }
--- a/src/test/java/willowyoke/kit/Crossings.java
+++ b/src/test/java/willowyoke/kit/Crossings.java
@@ -52,39 +52,44 @@
 import willowyoke.standin.Rack;
 
 /**
- * Some seconds of one edge node in virtual time, all of whose moments are drawn from one seed: clients that leave,
- * ask behind each other, stop within a command or ask on to the end; servers that die, come back, fall silent, drain
- * or talk nonsense; connects that come up late; a watch that stalls, discovery and counter that fall silent or move;
- * SIGTERM. One in two clients that leave is seen to have left late, as on a busy loop. It is judged by what passed on
- * the sockets, and by three rules of its own: no attempt, first or further, begins for a client that has left, nothing
- * taken is unanswered when the process ends, and nothing is when it may be killed.
+ * Some seconds of one edge node in virtual time, all of whose moments are drawn from one seed:
+ * clients that leave, ask behind each other, stop within a command or ask on to the end; servers
+ * that die, come back, fall silent, drain or talk nonsense; connects that come up late; a watch
+ * that stalls, discovery and counter that fall silent or move; SIGTERM. One in two clients that
+ * leave is seen to have left late, as on a busy loop. It is judged by what passed on the sockets,
+ * and by three rules of its own: no attempt, first or further, begins for a client that has left,
+ * nothing taken is unanswered when the process ends, and nothing is when it may be killed.
  */
 final class Crossings {
-    /** What is wrong on purpose, to see that it is found. */
-    enum Planted {
-        NOTHING,
-        /** The node's process ends a fixed time after SIGTERM. */
-        AN_EARLY_END,
-        /** What is written on a new connection stays in a queue until it would have come up. */
-        LEFT_QUEUED,
-        /** Whether a client has left is known once that has been read, and not before. */
-        ENDS_READ_LATE
-    }
-
-    /** A first attempt for a client that has left. */
-    static final String GONE_FIRST = "gone-is-not-sent";
-    /** A further one. */
-    static final String GONE_FURTHER = "gone-is-not-sent-again";
-
-    private static final AtomicLong WORLDS = new AtomicLong();
-    private static final int SERVERS = 5;
-    private static final int PORT = 7000;
-    private static final double LENGTH = 5000;
-    private static final double GRANTED = 700;
-    /** Ends that are seen late are within this (ms): three times what the page allows. */
-    private static final double SEEN_WITHIN = 300;
-    private static final Capacity.Size SIZE = new Capacity.Size(2, 8, 16, 12, 0.3, 1500);
-    private static final String CONFIG = """
+  /** What is wrong on purpose, to see that it is found. */
+  enum Planted {
+    NOTHING,
+    /** The node's process ends a fixed time after SIGTERM. */
+    AN_EARLY_END,
+    /** What is written on a new connection stays in a queue until it would have come up. */
+    LEFT_QUEUED,
+    /** Whether a client has left is known once that has been read, and not before. */
+    ENDS_READ_LATE
+  }
+
+  /** A first attempt for a client that has left. */
+  static final String GONE_FIRST = "gone-is-not-sent";
+
+  /** A further one. */
+  static final String GONE_FURTHER = "gone-is-not-sent-again";
+
+  private static final AtomicLong WORLDS = new AtomicLong();
+  private static final int SERVERS = 5;
+  private static final int PORT = 7000;
+  private static final double LENGTH = 5000;
+  private static final double GRANTED = 700;
+
+  /** Ends that are seen late are within this (ms): three times what the page allows. */
+  private static final double SEEN_WITHIN = 300;
+
+  private static final Capacity.Size SIZE = new Capacity.Size(2, 8, 16, 12, 0.3, 1500);
+  private static final String CONFIG =
+      """
         {"name":"n0","listen":"10.3.0.1:7000","discovery":"10.1.0.%d:7000","counter":"10.1.0.%d:7000","seed":"%x",
          "limits":{"sockets":256},
          "settings":{"rank":0,"group_size":%d,"tick":4,
@@ -98,524 +103,674 @@
             "repeat_window":%d},
            {"name":"cobro","effect":"non_idempotent","aim":240,"hard_limit":480,"worth":3}],
           "tariffs":[{"name":"todo","per_second":200,"depth":400,"price":1}]}}""";
-    /** Not DEAF: what is written to a deaf one comes when it reads again, whatever has become of it meanwhile. */
-    private static final List<EnrolmentServer.Mood> MOODS = List.of(EnrolmentServer.Mood.SILENT,
-        EnrolmentServer.Mood.NOISE, EnrolmentServer.Mood.FAILING, EnrolmentServer.Mood.DRAINING);
-    private static final String[] TYPES = {"saldo", "reserva", "cobro"};
-
-    private final long seed;
-    private final Planted planted;
-    private final Random chance;
-    private final VirtualLoop loop = new VirtualLoop();
-    private final LocalTransport network = new LocalTransport("crossings" + WORLDS.incrementAndGet());
-    private final LoopThread shared = new LoopThread(loop, network, loop, line -> { });
-    private final List<Judge> judges;
-    private final List<Breach> own = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
-    private final Map<String, Double> left = new HashMap<>();
-    private final Set<String> sentOn = new HashSet<>();
-    /** Addresses of clients that have closed and are not seen to have. */
-    private final Set<SocketAddress> unseen = new HashSet<>();
-    /** Its own, so that a seed's other moments stay as they are. */
-    private final Random lateness;
-    private final Set<Caller> callers = new LinkedHashSet<>();
-    private final List<EnrolmentServer> servers = new ArrayList<>();
-    private final boolean[] dead = new boolean[SERVERS];
-    private final Discovery discovery;
-    private final Counter counter;
-    private final Node node;
-    private final Config told;
-    private final int keepAlive;
-    private final int nodes;
-    private final int attempts;
-    private final boolean cancels;
-    /** Watches stall; else discovery falls silent. What a stalled watch has missed cannot be asked of a silent one. */
-    private final boolean stalls;
-    private final int window;
-    private final int[] deadlines;
-    private boolean moved;
-    private boolean over;
-    private long ids;
-    private int answered;
-    private double began;
-
-    Crossings(long seed, Planted planted) throws IOException, InterruptedException {
-        this.seed = seed;
-        this.planted = planted;
-        chance = new Random(seed * 0x9e3779b97f4a7c15L);
-        lateness = new Random(~seed * 0x9e3779b97f4a7c15L);
-        nodes = chance.nextBoolean() ? 2 : 12;
-        cancels = chance.nextBoolean();
-        stalls = chance.nextBoolean();
-        attempts = 2 + chance.nextInt(4);
-        keepAlive = chance.nextBoolean() ? 800 : 15_000;
-        window = 400 + chance.nextInt(1200);
-        deadlines = new int[] {400 + chance.nextInt(1500), 900 + chance.nextInt(2500), 480};
-        told = configuration();
-        Terms terms = new Terms(told.settings());
-        judges = List.of(new AnswersOnce(terms), new EffectsOnce(terms), new Drains(terms));
-        Recorder recorder = new Recorder(this::see, this::day);
-        discovery = new Discovery(shared, 0, recorder).start(at(1, 1));
-        discovery.start(at(1, 3));
-        counter = new Counter(shared, Counter.Size.USUAL, new Trace()).start(at(1, 2));
-        counter.start(at(1, 4));
-        Rack[] racks = {new Rack("a", 0, window), new Rack("b", 1, window)};
-        for (int i = 0; i < SERVERS; i++) {
-            servers.add(new EnrolmentServer(shared, "s" + i, racks[i % 2], SIZE,
-                new EnrolmentServer.Habits(64, keepAlive, 200, 0.1), recorder, seed * 31 + i).start(at(2, i)));
-            see(new Event.Born(0, "s" + i, i % 2, SIZE, false));
-            discovery.set(servers.get(i).entry("active"));
-        }
-        node = new Node(told, Decide::new, null, new LoopThread(loop, new Late(), loop, line -> { }));
-    }
 
-    private Config configuration() throws IOException {
-        return Config.of(Json.read(CONFIG.formatted(moved ? 3 : 1, moved ? 4 : 2, seed, nodes, cancels, attempts,
-            keepAlive, deadlines[0], deadlines[1], window)), Map.of());
+  /**
+   * Not DEAF: what is written to a deaf one comes when it reads again, whatever has become of it
+   * meanwhile.
+   */
+  private static final List<EnrolmentServer.Mood> MOODS =
+      List.of(
+          EnrolmentServer.Mood.SILENT,
+          EnrolmentServer.Mood.NOISE,
+          EnrolmentServer.Mood.FAILING,
+          EnrolmentServer.Mood.DRAINING);
+
+  private static final String[] TYPES = {"saldo", "reserva", "cobro"};
+
+  private final long seed;
+  private final Planted planted;
+  private final Random chance;
+  private final VirtualLoop loop = new VirtualLoop();
+  private final LocalTransport network = new LocalTransport("crossings" + WORLDS.incrementAndGet());
+  private final LoopThread shared = new LoopThread(loop, network, loop, line -> {});
+  private final List<Judge> judges;
+  private final List<Breach> own = new ArrayList<>();
+  private final List<String> story = new ArrayList<>();
+  private final Map<String, Double> left = new HashMap<>();
+  private final Set<String> sentOn = new HashSet<>();
+
+  /** Addresses of clients that have closed and are not seen to have. */
+  private final Set<SocketAddress> unseen = new HashSet<>();
+
+  /** Its own, so that a seed's other moments stay as they are. */
+  private final Random lateness;
+
+  private final Set<Caller> callers = new LinkedHashSet<>();
+  private final List<EnrolmentServer> servers = new ArrayList<>();
+  private final boolean[] dead = new boolean[SERVERS];
+  private final Discovery discovery;
+  private final Counter counter;
+  private final Node node;
+  private final Config told;
+  private final int keepAlive;
+  private final int nodes;
+  private final int attempts;
+  private final boolean cancels;
+
+  /**
+   * Watches stall; else discovery falls silent. What a stalled watch has missed cannot be asked of
+   * a silent one.
+   */
+  private final boolean stalls;
+
+  private final int window;
+  private final int[] deadlines;
+  private boolean moved;
+  private boolean over;
+  private long ids;
+  private int answered;
+  private double began;
+
+  Crossings(long seed, Planted planted) throws IOException, InterruptedException {
+    this.seed = seed;
+    this.planted = planted;
+    chance = new Random(seed * 0x9e3779b97f4a7c15L);
+    lateness = new Random(~seed * 0x9e3779b97f4a7c15L);
+    nodes = chance.nextBoolean() ? 2 : 12;
+    cancels = chance.nextBoolean();
+    stalls = chance.nextBoolean();
+    attempts = 2 + chance.nextInt(4);
+    keepAlive = chance.nextBoolean() ? 800 : 15_000;
+    window = 400 + chance.nextInt(1200);
+    deadlines = new int[] {400 + chance.nextInt(1500), 900 + chance.nextInt(2500), 480};
+    told = configuration();
+    Terms terms = new Terms(told.settings());
+    judges = List.of(new AnswersOnce(terms), new EffectsOnce(terms), new Drains(terms));
+    Recorder recorder = new Recorder(this::see, this::day);
+    discovery = new Discovery(shared, 0, recorder).start(at(1, 1));
+    discovery.start(at(1, 3));
+    counter = new Counter(shared, Counter.Size.USUAL, new Trace()).start(at(1, 2));
+    counter.start(at(1, 4));
+    Rack[] racks = {new Rack("a", 0, window), new Rack("b", 1, window)};
+    for (int i = 0; i < SERVERS; i++) {
+      servers.add(
+          new EnrolmentServer(
+                  shared,
+                  "s" + i,
+                  racks[i % 2],
+                  SIZE,
+                  new EnrolmentServer.Habits(64, keepAlive, 200, 0.1),
+                  recorder,
+                  seed * 31 + i)
+              .start(at(2, i)));
+      see(new Event.Born(0, "s" + i, i % 2, SIZE, false));
+      discovery.set(servers.get(i).entry("active"));
     }
-
-    private static InetSocketAddress at(int net, int number) {
-        return new InetSocketAddress("10." + net + ".0." + (net == 2 ? number + 1 : number), PORT);
+    node = new Node(told, Decide::new, null, new LoopThread(loop, new Late(), loop, line -> {}));
+  }
+
+  private Config configuration() throws IOException {
+    return Config.of(
+        Json.read(
+            CONFIG.formatted(
+                moved ? 3 : 1,
+                moved ? 4 : 2,
+                seed,
+                nodes,
+                cancels,
+                attempts,
+                keepAlive,
+                deadlines[0],
+                deadlines[1],
+                window)),
+        Map.of());
+  }
+
+  private static InetSocketAddress at(int net, int number) {
+    return new InetSocketAddress("10." + net + ".0." + (net == 2 ? number + 1 : number), PORT);
+  }
+
+  private double day(double now) {
+    return now - VirtualLoop.START - began;
+  }
+
+  private double now() {
+    return day(loop.now());
+  }
+
+  private void see(Event event) {
+    if (event.at() >= 0) {
+      story.add(String.format(Locale.ROOT, "%.1f %s", event.at(), event));
     }
-
-    private double day(double now) {
-        return now - VirtualLoop.START - began;
+    judges.forEach(j -> j.see(event));
+    if (event instanceof Event.Came came) {
+      boolean first = sentOn.add(came.id());
+      // the page allows 100 ms; on this network nothing takes time, so that each ms is the node's
+      // own
+      if (came.at() > left.getOrDefault(came.id(), Double.MAX_VALUE)) {
+        breach(
+            first ? GONE_FIRST : GONE_FURTHER,
+            came.id(),
+            String.format(
+                Locale.ROOT,
+                "sent to %s %.1f ms after its client left",
+                came.server(),
+                came.at() - left.get(came.id())));
+      }
     }
-
-    private double now() {
-        return day(loop.now());
+  }
+
+  private void breach(String rule, String id, String what) {
+    own.add(new Breach(rule, now(), id, what));
+  }
+
+  // ---- the day ----
+
+  /** Plays it; the breaches, in order of the judges. */
+  List<Breach> play() {
+    boolean silentStart = chance.nextInt(6) == 0;
+    discovery.silent(silentStart);
+    node.begin(part -> {});
+    double until = 0;
+    while (node.address() == null && until < 10_000) {
+      until += 5;
+      loop.runUntil(until);
+      if (until > 1500) {
+        discovery.silent(false);
+      }
     }
-
-    private void see(Event event) {
-        if (event.at() >= 0) {
-            story.add(String.format(Locale.ROOT, "%.1f %s", event.at(), event));
-        }
-        judges.forEach(j -> j.see(event));
-        if (event instanceof Event.Came came) {
-            boolean first = sentOn.add(came.id());
-            // the page allows 100 ms; on this network nothing takes time, so that each ms is the node's own
-            if (came.at() > left.getOrDefault(came.id(), Double.MAX_VALUE)) {
-                breach(first ? GONE_FIRST : GONE_FURTHER, came.id(), String.format(Locale.ROOT,
-                    "sent to %s %.1f ms after its client left", came.server(), came.at() - left.get(came.id())));
-            }
-        }
+    began = until;
+    for (int i = 0; i < 120; i++) {
+      shared.after(chance.nextDouble() * LENGTH, this::ask);
     }
-
-    private void breach(String rule, String id, String what) {
-        own.add(new Breach(rule, now(), id, what));
+    for (int i = 0; i < 14; i++) {
+      shared.after(chance.nextDouble() * LENGTH, this::trouble);
     }
-
-    // ---- the day ----
-
-    /** Plays it; the breaches, in order of the judges. */
-    List<Breach> play() {
-        boolean silentStart = chance.nextInt(6) == 0;
-        discovery.silent(silentStart);
-        node.begin(part -> { });
-        double until = 0;
-        while (node.address() == null && until < 10_000) {
-            until += 5;
-            loop.runUntil(until);
-            if (until > 1500) {
-                discovery.silent(false);
-            }
-        }
-        began = until;
-        for (int i = 0; i < 120; i++) {
-            shared.after(chance.nextDouble() * LENGTH, this::ask);
-        }
-        for (int i = 0; i < 14; i++) {
-            shared.after(chance.nextDouble() * LENGTH, this::trouble);
-        }
-        double term = 1000 + chance.nextDouble() * (LENGTH - 1000);
-        double killed = term + Math.min(3000, Math.max(deadlines[0], Math.max(deadlines[1], deadlines[2]))) + GRANTED;
-        for (int i = 0; i < 60; i++) { // clients go on on each connection that stays open
-            shared.after(term + chance.nextDouble() * (killed - term), () ->
-                callers.stream().filter(c -> c.up && !c.half && !c.asks.isEmpty()).findFirst().ifPresent(Caller::ask));
-        }
-        shared.after(term, () -> {
-            see(new Event.Done(now(), "SIGTERM"));
-            node.leave().thenRun(() -> ends("the process ended", Double.POSITIVE_INFINITY));
-            if (planted == Planted.AN_EARLY_END) {
-                shared.after(800, () -> ends("the process ended", Double.POSITIVE_INFINITY));
-            }
+    double term = 1000 + chance.nextDouble() * (LENGTH - 1000);
+    double killed =
+        term
+            + Math.min(3000, Math.max(deadlines[0], Math.max(deadlines[1], deadlines[2])))
+            + GRANTED;
+    for (int i = 0; i < 60; i++) { // clients go on on each connection that stays open
+      shared.after(
+          term + chance.nextDouble() * (killed - term),
+          () ->
+              callers.stream()
+                  .filter(c -> c.up && !c.half && !c.asks.isEmpty())
+                  .findFirst()
+                  .ifPresent(Caller::ask));
+    }
+    shared.after(
+        term,
+        () -> {
+          see(new Event.Done(now(), "SIGTERM"));
+          node.leave().thenRun(() -> ends("the process ended", Double.POSITIVE_INFINITY));
+          if (planted == Planted.AN_EARLY_END) {
+            shared.after(800, () -> ends("the process ended", Double.POSITIVE_INFINITY));
+          }
         });
-        shared.after(killed, () -> ends("SIGKILL", term + GRANTED));
-        loop.runUntil(began + killed + 10);
-        List<Breach> all = new ArrayList<>(own);
-        judges.forEach(j -> all.addAll(j.verdict(killed)));
-        return all;
+    shared.after(killed, () -> ends("SIGKILL", term + GRANTED));
+    loop.runUntil(began + killed + 10);
+    List<Breach> all = new ArrayList<>(own);
+    judges.forEach(j -> all.addAll(j.verdict(killed)));
+    return all;
+  }
+
+  /**
+   * What is taken and unanswered now is owed, but for what came before a moment and has its time
+   * still.
+   */
+  private void ends(String how, double after) {
+    if (over) {
+      return;
     }
-
-    /** What is taken and unanswered now is owed, but for what came before a moment and has its time still. */
-    private void ends(String how, double after) {
-        if (over) {
-            return;
-        }
-        over = true;
-        for (Caller c : callers) {
-            for (Caller.Ask ask : c.asks) {
-                if (ask.at > after || after == Double.POSITIVE_INFINITY || ask.at + ask.patience < now()) {
-                    breach("nothing-owed-at-the-end", ask.id, how + " and its answer was owed");
-                }
-                see(new Event.GaveUp(now(), ask.id));
-            }
-            c.asks.clear();
-            c.channel.close();
-        }
+    over = true;
+    for (Caller c : callers) {
+      for (Caller.Ask ask : c.asks) {
+        if (ask.at > after || after == Double.POSITIVE_INFINITY || ask.at + ask.patience < now()) {
+          breach("nothing-owed-at-the-end", ask.id, how + " and its answer was owed");
+        }
+        see(new Event.GaveUp(now(), ask.id));
+      }
+      c.asks.clear();
+      c.channel.close();
     }
-
-    int answered() {
-        return answered;
+  }
+
+  int answered() {
+    return answered;
+  }
+
+  List<String> story() {
+    return story;
+  }
+
+  private void trouble() {
+    int i = chance.nextInt(SERVERS);
+    EnrolmentServer server = servers.get(i);
+    double lasts = 50 + chance.nextDouble() * 1500;
+    int kind = chance.nextInt(12);
+    see(new Event.Done(now(), "trouble " + kind + " s" + i + " for " + Math.round(lasts)));
+    switch (kind) {
+      case 0, 1 -> {
+        double back =
+            kind == 0 ? lasts : 1; // at once: all connections are reset under their requests
+        boolean hangs = lateness.nextBoolean(); // then many are
+        if (hangs) {
+          server.mood(EnrolmentServer.Mood.SILENT);
+        }
+        double dies = hangs ? 50 + lateness.nextDouble() * 300 : 0;
+        shared.after(dies * lateness.nextDouble(), this::leaveTogether);
+        shared.after(dies, () -> dies(i, back));
+      }
+      case 2, 3, 4, 5 -> {
+        server.mood(MOODS.get(chance.nextInt(MOODS.size())));
+        shared.after(lasts, () -> server.mood(EnrolmentServer.Mood.WELL));
+      }
+      case 6, 7 -> {
+        discovery.set(server.entry("leaving"));
+        shared.after(lasts, () -> discovery.set(server.entry(dead[i] ? "left" : "active")));
+      }
+      case 8 -> {
+        discovery.silent(!stalls);
+        shared.after(lasts, () -> discovery.silent(false));
+      }
+      case 9 -> {
+        if (stalls) {
+          discovery.stall(chance.nextInt(200));
+        }
+      }
+      case 10 -> {
+        counter.mood(Counter.Mood.values()[1 + chance.nextInt(3)]);
+        shared.after(lasts, () -> counter.mood(Counter.Mood.WELL));
+      }
+      default -> {
+        moved = !moved;
+        try {
+          node.reload(configuration());
+        } catch (IOException e) {
+          throw new IllegalStateException(e);
+        }
+      }
     }
+  }
+
+  private void dies(int i, double back) {
+    EnrolmentServer server = servers.get(i);
+    if (!dead[i]) {
+      dead[i] = true;
+      server.die();
+      server.mood(EnrolmentServer.Mood.WELL);
+      shared.after(
+          back,
+          () -> {
+            dead[i] = false;
+            server.back(server.address());
+            see(new Event.Born(now(), server.id(), i % 2, SIZE, true));
+            discovery.set(server.entry("active"));
+          });
+    }
+  }
+
+  // ---- clients ----
 
-    List<String> story() {
-        return story;
+  /** A burst of clients leaves, some of them while attempts of theirs are about to break. */
+  private void leaveTogether() {
+    if (lateness.nextBoolean()) {
+      List.copyOf(callers).stream()
+          .filter(c -> !c.asks.isEmpty() && lateness.nextBoolean())
+          .forEach(Caller::leave);
     }
+  }
 
-    private void trouble() {
-        int i = chance.nextInt(SERVERS);
-        EnrolmentServer server = servers.get(i);
-        double lasts = 50 + chance.nextDouble() * 1500;
-        int kind = chance.nextInt(12);
-        see(new Event.Done(now(), "trouble " + kind + " s" + i + " for " + Math.round(lasts)));
-        switch (kind) {
-            case 0, 1 -> {
-                double back = kind == 0 ? lasts : 1; // at once: all connections are reset under their requests
-                boolean hangs = lateness.nextBoolean(); // then many are
-                if (hangs) {
-                    server.mood(EnrolmentServer.Mood.SILENT);
-                }
-                double dies = hangs ? 50 + lateness.nextDouble() * 300 : 0;
-                shared.after(dies * lateness.nextDouble(), this::leaveTogether);
-                shared.after(dies, () -> dies(i, back));
-            }
-            case 2, 3, 4, 5 -> {
-                server.mood(MOODS.get(chance.nextInt(MOODS.size())));
-                shared.after(lasts, () -> server.mood(EnrolmentServer.Mood.WELL));
-            }
-            case 6, 7 -> {
-                discovery.set(server.entry("leaving"));
-                shared.after(lasts, () -> discovery.set(server.entry(dead[i] ? "left" : "active")));
-            }
-            case 8 -> {
-                discovery.silent(!stalls);
-                shared.after(lasts, () -> discovery.silent(false));
-            }
-            case 9 -> {
-                if (stalls) {
-                    discovery.stall(chance.nextInt(200));
-                }
-            }
-            case 10 -> {
-                counter.mood(Counter.Mood.values()[1 + chance.nextInt(3)]);
-                shared.after(lasts, () -> counter.mood(Counter.Mood.WELL));
-            }
-            default -> {
-                moved = !moved;
-                try {
-                    node.reload(configuration());
-                } catch (IOException e) {
-                    throw new IllegalStateException(e);
-                }
-            }
-        }
+  /** One more request, on a connection that stands or a new one; some leave, some stop half way. */
+  private void ask() {
+    List<Caller> standing = callers.stream().filter(c -> c.up && !c.half).toList();
+    if (over) {
+      return;
+    }
+    if (!standing.isEmpty() && chance.nextInt(3) > 0) {
+      standing.get(chance.nextInt(standing.size())).ask();
+      return;
+    }
+    new Caller().ask();
+  }
+
+  private final class Caller extends ChannelInboundHandlerAdapter {
+    /** Asked on this connection and not answered. */
+    private record Ask(String id, double at, double patience) {}
+
+    private final ArrayDeque<Ask> asks = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> early = new ArrayDeque<>();
+    private final Channel channel;
+    private boolean up;
+    private boolean half;
+    private boolean away;
+
+    Caller() {
+      callers.add(this);
+      channel =
+          network
+              .connecting(shared.group(), 1000)
+              .handler(
+                  new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel ch) {
+                      Resp.codec(ch.pipeline(), 8);
+                      ch.pipeline().addLast(Caller.this);
+                    }
+                  })
+              .connect(network.at(at(3, 1)))
+              .channel();
     }
 
-    private void dies(int i, double back) {
-        EnrolmentServer server = servers.get(i);
-        if (!dead[i]) {
-            dead[i] = true;
-            server.die();
-            server.mood(EnrolmentServer.Mood.WELL);
-            shared.after(back, () -> {
-                dead[i] = false;
-                server.back(server.address());
-                see(new Event.Born(now(), server.id(), i % 2, SIZE, true));
-                discovery.set(server.entry("active"));
+    void ask() {
+      if (!up) {
+        early.add(this::ask);
+        return;
+      }
+      int type = chance.nextInt(TYPES.length);
+      String id = Long.toHexString(++ids);
+      double wait = (0.5 + chance.nextDouble() / 2) * deadlines[type];
+      String key = type == 1 ? ",k=" + id : "";
+      String list =
+          String.format(
+              Locale.ROOT,
+              "c=%s,t=todo,d=%d%s,units=1,spread=%d,first=0",
+              TYPES[type],
+              (long) wait,
+              key,
+              nodes);
+      String text =
+          "*4\r\n"
+              + bulk(type == 0 ? "CALL.GET" : "CALL.POST")
+              + bulk("00000000b4d6552" + ids % 8)
+              + bulk(id)
+              + bulk(list);
+      int cut = chance.nextInt(8) == 0 ? 1 + chance.nextInt(text.length() - 1) : 0;
+      if (cut == 0) {
+        write(text, id, type, wait);
+      } else {
+        half = true; // the rest comes later, or never
+        write(text.substring(0, cut));
+        shared.after(
+            chance.nextDouble() * 700,
+            () -> {
+              half = false;
+              if (channel.isActive() && chance.nextInt(4) > 0 && !away) {
+                write(text.substring(cut), id, type, wait);
+              } else {
+                leave();
+              }
             });
-        }
+      }
+      if (chance.nextInt(4) == 0) {
+        shared.after(chance.nextDouble() * wait * 0.8, this::leave);
+      }
     }
 
-    // ---- clients ----
-
-    /** A burst of clients leaves, some of them while attempts of theirs are about to break. */
-    private void leaveTogether() {
-        if (lateness.nextBoolean()) {
-            List.copyOf(callers).stream().filter(c -> !c.asks.isEmpty() && lateness.nextBoolean())
-                .forEach(Caller::leave);
-        }
+    private static String bulk(String text) {
+      return "$" + text.length() + "\r\n" + text + "\r\n";
     }
 
-    /** One more request, on a connection that stands or a new one; some leave, some stop half way. */
-    private void ask() {
-        List<Caller> standing = callers.stream().filter(c -> c.up && !c.half).toList();
-        if (over) {
-            return;
-        }
-        if (!standing.isEmpty() && chance.nextInt(3) > 0) {
-            standing.get(chance.nextInt(standing.size())).ask();
-            return;
-        }
-        new Caller().ask();
-    }
-
-    private final class Caller extends ChannelInboundHandlerAdapter {
-        /** Asked on this connection and not answered. */
-        private record Ask(String id, double at, double patience) { }
-
-        private final ArrayDeque<Ask> asks = new ArrayDeque<>();
-        private final ArrayDeque<Runnable> early = new ArrayDeque<>();
-        private final Channel channel;
-        private boolean up;
-        private boolean half;
-        private boolean away;
-
-        Caller() {
-            callers.add(this);
-            channel = network.connecting(shared.group(), 1000).handler(new ChannelInitializer<Channel>() {
-                @Override protected void initChannel(Channel ch) {
-                    Resp.codec(ch.pipeline(), 8);
-                    ch.pipeline().addLast(Caller.this);
-                }
-            }).connect(network.at(at(3, 1))).channel();
-        }
+    private void write(String text) {
+      channel.writeAndFlush(
+          io.netty.buffer.Unpooled.copiedBuffer(text, java.nio.charset.StandardCharsets.US_ASCII));
+    }
 
-        void ask() {
-            if (!up) {
-                early.add(this::ask);
-                return;
+    private void write(String text, String id, int type, double wait) {
+      // the time for which it waits for those before it does not count
+      double patience =
+          Math.max(
+              (long) wait,
+              asks.stream().mapToDouble(a -> a.at + a.patience - now()).max().orElse(0));
+      asks.add(new Ask(id, now(), patience));
+      see(
+          new Event.Asked(
+              now(),
+              id,
+              0,
+              "00000000b4d6552" + ids % 8,
+              "todo",
+              TYPES[type],
+              type == 1 ? id : null,
+              patience,
+              1));
+      write(text);
+      // where its time is over it has gone, as the judges want to know
+      shared.after(
+          patience + 150,
+          () -> {
+            if (asks.stream().anyMatch(a -> a.id.equals(id))) {
+              leave();
             }
-            int type = chance.nextInt(TYPES.length);
-            String id = Long.toHexString(++ids);
-            double wait = (0.5 + chance.nextDouble() / 2) * deadlines[type];
-            String key = type == 1 ? ",k=" + id : "";
-            String list = String.format(Locale.ROOT, "c=%s,t=todo,d=%d%s,units=1,spread=%d,first=0", TYPES[type],
-                (long) wait, key, nodes);
-            String text = "*4\r\n" + bulk(type == 0 ? "CALL.GET" : "CALL.POST") + bulk("00000000b4d6552" + ids % 8)
-                + bulk(id) + bulk(list);
-            int cut = chance.nextInt(8) == 0 ? 1 + chance.nextInt(text.length() - 1) : 0;
-            if (cut == 0) {
-                write(text, id, type, wait);
-            } else {
-                half = true; // the rest comes later, or never
-                write(text.substring(0, cut));
-                shared.after(chance.nextDouble() * 700, () -> {
-                    half = false;
-                    if (channel.isActive() && chance.nextInt(4) > 0 && !away) {
-                        write(text.substring(cut), id, type, wait);
-                    } else {
-                        leave();
-                    }
-                });
-            }
-            if (chance.nextInt(4) == 0) {
-                shared.after(chance.nextDouble() * wait * 0.8, this::leave);
-            }
-        }
-
-        private static String bulk(String text) {
-            return "$" + text.length() + "\r\n" + text + "\r\n";
-        }
-
-        private void write(String text) {
-            channel.writeAndFlush(io.netty.buffer.Unpooled.copiedBuffer(text,
-                java.nio.charset.StandardCharsets.US_ASCII));
-        }
+          });
+    }
 
-        private void write(String text, String id, int type, double wait) {
-            // the time for which it waits for those before it does not count
-            double patience = Math.max((long) wait,
-                asks.stream().mapToDouble(a -> a.at + a.patience - now()).max().orElse(0));
-            asks.add(new Ask(id, now(), patience));
-            see(new Event.Asked(now(), id, 0, "00000000b4d6552" + ids % 8, "todo", TYPES[type],
-                type == 1 ? id : null, patience, 1));
-            write(text);
-            // where its time is over it has gone, as the judges want to know
-            shared.after(patience + 150, () -> {
-                if (asks.stream().anyMatch(a -> a.id.equals(id))) {
-                    leave();
-                }
+    /** The client closes its connection; what it had asked is wanted no more. */
+    private void leave() {
+      for (Ask ask : asks) {
+        left.put(ask.id, now());
+        see(new Event.GaveUp(now(), ask.id));
+      }
+      asks.clear();
+      callers.remove(this);
+      SocketAddress address = channel.localAddress();
+      if (!away && channel.isActive() && lateness.nextBoolean()) {
+        unseen.add(address);
+        shared.after(
+            lateness.nextDouble() * SEEN_WITHIN,
+            () -> {
+              channel.close();
+              unseen.remove(address);
             });
-        }
-
-        /** The client closes its connection; what it had asked is wanted no more. */
-        private void leave() {
-            for (Ask ask : asks) {
-                left.put(ask.id, now());
-                see(new Event.GaveUp(now(), ask.id));
-            }
-            asks.clear();
-            callers.remove(this);
-            SocketAddress address = channel.localAddress();
-            if (!away && channel.isActive() && lateness.nextBoolean()) {
-                unseen.add(address);
-                shared.after(lateness.nextDouble() * SEEN_WITHIN, () -> {
-                    channel.close();
-                    unseen.remove(address);
-                });
-            } else if (!away) {
-                channel.close();
-            }
-            away = true;
-        }
-
-        @Override public void channelActive(ChannelHandlerContext ctx) {
-            up = true;
-            early.forEach(Runnable::run);
-        }
-
-        @Override public void channelRead(ChannelHandlerContext ctx, Object msg) {
-            if (away) {
-                ReferenceCountUtil.release(msg);
-                return;
-            }
-            Ask ask = asks.poll();
-            RedisMessage message = (RedisMessage) msg;
-            String text = Resp.isValue(message) ? Resp.text(message) : null;
-            String line = message instanceof io.netty.handler.codec.redis.ErrorRedisMessage e ? e.content() : "";
-            ReferenceCountUtil.release(msg);
-            if (ask != null) {
-                answered++;
-                see(new Event.Heard(now(), ask.id, text != null ? Event.Answer.VALUE
-                    : line.startsWith("BUSY") ? Event.Answer.BUSY : Event.Answer.ERROR, text == null ? line : text));
-            } else if (!half) {
-                breach("one-answer-in-time", null, "an answer to nothing: " + text + line);
-            }
-        }
+      } else if (!away) {
+        channel.close();
+      }
+      away = true;
+    }
 
-        @Override public void channelInactive(ChannelHandlerContext ctx) {
-            nodeEnded();
-        }
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+      up = true;
+      early.forEach(Runnable::run);
+    }
 
-        /** The node ends the connection. What crosses that, as it was written in this moment, is asked elsewhere. */
-        void nodeEnded() {
-            up = false;
-            callers.remove(this);
-            for (Ask ask : asks) {
-                see(over || ask.at == now() ? new Event.GaveUp(now(), ask.id) : new Event.Cut(now(), ask.id));
-            }
-            asks.clear();
-            channel.close();
-        }
+    @Override
+    public void channelRead(ChannelHandlerContext ctx, Object msg) {
+      if (away) {
+        ReferenceCountUtil.release(msg);
+        return;
+      }
+      Ask ask = asks.poll();
+      RedisMessage message = (RedisMessage) msg;
+      String text = Resp.isValue(message) ? Resp.text(message) : null;
+      String line =
+          message instanceof io.netty.handler.codec.redis.ErrorRedisMessage e ? e.content() : "";
+      ReferenceCountUtil.release(msg);
+      if (ask != null) {
+        answered++;
+        see(
+            new Event.Heard(
+                now(),
+                ask.id,
+                text != null
+                    ? Event.Answer.VALUE
+                    : line.startsWith("BUSY") ? Event.Answer.BUSY : Event.Answer.ERROR,
+                text == null ? line : text));
+      } else if (!half) {
+        breach("one-answer-in-time", null, "an answer to nothing: " + text + line);
+      }
     }
 
-    // ---- the network to app servers ----
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+      nodeEnded();
+    }
 
-    /** Channels of this process; a third of the connects to app servers come up late, some of them never. */
-    private final class Late implements Transport {
-        @Override public Bootstrap connecting(EventLoopGroup group, int withinMs) {
-            return new Bootstrap().group(group).channelFactory(() -> {
+    /**
+     * The node ends the connection. What crosses that, as it was written in this moment, is asked
+     * elsewhere.
+     */
+    void nodeEnded() {
+      up = false;
+      callers.remove(this);
+      for (Ask ask : asks) {
+        see(
+            over || ask.at == now()
+                ? new Event.GaveUp(now(), ask.id)
+                : new Event.Cut(now(), ask.id));
+      }
+      asks.clear();
+      channel.close();
+    }
+  }
+
+  // ---- the network to app servers ----
+
+  /**
+   * Channels of this process; a third of the connects to app servers come up late, some of them
+   * never.
+   */
+  private final class Late implements Transport {
+    @Override
+    public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+      return new Bootstrap()
+          .group(group)
+          .channelFactory(
+              () -> {
                 LocalChannel channel = new LocalChannel();
                 channel.pipeline().addFirst(new Way(withinMs));
                 return channel;
-            }).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
-        }
+              })
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
+    }
 
-        @Override public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
-            return new ServerBootstrap().group(group).channelFactory(() -> new LocalServerChannel() {
-                @Override protected LocalChannel newLocalChannel(LocalChannel peer) {
-                    return new Half(this, peer);
-                }
-            });
-        }
+    @Override
+    public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+      return new ServerBootstrap()
+          .group(group)
+          .channelFactory(
+              () ->
+                  new LocalServerChannel() {
+                    @Override
+                    protected LocalChannel newLocalChannel(LocalChannel peer) {
+                      return new Half(this, peer);
+                    }
+                  });
+    }
 
-        /** The system knows of an end before the node has read it. */
-        @Override public boolean ended(Channel connection) {
-            return planted != Planted.ENDS_READ_LATE && unseen.contains(connection.remoteAddress());
-        }
+    /** The system knows of an end before the node has read it. */
+    @Override
+    public boolean ended(Channel connection) {
+      return planted != Planted.ENDS_READ_LATE && unseen.contains(connection.remoteAddress());
+    }
 
-        @Override public SocketAddress at(InetSocketAddress address) {
-            return network.at(address);
-        }
+    @Override
+    public SocketAddress at(InetSocketAddress address) {
+      return network.at(address);
     }
+  }
 
-    /** A client's connection at the node: the end of its output is seen by the client, as on sockets. */
-    private final class Half extends LocalChannel implements DuplexChannel {
-        private boolean ended;
+  /**
+   * A client's connection at the node: the end of its output is seen by the client, as on sockets.
+   */
+  private final class Half extends LocalChannel implements DuplexChannel {
+    private boolean ended;
 
-        Half(LocalServerChannel parent, LocalChannel peer) {
-            super(parent, peer);
-        }
+    Half(LocalServerChannel parent, LocalChannel peer) {
+      super(parent, peer);
+    }
 
-        @Override public ChannelFuture shutdownOutput() {
-            return shutdownOutput(newPromise());
-        }
+    @Override
+    public ChannelFuture shutdownOutput() {
+      return shutdownOutput(newPromise());
+    }
 
-        @Override public ChannelFuture shutdownOutput(ChannelPromise promise) {
-            ended = true;
-            SocketAddress client = remoteAddress();
-            // behind what was written before
-            shared.later(() -> List.copyOf(callers).stream()
-                .filter(c -> c.channel.localAddress() != null && c.channel.localAddress().equals(client))
-                .forEach(Caller::nodeEnded));
-            return promise.setSuccess();
-        }
+    @Override
+    public ChannelFuture shutdownOutput(ChannelPromise promise) {
+      ended = true;
+      SocketAddress client = remoteAddress();
+      // behind what was written before
+      shared.later(
+          () ->
+              List.copyOf(callers).stream()
+                  .filter(
+                      c ->
+                          c.channel.localAddress() != null
+                              && c.channel.localAddress().equals(client))
+                  .forEach(Caller::nodeEnded));
+      return promise.setSuccess();
+    }
 
-        @Override public boolean isOutputShutdown() {
-            return ended;
-        }
+    @Override
+    public boolean isOutputShutdown() {
+      return ended;
+    }
 
-        @Override public boolean isInputShutdown() {
-            return false;
-        }
+    @Override
+    public boolean isInputShutdown() {
+      return false;
+    }
 
-        @Override public boolean isShutdown() {
-            return false;
-        }
+    @Override
+    public boolean isShutdown() {
+      return false;
+    }
 
-        @Override public ChannelFuture shutdownInput() {
-            return close();
-        }
+    @Override
+    public ChannelFuture shutdownInput() {
+      return close();
+    }
 
-        @Override public ChannelFuture shutdownInput(ChannelPromise promise) {
-            return close(promise);
-        }
+    @Override
+    public ChannelFuture shutdownInput(ChannelPromise promise) {
+      return close(promise);
+    }
 
-        @Override public ChannelFuture shutdown() {
-            return close();
-        }
+    @Override
+    public ChannelFuture shutdown() {
+      return close();
+    }
 
-        @Override public ChannelFuture shutdown(ChannelPromise promise) {
-            return close(promise);
-        }
+    @Override
+    public ChannelFuture shutdown(ChannelPromise promise) {
+      return close(promise);
     }
+  }
 
-    private final class Way extends ChannelOutboundHandlerAdapter {
-        private final int within;
-        private final ArrayDeque<Runnable> queued = new ArrayDeque<>();
-        private double openAt;
+  private final class Way extends ChannelOutboundHandlerAdapter {
+    private final int within;
+    private final ArrayDeque<Runnable> queued = new ArrayDeque<>();
+    private double openAt;
 
-        Way(int within) {
-            this.within = within;
-        }
+    Way(int within) {
+      this.within = within;
+    }
 
-        @Override public void connect(ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local,
-            ChannelPromise promise) {
-            boolean late = remote.toString().contains("/10.2.") && chance.nextInt(3) == 0;
-            double delay = late ? chance.nextDouble() * 400 : 0;
-            if (delay == 0 || planted == Planted.LEFT_QUEUED) {
-                openAt = loop.now() + delay;
-                ctx.connect(remote, local, promise);
-            } else if (delay < within) {
-                shared.after(delay, () -> ctx.connect(remote, local, promise));
-            } else {
-                shared.after(within, () -> {
-                    promise.tryFailure(new ConnectTimeoutException("late"));
-                    ctx.close();
-                });
-            }
-        }
+    @Override
+    public void connect(
+        ChannelHandlerContext ctx,
+        SocketAddress remote,
+        SocketAddress local,
+        ChannelPromise promise) {
+      boolean late = remote.toString().contains("/10.2.") && chance.nextInt(3) == 0;
+      double delay = late ? chance.nextDouble() * 400 : 0;
+      if (delay == 0 || planted == Planted.LEFT_QUEUED) {
+        openAt = loop.now() + delay;
+        ctx.connect(remote, local, promise);
+      } else if (delay < within) {
+        shared.after(delay, () -> ctx.connect(remote, local, promise));
+      } else {
+        shared.after(
+            within,
+            () -> {
+              promise.tryFailure(new ConnectTimeoutException("late"));
+              ctx.close();
+            });
+      }
+    }
 
-        @Override public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
-            double wait = openAt - loop.now();
-            if (wait <= 0) {
-                ctx.write(msg, promise);
-                return;
-            }
-            promise.trySuccess(); // the node believes it written
-            queued.add(() -> ctx.writeAndFlush(msg));
-            shared.after(wait, () -> queued.poll().run());
-        }
+    @Override
+    public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
+      double wait = openAt - loop.now();
+      if (wait <= 0) {
+        ctx.write(msg, promise);
+        return;
+      }
+      promise.trySuccess(); // the node believes it written
+      queued.add(() -> ctx.writeAndFlush(msg));
+      shared.after(wait, () -> queued.poll().run());
     }
+  }
 }
--- a/src/test/java/willowyoke/kit/FleetStartTest.java
+++ b/src/test/java/willowyoke/kit/FleetStartTest.java
@@ -26,77 +26,124 @@
 import willowyoke.standin.EnrolmentServer;
 import willowyoke.standin.Rack;
 
-/** A whole fleet that starts at one moment asks more of discovery than it can serve: a node must not wait for it. */
+/**
+ * A whole fleet that starts at one moment asks more of discovery than it can serve: a node must not
+ * wait for it.
+ */
 @Timeout(60)
 class FleetStartTest {
-    /** Ms from the start of the node's own code until it listens, with discovery silent; code takes no time here. */
-    private static double up(boolean known, List<String> log) throws Exception {
-        VirtualLoop loop = new VirtualLoop();
-        LocalTransport transport = new LocalTransport("start" + known);
-        LoopThread world = new LoopThread(loop, transport, loop, log::add);
-        Discovery discovery = new Discovery(world, 0, (now, host) -> { })
-            .start(new InetSocketAddress("10.1.0.1", 7000));
-        new Counter(world, Counter.Size.USUAL, new Trace()).start(new InetSocketAddress("10.1.0.2", 7000));
-        EnrolmentServer server = new EnrolmentServer(world, "s0", new Rack("a", 0, 7500),
-            new Capacity.Size(2, 16, 32, 8, 0.3, 5000), EnrolmentServer.Habits.USUAL, new Effects() { }, 1)
+  /**
+   * Ms from the start of the node's own code until it listens, with discovery silent; code takes no
+   * time here.
+   */
+  private static double up(boolean known, List<String> log) throws Exception {
+    VirtualLoop loop = new VirtualLoop();
+    LocalTransport transport = new LocalTransport("start" + known);
+    LoopThread world = new LoopThread(loop, transport, loop, log::add);
+    Discovery discovery =
+        new Discovery(world, 0, (now, host) -> {}).start(new InetSocketAddress("10.1.0.1", 7000));
+    new Counter(world, Counter.Size.USUAL, new Trace())
+        .start(new InetSocketAddress("10.1.0.2", 7000));
+    EnrolmentServer server =
+        new EnrolmentServer(
+                world,
+                "s0",
+                new Rack("a", 0, 7500),
+                new Capacity.Size(2, 16, 32, 8, 0.3, 5000),
+                EnrolmentServer.Habits.USUAL,
+                new Effects() {},
+                1)
             .start(new InetSocketAddress("10.2.0.1", 7000));
-        discovery.set(server.entry("active"));
-        discovery.silent(true);
-        String list = known ? "{\"seq\":1,\"whole\":true,\"hosts\":[" + server.entry("active").json() + "]}" : "null";
-        String told = World.CONFIG.formatted("n0", "10.3.0.1:7000", "10.1.0.1:7000", "10.1.0.2:7000", 1L, 0, 14);
-        Config config = Config.of(Json.read(told.replaceFirst("\\{", "{\"known\":" + list + ",")), Map.of());
-        Node node = new Node(config, Decide::new, null, new ProcessLoop(loop, transport, log::add));
-        CompletableFuture<Void> up = node.begin(part -> { });
-        double at = 0;
-        while (!up.isDone() && at < 10_000) {
-            at += 10;
-            loop.runUntil(at);
-        }
-        return at;
+    discovery.set(server.entry("active"));
+    discovery.silent(true);
+    String list =
+        known
+            ? "{\"seq\":1,\"whole\":true,\"hosts\":[" + server.entry("active").json() + "]}"
+            : "null";
+    String told =
+        World.CONFIG.formatted("n0", "10.3.0.1:7000", "10.1.0.1:7000", "10.1.0.2:7000", 1L, 0, 14);
+    Config config =
+        Config.of(Json.read(told.replaceFirst("\\{", "{\"known\":" + list + ",")), Map.of());
+    Node node = new Node(config, Decide::new, null, new ProcessLoop(loop, transport, log::add));
+    CompletableFuture<Void> up = node.begin(part -> {});
+    double at = 0;
+    while (!up.isDone() && at < 10_000) {
+      at += 10;
+      loop.runUntil(at);
     }
+    return at;
+  }
 
-    @Test void aNodeThatKnowsAListServesFromItWhileDiscoveryIsSilent() throws Exception {
-        List<String> log = new ArrayList<>();
-        double ms = up(true, log);
-        assertTrue(ms <= 300, "listens after " + ms + " ms: " + log);
-    }
+  @Test
+  void aNodeThatKnowsAListServesFromItWhileDiscoveryIsSilent() throws Exception {
+    List<String> log = new ArrayList<>();
+    double ms = up(true, log);
+    assertTrue(ms <= 300, "listens after " + ms + " ms: " + log);
+  }
 
-    @Test void aNodeThatKnowsNothingWaitsForDiscovery() throws Exception {
-        double ms = up(false, new ArrayList<>());
-        assertTrue(ms >= 3990 && ms < 10_000, "listens after " + ms + " ms");
-    }
+  @Test
+  void aNodeThatKnowsNothingWaitsForDiscovery() throws Exception {
+    double ms = up(false, new ArrayList<>());
+    assertTrue(ms >= 3990 && ms < 10_000, "listens after " + ms + " ms");
+  }
 
-    /** A hundred nodes by sixty servers: nearly all connections opened ahead never carried a request. */
-    @Test void onlySmallFleetsConnectAhead() throws Exception {
-        assertEquals(1, connectsAhead(3));
-        assertEquals(0, connectsAhead(100));
-    }
+  /**
+   * A hundred nodes by sixty servers: nearly all connections opened ahead never carried a request.
+   */
+  @Test
+  void onlySmallFleetsConnectAhead() throws Exception {
+    assertEquals(1, connectsAhead(3));
+    assertEquals(0, connectsAhead(100));
+  }
 
-    private static int connectsAhead(int nodes) throws Exception {
-        VirtualLoop loop = new VirtualLoop();
-        LocalTransport transport = new LocalTransport("ahead" + nodes);
-        LoopThread world = new LoopThread(loop, transport, loop, line -> { });
-        EnrolmentServer server = new EnrolmentServer(world, "s0", new Rack("a", 0, 7500),
-            new Capacity.Size(2, 16, 32, 8, 0.3, 5000), EnrolmentServer.Habits.USUAL, new Effects() { }, 1)
+  private static int connectsAhead(int nodes) throws Exception {
+    VirtualLoop loop = new VirtualLoop();
+    LocalTransport transport = new LocalTransport("ahead" + nodes);
+    LoopThread world = new LoopThread(loop, transport, loop, line -> {});
+    EnrolmentServer server =
+        new EnrolmentServer(
+                world,
+                "s0",
+                new Rack("a", 0, 7500),
+                new Capacity.Size(2, 16, 32, 8, 0.3, 5000),
+                EnrolmentServer.Habits.USUAL,
+                new Effects() {},
+                1)
             .start(new InetSocketAddress("10.2.0.1", 7000));
-        Config config = Config.of(Json.read(World.CONFIG.formatted("n0", "10.3.0.1:7000", "10.1.0.1:7000",
-            "10.1.0.2:7000", 1L, 0, nodes)), Map.of());
-        int[] connects = {0};
-        Health health = new Health() {
-            @Override public void reachable(String id) {
-                connects[0]++;
-            }
+    Config config =
+        Config.of(
+            Json.read(
+                World.CONFIG.formatted(
+                    "n0", "10.3.0.1:7000", "10.1.0.1:7000", "10.1.0.2:7000", 1L, 0, nodes)),
+            Map.of());
+    int[] connects = {0};
+    Health health =
+        new Health() {
+          @Override
+          public void reachable(String id) {
+            connects[0]++;
+          }
 
-            @Override public void answered(String id) { }
+          @Override
+          public void answered(String id) {}
 
-            @Override public void unreachable(String id, boolean refused, int standing) { }
+          @Override
+          public void unreachable(String id, boolean refused, int standing) {}
         };
-        ServerPool pool = new ServerPool(new ProcessLoop(loop, transport, line -> { }), health,
-            (id, outcome, took, load) -> { }, config, 64);
-        pool.listed(List.of(new Entry(new Gateway.Server("s0", 0, "a", Gateway.State.UP, "k", 0, 1),
-            server.entry("active").dial())));
-        loop.runUntil(1000);
-        assertTrue(pool.ready().isDone());
-        return connects[0];
-    }
+    ServerPool pool =
+        new ServerPool(
+            new ProcessLoop(loop, transport, line -> {}),
+            health,
+            (id, outcome, took, load) -> {},
+            config,
+            64);
+    pool.listed(
+        List.of(
+            new Entry(
+                new Gateway.Server("s0", 0, "a", Gateway.State.UP, "k", 0, 1),
+                server.entry("active").dial())));
+    loop.runUntil(1000);
+    assertTrue(pool.ready().isDone());
+    return connects[0];
+  }
 }
