--- a/src/main/java/willowyoke/Hangup.java
+++ b/src/main/java/edgenode/Hangup.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package edgenode;
 
 import java.lang.reflect.Proxy;
 
--- a/src/main/java/willowyoke/Main.java
+++ b/src/main/java/edgenode/Main.java
@@ -1,5 +1,18 @@
-package willowyoke;
+package edgenode;
 
+import edgenode.config.Config;
+import edgenode.config.ConfigFile;
+import edgenode.config.EdgeSettings;
+import edgenode.config.SettingsReader;
+import edgenode.eventloop.LoopThread;
+import edgenode.node.Node;
+import edgenode.node.Prime;
+import edgenode.node.StartLog;
+import edgenode.node.Warmup;
+import edgenode.policy.Decide;
+import edgenode.simhost.Wire;
+import edgenode.simulation.Kit;
+import edgenode.store.StoreCommand;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.io.BufferedReader;
@@ -14,18 +27,6 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import willowyoke.config.Config;
-import willowyoke.config.ConfigFile;
-import willowyoke.config.EdgeSettings;
-import willowyoke.config.SettingsReader;
-import willowyoke.kit.Kit;
-import willowyoke.loop.LoopThread;
-import willowyoke.node.Node;
-import willowyoke.node.Prime;
-import willowyoke.node.StartLog;
-import willowyoke.node.Warmup;
-import willowyoke.sim.Wire;
-import willowyoke.store.StoreCommand;
 
 /**
  * The command line: {@code try} is for a first look, {@code drill} speaks the simulator's wire,
@@ -39,7 +40,7 @@
 
   private static final String USAGE =
       """
-        usage: willowyoke COMMAND
+        usage: edge-node COMMAND
           try                       one edge node and its world on loopback, for a first look; try --help
           rehearse [SCENARIO]       a day of edge nodes and their world in virtual time, judged; rehearse --help
           scale                     a large fleet of hollow edge nodes in virtual time, judged; scale --help
--- a/src/main/java/willowyoke/admin/AdminListener.java
+++ b/src/main/java/edgenode/admin/AdminListener.java
@@ -1,5 +1,6 @@
-package willowyoke.admin;
+package edgenode.admin;
 
+import edgenode.eventloop.Loop;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -28,7 +29,6 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import willowyoke.loop.Loop;
 
 /**
  * Where operators call: HTTP/1.1 (RFC 9112), one call a connection, 2xx for yes and 4xx or 5xx for
--- a/src/main/java/willowyoke/admin/Operations.java
+++ b/src/main/java/edgenode/admin/Operations.java
@@ -1,4 +1,4 @@
-package willowyoke.admin;
+package edgenode.admin;
 
 /** What operators may ask of an edge node and tell it; called on the loop, must not block. */
 public interface Operations {
--- a/src/main/java/willowyoke/kit/slopes/Cores.java
+++ b/src/main/java/edgenode/benchmark/Cores.java
@@ -1,16 +1,16 @@
-package willowyoke.kit.slopes;
-
+package edgenode.benchmark;
+
+import edgenode.emulator.Agent;
+import edgenode.membership.Entry;
+import edgenode.membership.Limits;
+import edgenode.membership.Membership;
+import edgenode.net.discovery.MembersJson;
+import edgenode.policy.Gateway;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import willowyoke.Gateway;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Limits;
-import willowyoke.membership.Membership;
-import willowyoke.net.discovery.MembersJson;
-import willowyoke.standin.Agent;
 
 /** The cores against what they hold: servers and customers. */
 final class Cores {
--- a/src/main/java/willowyoke/kit/slopes/Fit.java
+++ b/src/main/java/edgenode/benchmark/Fit.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.slopes;
+package edgenode.benchmark;
 
 /**
  * A straight line by ordinary least squares, y = intercept + slope x; for a power law the same on
--- a/src/main/java/willowyoke/kit/slopes/Fleet.java
+++ b/src/main/java/edgenode/benchmark/Fleet.java
@@ -1,13 +1,13 @@
-package willowyoke.kit.slopes;
+package edgenode.benchmark;
 
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import willowyoke.Decide;
-import willowyoke.Gateway;
 
 /**
  * Decision modules in virtual time before one counter that answers every call after two
--- a/src/main/java/willowyoke/kit/slopes/Instance.java
+++ b/src/main/java/edgenode/benchmark/Instance.java
@@ -1,12 +1,12 @@
-package willowyoke.kit.slopes;
+package edgenode.benchmark;
 
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import willowyoke.Decide;
-import willowyoke.Gateway;
 
 /**
  * One decision module on the seam of {@link Gateway} alone, in virtual time that its user moves on:
--- a/src/main/java/willowyoke/kit/slopes/Meter.java
+++ b/src/main/java/edgenode/benchmark/Meter.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.slopes;
+package edgenode.benchmark;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryMXBean;
--- a/src/main/java/willowyoke/kit/slopes/Run.java
+++ b/src/main/java/edgenode/benchmark/Run.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.slopes;
+package edgenode.benchmark;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/willowyoke/kit/slopes/SlopesCommand.java
+++ b/src/main/java/edgenode/benchmark/SlopesCommand.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.slopes;
+package edgenode.benchmark;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/willowyoke/kit/slopes/Wires.java
+++ b/src/main/java/edgenode/benchmark/Wires.java
@@ -1,5 +1,18 @@
-package willowyoke.kit.slopes;
-
+package edgenode.benchmark;
+
+import edgenode.config.Config;
+import edgenode.config.ConfigFile;
+import edgenode.emulator.Agent;
+import edgenode.emulator.Counter;
+import edgenode.eventloop.LoopThread;
+import edgenode.membership.Entry;
+import edgenode.membership.Limits;
+import edgenode.net.counter.CounterClient;
+import edgenode.net.discovery.Members;
+import edgenode.net.discovery.MembersJson;
+import edgenode.net.downstream.ClientListener;
+import edgenode.net.resp.Resp;
+import edgenode.policy.Gateway;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -23,19 +36,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.ConfigFile;
-import willowyoke.loop.LoopThread;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Limits;
-import willowyoke.net.client.ClientListener;
-import willowyoke.net.counter.CounterClient;
-import willowyoke.net.discovery.Members;
-import willowyoke.net.discovery.MembersJson;
-import willowyoke.net.resp.Resp;
-import willowyoke.standin.Agent;
-import willowyoke.standin.Counter;
 
 /**
  * What passes on the wire, in its real forms, and what it takes to read it; sockets on loopback.
--- a/src/main/java/willowyoke/config/Config.java
+++ b/src/main/java/edgenode/config/Config.java
@@ -1,5 +1,6 @@
-package willowyoke.config;
+package edgenode.config;
 
+import edgenode.policy.Gateway;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,7 +11,6 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.StringJoiner;
-import willowyoke.Gateway;
 
 /**
  * What this edge node is told at its start. The times are milliseconds; admin, counter and known
--- a/src/main/java/willowyoke/config/ConfigFile.java
+++ b/src/main/java/edgenode/config/ConfigFile.java
@@ -1,4 +1,4 @@
-package willowyoke.config;
+package edgenode.config;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/willowyoke/config/EdgeSettings.java
+++ b/src/main/java/edgenode/config/EdgeSettings.java
@@ -1,12 +1,12 @@
-package willowyoke.config;
+package edgenode.config;
 
+import edgenode.idempotency.Bounds;
+import edgenode.membership.Limits;
+import edgenode.policy.subset.Subset;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import willowyoke.membership.Limits;
-import willowyoke.repeats.Bounds;
-import willowyoke.subset.Subset;
 
 /**
  * The operators' own settings: one TOML file, read only where {@code serve --settings FILE} names
@@ -16,7 +16,7 @@
  * @param sources where the list of servers comes from, in the order in which one stands in for the
  *     one before
  * @param failOver how long a source may say nothing before the next one takes over (ms)
- * @param limits how {@link willowyoke.membership.Membership} weighs what it is told
+ * @param limits how {@link edgenode.membership.Membership} weighs what it is told
  * @param repeats how much is remembered of idempotency keys, or null where repeats are not
  *     recognised
  * @param subset how many servers of a longer list a node holds on average at least
--- a/src/main/java/willowyoke/config/Json.java
+++ b/src/main/java/edgenode/config/Json.java
@@ -1,4 +1,4 @@
-package willowyoke.config;
+package edgenode.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/willowyoke/config/SettingsReader.java
+++ b/src/main/java/edgenode/config/SettingsReader.java
@@ -1,9 +1,9 @@
-package willowyoke.config;
+package edgenode.config;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import willowyoke.Gateway;
 
 /**
  * The settings by path, as both hosts are told them: the simulator's wire and the real edge node's
--- a/src/main/java/willowyoke/drain/Drain.java
+++ b/src/main/java/edgenode/drain/Drain.java
@@ -1,4 +1,4 @@
-package willowyoke.drain;
+package edgenode.drain;
 
 /**
  * Whether this edge node takes clients, and how far it has sent them away. A pure core: time (ms)
--- a/src/main/java/willowyoke/standin/CampusClients.java
+++ b/src/main/java/edgenode/emulator/CampusClients.java
@@ -1,5 +1,7 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
+import edgenode.eventloop.Loop;
+import edgenode.net.resp.Resp;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -17,8 +19,6 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import willowyoke.loop.Loop;
-import willowyoke.net.resp.Resp;
 
 /**
  * Stand-in clients of an edge node, from the protocol page: they ask at the times drawn ahead,
--- a/src/main/java/willowyoke/standin/Capacity.java
+++ b/src/main/java/edgenode/emulator/Capacity.java
@@ -1,4 +1,4 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/willowyoke/standin/Counter.java
+++ b/src/main/java/edgenode/emulator/Counter.java
@@ -1,5 +1,7 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
+import edgenode.eventloop.Loop;
+import edgenode.net.resp.Resp;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -24,8 +26,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import willowyoke.loop.Loop;
-import willowyoke.net.resp.Resp;
 
 /**
  * A stand-in for the shared counter, from the protocol page, on an event loop that is given: names
--- a/src/main/java/willowyoke/standin/Discovery.java
+++ b/src/main/java/edgenode/emulator/Discovery.java
@@ -1,5 +1,6 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
+import edgenode.eventloop.Loop;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -30,7 +31,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.StringJoiner;
-import willowyoke.loop.Loop;
 
 /**
  * A stand-in for discovery and its agents, from the protocol page, on an event loop that is given:
--- a/src/main/java/willowyoke/standin/Effects.java
+++ b/src/main/java/edgenode/emulator/Effects.java
@@ -1,4 +1,4 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
 /**
  * What passes on the sockets of stand-in app servers, for those who judge; called on the stand-ins'
--- a/src/main/java/willowyoke/standin/EnrolmentServer.java
+++ b/src/main/java/edgenode/emulator/EnrolmentServer.java
@@ -1,5 +1,7 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
+import edgenode.eventloop.Loop;
+import edgenode.net.resp.Resp;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -21,8 +23,6 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import willowyoke.loop.Loop;
-import willowyoke.net.resp.Resp;
 
 /**
  * A stand-in for an app server, from the protocol page, on an event loop that is given: its {@link
--- a/src/main/java/willowyoke/standin/Front.java
+++ b/src/main/java/edgenode/emulator/Front.java
@@ -1,4 +1,4 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
 import java.util.Arrays;
 import java.util.HashMap;
--- a/src/main/java/willowyoke/standin/NameServer.java
+++ b/src/main/java/edgenode/emulator/NameServer.java
@@ -1,4 +1,4 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
--- a/src/main/java/willowyoke/loop/Clock.java
+++ b/src/main/java/edgenode/eventloop/Clock.java
@@ -1,4 +1,4 @@
-package willowyoke.loop;
+package edgenode.eventloop;
 
 /** Unix time in ms, with fractions, that never goes back. */
 public interface Clock {
--- a/src/main/java/willowyoke/loop/LoopDelay.java
+++ b/src/main/java/edgenode/eventloop/LoopDelay.java
@@ -1,4 +1,4 @@
-package willowyoke.loop;
+package edgenode.eventloop;
 
 /**
  * How long events wait for a busy event loop, estimated by how late its timers run. A decaying
--- a/src/main/java/willowyoke/loop/LoopThread.java
+++ b/src/main/java/edgenode/eventloop/LoopThread.java
@@ -1,4 +1,4 @@
-package willowyoke.loop;
+package edgenode.eventloop;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
--- a/src/main/java/willowyoke/loop/Transport.java
+++ b/src/main/java/edgenode/eventloop/Transport.java
@@ -1,4 +1,4 @@
-package willowyoke.loop;
+package edgenode.eventloop;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/willowyoke/repeats/Bounds.java
+++ b/src/main/java/edgenode/idempotency/Bounds.java
@@ -1,4 +1,4 @@
-package willowyoke.repeats;
+package edgenode.idempotency;
 
 /**
  * How much {@link Repeats} remembers.
--- a/src/main/java/willowyoke/repeats/Repeats.java
+++ b/src/main/java/edgenode/idempotency/Repeats.java
@@ -1,4 +1,4 @@
-package willowyoke.repeats;
+package edgenode.idempotency;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/willowyoke/ledger/Ledger.java
+++ b/src/main/java/edgenode/ledger/Ledger.java
@@ -1,4 +1,4 @@
-package willowyoke.ledger;
+package edgenode.ledger;
 
 import java.util.ArrayList;
 import java.util.Iterator;
--- a/src/main/java/willowyoke/membership/Entry.java
+++ b/src/main/java/edgenode/membership/Entry.java
@@ -1,7 +1,7 @@
-package willowyoke.membership;
+package edgenode.membership;
 
+import edgenode.policy.Gateway;
 import java.util.Objects;
-import willowyoke.Gateway;
 
 /**
  * A server as one source tells it.
--- a/src/main/java/willowyoke/membership/Health.java
+++ b/src/main/java/edgenode/membership/Health.java
@@ -1,4 +1,4 @@
-package willowyoke.membership;
+package edgenode.membership;
 
 /** What connections to servers show of them, beside what lists say. */
 public interface Health {
--- a/src/main/java/willowyoke/membership/Limits.java
+++ b/src/main/java/edgenode/membership/Limits.java
@@ -1,4 +1,4 @@
-package willowyoke.membership;
+package edgenode.membership;
 
 /**
  * The times (ms) and shares by which {@link Membership} weighs what it is told.
--- a/src/main/java/willowyoke/membership/Membership.java
+++ b/src/main/java/edgenode/membership/Membership.java
@@ -1,5 +1,6 @@
-package willowyoke.membership;
+package edgenode.membership;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -11,7 +12,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import willowyoke.Gateway;
 
 /**
  * One view of the servers, from what several sources say, each late, partial or wrong in its own
--- a/src/main/java/willowyoke/membership/Source.java
+++ b/src/main/java/edgenode/membership/Source.java
@@ -1,4 +1,4 @@
-package willowyoke.membership;
+package edgenode.membership;
 
 import java.util.List;
 
--- a/src/main/java/willowyoke/net/counter/CounterClient.java
+++ b/src/main/java/edgenode/net/counter/CounterClient.java
@@ -1,5 +1,8 @@
-package willowyoke.net.counter;
+package edgenode.net.counter;
 
+import edgenode.eventloop.Loop;
+import edgenode.net.resp.Resp;
+import edgenode.policy.Gateway;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -17,9 +20,6 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.regex.Pattern;
-import willowyoke.Gateway;
-import willowyoke.loop.Loop;
-import willowyoke.net.resp.Resp;
 
 /**
  * Calls to the shared counter over a few connections. A name keeps to one, so its answers stay in
--- a/src/main/java/willowyoke/net/discovery/AgentSource.java
+++ b/src/main/java/edgenode/net/discovery/AgentSource.java
@@ -1,6 +1,8 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
 import com.fasterxml.jackson.core.JacksonException;
+import edgenode.eventloop.Loop;
+import edgenode.membership.Source;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -30,8 +32,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import willowyoke.loop.Loop;
-import willowyoke.membership.Source;
 
 /**
  * This platform's discovery: an agent on the same machine that answers at once. Two eyes, as no
--- a/src/main/java/willowyoke/net/discovery/Backoff.java
+++ b/src/main/java/edgenode/net/discovery/Backoff.java
@@ -1,4 +1,4 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
 import java.util.SplittableRandom;
 
--- a/src/main/java/willowyoke/net/discovery/ConsulSource.java
+++ b/src/main/java/edgenode/net/discovery/ConsulSource.java
@@ -1,5 +1,10 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.eventloop.Loop;
+import edgenode.membership.Entry;
+import edgenode.policy.Gateway;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -11,11 +16,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.loop.Loop;
-import willowyoke.membership.Entry;
 
 /**
  * Consul's {@code /v1/health/service/NAME} by blocking queries (its pages "Health HTTP endpoint"
--- a/src/main/java/willowyoke/net/discovery/DnsSrvSource.java
+++ b/src/main/java/edgenode/net/discovery/DnsSrvSource.java
@@ -1,5 +1,9 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
+import edgenode.eventloop.Loop;
+import edgenode.membership.Entry;
+import edgenode.membership.Source;
+import edgenode.policy.Gateway;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AddressedEnvelope;
 import io.netty.channel.EventLoop;
@@ -23,10 +27,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import willowyoke.Gateway;
-import willowyoke.loop.Loop;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Source;
 
 /**
  * SRV records (RFC 2782): the targets of the lowest priority, with their weights, addresses from
--- a/src/main/java/willowyoke/net/discovery/EdsSource.java
+++ b/src/main/java/edgenode/net/discovery/EdsSource.java
@@ -1,7 +1,12 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.eventloop.Loop;
+import edgenode.membership.Entry;
+import edgenode.policy.Gateway;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -16,11 +21,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.loop.Loop;
-import willowyoke.membership.Entry;
 
 /**
  * Envoy's endpoint discovery over REST (xDS protocol, "REST-JSON polling subscriptions"): a POST to
--- a/src/main/java/willowyoke/net/discovery/HttpSource.java
+++ b/src/main/java/edgenode/net/discovery/HttpSource.java
@@ -1,5 +1,8 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
+import edgenode.eventloop.Loop;
+import edgenode.membership.Entry;
+import edgenode.membership.Source;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -17,9 +20,6 @@
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.util.List;
-import willowyoke.loop.Loop;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Source;
 
 /**
  * A source that asks one question after another over HTTP, on one connection that is kept: an
--- a/src/main/java/willowyoke/net/discovery/Members.java
+++ b/src/main/java/edgenode/net/discovery/Members.java
@@ -1,17 +1,17 @@
-package willowyoke.net.discovery;
-
+package edgenode.net.discovery;
+
+import edgenode.eventloop.Loop;
+import edgenode.membership.Entry;
+import edgenode.membership.Health;
+import edgenode.membership.Limits;
+import edgenode.membership.Membership;
+import edgenode.membership.Source;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import willowyoke.loop.Loop;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Health;
-import willowyoke.membership.Limits;
-import willowyoke.membership.Membership;
-import willowyoke.membership.Source;
 
 /**
  * Carries out what {@link Membership} decides: feeds it what sources and connections say, and tells
--- a/src/main/java/willowyoke/net/discovery/MembersJson.java
+++ b/src/main/java/edgenode/net/discovery/MembersJson.java
@@ -1,16 +1,16 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.membership.Entry;
+import edgenode.policy.Gateway;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.membership.Entry;
 
 /**
  * A list in discovery's form, read without a tree: {@code {"seq":41,"whole":true,"hosts":[...]}}.
--- a/src/main/java/willowyoke/net/discovery/Sources.java
+++ b/src/main/java/edgenode/net/discovery/Sources.java
@@ -1,5 +1,7 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
+import edgenode.config.Config;
+import edgenode.config.EdgeSettings;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -7,8 +9,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import willowyoke.config.Config;
-import willowyoke.config.EdgeSettings;
 
 /**
  * The places of the operators' settings, in their order. Loaded only where there are such settings.
--- a/src/main/java/willowyoke/net/client/ClientListener.java
+++ b/src/main/java/edgenode/net/downstream/ClientListener.java
@@ -1,5 +1,7 @@
-package willowyoke.net.client;
+package edgenode.net.downstream;
 
+import edgenode.eventloop.Loop;
+import edgenode.net.resp.Resp;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -21,8 +23,6 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import willowyoke.loop.Loop;
-import willowyoke.net.resp.Resp;
 
 /** Clients' connections: commands in, answers out in the order of the commands. */
 public final class ClientListener {
--- a/src/main/java/willowyoke/net/client/Places.java
+++ b/src/main/java/edgenode/net/downstream/Places.java
@@ -1,4 +1,4 @@
-package willowyoke.net.client;
+package edgenode.net.downstream;
 
 import java.util.HashMap;
 import java.util.Iterator;
--- a/src/main/java/willowyoke/net/resp/Call.java
+++ b/src/main/java/edgenode/net/resp/Call.java
@@ -1,5 +1,6 @@
-package willowyoke.net.resp;
+package edgenode.net.resp;
 
+import edgenode.policy.Gateway;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.handler.codec.redis.ArrayRedisMessage;
 import io.netty.handler.codec.redis.FullBulkStringRedisMessage;
@@ -7,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import willowyoke.Gateway;
 
 /**
  * A client's call as read: what the module is told of it, and its list of names and values round d.
--- a/src/main/java/willowyoke/net/resp/Resp.java
+++ b/src/main/java/edgenode/net/resp/Resp.java
@@ -1,4 +1,4 @@
-package willowyoke.net.resp;
+package edgenode.net.resp;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
--- a/src/main/java/willowyoke/net/server/ServerPool.java
+++ b/src/main/java/edgenode/net/upstream/ServerPool.java
@@ -1,5 +1,12 @@
-package willowyoke.net.server;
-
+package edgenode.net.upstream;
+
+import edgenode.config.Config;
+import edgenode.eventloop.Loop;
+import edgenode.membership.Entry;
+import edgenode.membership.Health;
+import edgenode.net.resp.LongValues;
+import edgenode.net.resp.Resp;
+import edgenode.policy.Gateway;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -27,13 +34,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.loop.Loop;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Health;
-import willowyoke.net.resp.LongValues;
-import willowyoke.net.resp.Resp;
 
 /**
  * Connections to app servers, and the attempts and probes on them. A connection carries one request
--- a/src/main/java/willowyoke/node/Figures.java
+++ b/src/main/java/edgenode/node/Figures.java
@@ -1,15 +1,15 @@
-package willowyoke.node;
+package edgenode.node;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+import edgenode.idempotency.Repeats;
+import edgenode.ledger.Ledger;
+import edgenode.membership.Membership;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Map;
-import willowyoke.ledger.Ledger;
-import willowyoke.membership.Membership;
-import willowyoke.repeats.Repeats;
 
 /**
  * The figures as operators read them: one JSON object; all counts are from the start of the
--- a/src/main/java/willowyoke/node/LastingKeys.java
+++ b/src/main/java/edgenode/node/LastingKeys.java
@@ -1,5 +1,8 @@
-package willowyoke.node;
+package edgenode.node;
 
+import edgenode.store.Batch;
+import edgenode.store.Store;
+import edgenode.store.StoreException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -8,9 +11,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import willowyoke.store.Batch;
-import willowyoke.store.Store;
-import willowyoke.store.StoreException;
 
 /**
  * Idempotency keys in a {@link Store}: a key is there before its request can run, and what became
--- a/src/main/java/willowyoke/node/Node.java
+++ b/src/main/java/edgenode/node/Node.java
@@ -1,5 +1,25 @@
-package willowyoke.node;
-
+package edgenode.node;
+
+import edgenode.admin.AdminListener;
+import edgenode.admin.Operations;
+import edgenode.config.Config;
+import edgenode.config.EdgeSettings;
+import edgenode.drain.Drain;
+import edgenode.eventloop.Loop;
+import edgenode.eventloop.LoopThread;
+import edgenode.ledger.Ledger;
+import edgenode.membership.Entry;
+import edgenode.membership.Limits;
+import edgenode.membership.Membership;
+import edgenode.net.counter.CounterClient;
+import edgenode.net.discovery.Members;
+import edgenode.net.discovery.MembersJson;
+import edgenode.net.discovery.Sources;
+import edgenode.net.downstream.ClientListener;
+import edgenode.net.resp.Call;
+import edgenode.net.upstream.ServerPool;
+import edgenode.policy.Gateway;
+import edgenode.store.StoreException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.ChannelFuture;
@@ -21,26 +41,6 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import willowyoke.Gateway;
-import willowyoke.admin.AdminListener;
-import willowyoke.admin.Operations;
-import willowyoke.config.Config;
-import willowyoke.config.EdgeSettings;
-import willowyoke.drain.Drain;
-import willowyoke.ledger.Ledger;
-import willowyoke.loop.Loop;
-import willowyoke.loop.LoopThread;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Limits;
-import willowyoke.membership.Membership;
-import willowyoke.net.client.ClientListener;
-import willowyoke.net.counter.CounterClient;
-import willowyoke.net.discovery.Members;
-import willowyoke.net.discovery.MembersJson;
-import willowyoke.net.discovery.Sources;
-import willowyoke.net.resp.Call;
-import willowyoke.net.server.ServerPool;
-import willowyoke.store.StoreException;
 
 /**
  * One real edge node: the table of requests, between the sockets and the decision module. All of it
--- a/src/main/java/willowyoke/node/Recognition.java
+++ b/src/main/java/edgenode/node/Recognition.java
@@ -1,5 +1,12 @@
-package willowyoke.node;
+package edgenode.node;
 
+import edgenode.eventloop.Loop;
+import edgenode.idempotency.Bounds;
+import edgenode.idempotency.Repeats;
+import edgenode.ledger.Ledger;
+import edgenode.net.downstream.ClientListener;
+import edgenode.net.resp.Call;
+import edgenode.store.StoreException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -15,13 +22,6 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.zip.CRC32C;
-import willowyoke.ledger.Ledger;
-import willowyoke.loop.Loop;
-import willowyoke.net.client.ClientListener;
-import willowyoke.net.resp.Call;
-import willowyoke.repeats.Bounds;
-import willowyoke.repeats.Repeats;
-import willowyoke.store.StoreException;
 
 /**
  * Carries out what {@link Repeats} decides: holds the clients that wait for another request's
--- a/src/main/java/willowyoke/node/StartLog.java
+++ b/src/main/java/edgenode/node/StartLog.java
@@ -1,4 +1,4 @@
-package willowyoke.node;
+package edgenode.node;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/willowyoke/node/Warmup.java
+++ b/src/main/java/edgenode/node/Warmup.java
@@ -1,5 +1,9 @@
-package willowyoke.node;
+package edgenode.node;
 
+import edgenode.net.resp.Call;
+import edgenode.net.resp.Resp;
+import edgenode.net.upstream.ServerPool;
+import edgenode.policy.Gateway;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -13,10 +17,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import willowyoke.Gateway;
-import willowyoke.net.resp.Call;
-import willowyoke.net.resp.Resp;
-import willowyoke.net.server.ServerPool;
 
 /**
  * Runs the code of the ordinary path before the edge node is ready, so that the JVM has compiled
--- a/src/main/java/willowyoke/Decide.java
+++ b/src/main/java/edgenode/policy/Decide.java
@@ -1,9 +1,9 @@
 // What goes in and out is declared in Gateway.java: Events in, Actions out.
-package willowyoke;
+package edgenode.policy;
 
+import edgenode.policy.subset.Subset;
 import java.nio.charset.StandardCharsets;
 import java.util.*;
-import willowyoke.subset.Subset;
 
 /**
  * Every decision of one gateway. The same events give the same actions; all chance comes from one
--- a/src/main/java/willowyoke/subset/Subset.java
+++ b/src/main/java/edgenode/policy/subset/Subset.java
@@ -1,4 +1,4 @@
-package willowyoke.subset;
+package edgenode.policy.subset;
 
 import java.util.*;
 
--- a/src/main/java/willowyoke/sim/Wire.java
+++ b/src/main/java/edgenode/simhost/Wire.java
@@ -1,5 +1,8 @@
-package willowyoke.sim;
+package edgenode.simhost;
 
+import edgenode.config.SettingsReader;
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -9,9 +12,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import willowyoke.Decide;
-import willowyoke.Gateway;
-import willowyoke.config.SettingsReader;
 
 /**
  * The text wire: parses batches into events, prints actions, hosts many instances. It decides
--- a/src/main/java/willowyoke/kit/Kit.java
+++ b/src/main/java/edgenode/simulation/Kit.java
@@ -1,11 +1,11 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.benchmark.SlopesCommand;
+import edgenode.simulation.fleet.ScaleCommand;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.util.Arrays;
 import picocli.CommandLine;
-import willowyoke.kit.scale.ScaleCommand;
-import willowyoke.kit.slopes.SlopesCommand;
 
 /**
  * The kit's commands. Loaded only where one of them is called: {@code serve} must not pay for them.
--- a/src/main/java/willowyoke/kit/LocalTransport.java
+++ b/src/main/java/edgenode/simulation/LocalTransport.java
@@ -1,5 +1,6 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.eventloop.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelOption;
@@ -9,7 +10,6 @@
 import io.netty.channel.local.LocalServerChannel;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
-import willowyoke.loop.Transport;
 
 /**
  * Channels within the process. What is written comes whole and at once; a connection to an address
--- a/src/main/java/willowyoke/kit/ProcessLoop.java
+++ b/src/main/java/edgenode/simulation/ProcessLoop.java
@@ -1,5 +1,8 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.eventloop.Loop;
+import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -15,9 +18,6 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import willowyoke.loop.Loop;
-import willowyoke.loop.LoopThread;
-import willowyoke.loop.Transport;
 
 /**
  * One edge node's process in the simulation: it shares the world's thread and clock, and can be
--- a/src/main/java/willowyoke/kit/Progress.java
+++ b/src/main/java/edgenode/simulation/Progress.java
@@ -1,4 +1,4 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
 import java.io.PrintStream;
 import java.util.Locale;
--- a/src/main/java/willowyoke/kit/Recorder.java
+++ b/src/main/java/edgenode/simulation/Recorder.java
@@ -1,13 +1,13 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.emulator.Agent;
+import edgenode.emulator.Arrivals;
+import edgenode.emulator.CampusClients;
+import edgenode.emulator.Discovery;
+import edgenode.emulator.Effects;
+import edgenode.simulation.invariants.Event;
 import java.util.function.Consumer;
 import java.util.function.DoubleUnaryOperator;
-import willowyoke.kit.judge.Event;
-import willowyoke.standin.Agent;
-import willowyoke.standin.Arrivals;
-import willowyoke.standin.CampusClients;
-import willowyoke.standin.Discovery;
-import willowyoke.standin.Effects;
 
 /** Turns what passes on the stand-ins' sockets into the judges' events, on the day's clock. */
 final class Recorder implements Effects, Discovery.Told, CampusClients.Heard {
--- a/src/main/java/willowyoke/kit/Rehearsal.java
+++ b/src/main/java/edgenode/simulation/Rehearsal.java
@@ -1,5 +1,13 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.emulator.CampusClients;
+import edgenode.node.Node;
+import edgenode.policy.Decide;
+import edgenode.simulation.invariants.Breach;
+import edgenode.simulation.invariants.Court;
+import edgenode.simulation.invariants.Event;
+import edgenode.simulation.invariants.Quotas;
+import edgenode.simulation.invariants.Terms;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -7,14 +15,6 @@
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.DoubleConsumer;
-import willowyoke.Decide;
-import willowyoke.kit.judge.Breach;
-import willowyoke.kit.judge.Court;
-import willowyoke.kit.judge.Event;
-import willowyoke.kit.judge.Quotas;
-import willowyoke.kit.judge.Terms;
-import willowyoke.node.Node;
-import willowyoke.standin.CampusClients;
 
 /**
  * One scenario played with one seed, and judged.
--- a/src/main/java/willowyoke/kit/RehearseCommand.java
+++ b/src/main/java/edgenode/simulation/RehearseCommand.java
@@ -1,5 +1,10 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.emulator.CampusClients;
+import edgenode.policy.Decide;
+import edgenode.simulation.invariants.Breach;
+import edgenode.simulation.invariants.Event;
+import edgenode.simulation.invariants.Quotas;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -24,11 +29,6 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import willowyoke.Decide;
-import willowyoke.kit.judge.Breach;
-import willowyoke.kit.judge.Event;
-import willowyoke.kit.judge.Quotas;
-import willowyoke.standin.CampusClients;
 
 /** {@code rehearse}: scenarios in virtual time, judged. */
 @Command(
--- a/src/main/java/willowyoke/kit/Report.java
+++ b/src/main/java/edgenode/simulation/Report.java
@@ -1,7 +1,11 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+import edgenode.emulator.CampusClients;
+import edgenode.simulation.invariants.Breach;
+import edgenode.simulation.invariants.Event;
+import edgenode.simulation.invariants.Quotas;
 import java.awt.Color;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -22,10 +26,6 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import willowyoke.kit.judge.Breach;
-import willowyoke.kit.judge.Event;
-import willowyoke.kit.judge.Quotas;
-import willowyoke.standin.CampusClients;
 
 /**
  * A rehearsal's report: {@code report.json} for programs (its form is that of {@link #SCHEMA};
--- a/src/main/java/willowyoke/kit/Scenario.java
+++ b/src/main/java/edgenode/simulation/Scenario.java
@@ -1,8 +1,8 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.emulator.Capacity;
 import java.util.ArrayList;
 import java.util.List;
-import willowyoke.standin.Capacity;
 
 /**
  * A day to rehearse: how large the installation is, what its campuses ask over time, and what goes
--- a/src/main/java/willowyoke/kit/Scenarios.java
+++ b/src/main/java/edgenode/simulation/Scenarios.java
@@ -1,5 +1,7 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.config.TomlReader;
+import edgenode.emulator.Capacity;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -9,8 +11,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import willowyoke.config.TomlReader;
-import willowyoke.standin.Capacity;
 
 /**
  * Scenarios: those that come with the program, and files of the operators' own in the same form.
--- a/src/main/java/willowyoke/kit/Simulation.java
+++ b/src/main/java/edgenode/simulation/Simulation.java
@@ -1,5 +1,18 @@
-package willowyoke.kit;
-
+package edgenode.simulation;
+
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.emulator.Agent;
+import edgenode.emulator.Arrivals;
+import edgenode.emulator.CampusClients;
+import edgenode.emulator.Counter;
+import edgenode.emulator.Discovery;
+import edgenode.emulator.EnrolmentServer;
+import edgenode.emulator.Front;
+import edgenode.emulator.Rack;
+import edgenode.eventloop.LoopThread;
+import edgenode.node.Node;
+import edgenode.simulation.invariants.Event;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -10,19 +23,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.kit.judge.Event;
-import willowyoke.loop.LoopThread;
-import willowyoke.node.Node;
-import willowyoke.standin.Agent;
-import willowyoke.standin.Arrivals;
-import willowyoke.standin.CampusClients;
-import willowyoke.standin.Counter;
-import willowyoke.standin.Discovery;
-import willowyoke.standin.EnrolmentServer;
-import willowyoke.standin.Front;
-import willowyoke.standin.Rack;
 
 /**
  * A scenario's day: edge nodes, their own network code unmodified, and their world on one thread in
--- a/src/main/java/willowyoke/kit/Trace.java
+++ b/src/main/java/edgenode/simulation/Trace.java
@@ -1,13 +1,13 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.emulator.Arrivals;
+import edgenode.emulator.CampusClients;
+import edgenode.emulator.Counter;
+import edgenode.simulation.invariants.Event;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import willowyoke.kit.judge.Event;
-import willowyoke.standin.Arrivals;
-import willowyoke.standin.CampusClients;
-import willowyoke.standin.Counter;
 
 /**
  * Each event on the stand-ins' sockets as a line, and the SHA-256 of all lines: two runs are one if
--- a/src/main/java/willowyoke/kit/TryCommand.java
+++ b/src/main/java/edgenode/simulation/TryCommand.java
@@ -1,5 +1,9 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.emulator.Arrivals;
+import edgenode.emulator.CampusClients;
+import edgenode.emulator.Counter;
+import edgenode.emulator.Effects;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -14,10 +18,6 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import willowyoke.standin.Arrivals;
-import willowyoke.standin.CampusClients;
-import willowyoke.standin.Counter;
-import willowyoke.standin.Effects;
 
 /** {@code try}: an edge node and its world on loopback, for a first look. */
 @Command(
--- a/src/main/java/willowyoke/kit/VirtualLoop.java
+++ b/src/main/java/edgenode/simulation/VirtualLoop.java
@@ -1,12 +1,12 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.eventloop.Clock;
 import io.netty.channel.ManualIoEventLoop;
 import io.netty.channel.local.LocalIoHandler;
 import io.netty.util.concurrent.MockTicker;
 import io.netty.util.concurrent.Ticker;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleConsumer;
-import willowyoke.loop.Clock;
 
 /**
  * An event loop in virtual time: nothing happens between two timers, so time jumps from one to the
--- a/src/main/java/willowyoke/kit/World.java
+++ b/src/main/java/edgenode/simulation/World.java
@@ -1,5 +1,20 @@
-package willowyoke.kit;
-
+package edgenode.simulation;
+
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.emulator.Agent;
+import edgenode.emulator.Arrivals;
+import edgenode.emulator.Capacity;
+import edgenode.emulator.Counter;
+import edgenode.emulator.Effects;
+import edgenode.emulator.EnrolmentServer;
+import edgenode.emulator.Rack;
+import edgenode.eventloop.Clock;
+import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.Transport;
+import edgenode.node.Node;
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
@@ -8,21 +23,6 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import willowyoke.Decide;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.loop.Clock;
-import willowyoke.loop.LoopThread;
-import willowyoke.loop.Transport;
-import willowyoke.node.Node;
-import willowyoke.standin.Agent;
-import willowyoke.standin.Arrivals;
-import willowyoke.standin.Capacity;
-import willowyoke.standin.Counter;
-import willowyoke.standin.Effects;
-import willowyoke.standin.EnrolmentServer;
-import willowyoke.standin.Rack;
 
 /**
  * A small installation on loopback: one edge node, enrolment servers in two racks, discovery and
--- a/src/main/java/willowyoke/kit/scale/Agenda.java
+++ b/src/main/java/edgenode/simulation/fleet/Agenda.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/src/main/java/willowyoke/kit/scale/AppServer.java
+++ b/src/main/java/edgenode/simulation/fleet/AppServer.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
 /** An app server, thinly: cores that take requests in their order, slower while it is cold. */
 final class AppServer {
--- a/src/main/java/willowyoke/kit/scale/Assumed.java
+++ b/src/main/java/edgenode/simulation/fleet/Assumed.java
@@ -1,9 +1,9 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import willowyoke.Gateway;
 
 /**
  * What no run has shown: the figures of the world around the nodes. The report prints them with
--- a/src/main/java/willowyoke/kit/scale/CounterModel.java
+++ b/src/main/java/edgenode/simulation/fleet/CounterModel.java
@@ -1,8 +1,8 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.policy.Gateway;
 import java.util.HashMap;
 import java.util.Map;
-import willowyoke.Gateway;
 
 /**
  * The counter, thinly: totals by name, so many adds a second in their order, a line before it; may
--- a/src/main/java/willowyoke/kit/scale/DiscoveryModel.java
+++ b/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
@@ -1,11 +1,11 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.emulator.Agent;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Set;
-import willowyoke.standin.Agent;
 
 /**
  * One list of discovery's, thinly: versions, and watches to which changes are pushed in the real
--- a/src/main/java/willowyoke/kit/scale/Fleet.java
+++ b/src/main/java/edgenode/simulation/fleet/Fleet.java
@@ -1,12 +1,12 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.node.Node;
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.DoubleConsumer;
-import willowyoke.Gateway;
-import willowyoke.node.Node;
 
 /**
  * Hollow edge nodes, many in one process, and thin models of all around them, on virtual time: the
--- a/src/main/java/willowyoke/kit/scale/HollowNode.java
+++ b/src/main/java/edgenode/simulation/fleet/HollowNode.java
@@ -1,15 +1,15 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.membership.Entry;
+import edgenode.membership.Limits;
+import edgenode.membership.Membership;
+import edgenode.node.Node;
+import edgenode.policy.Gateway;
 import io.netty.util.collection.LongObjectHashMap;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.List;
-import willowyoke.Gateway;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Limits;
-import willowyoke.membership.Membership;
-import willowyoke.node.Node;
 
 /**
  * An edge node without its sockets, from its start to its end: the decision module and the
--- a/src/main/java/willowyoke/kit/scale/ScaleCommand.java
+++ b/src/main/java/edgenode/simulation/fleet/ScaleCommand.java
@@ -1,5 +1,6 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.policy.Decide;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -12,7 +13,6 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import willowyoke.Decide;
 
 /** {@code scale}: a fleet of hollow edge nodes in virtual time, judged by what it counts. */
 @Command(
--- a/src/main/java/willowyoke/kit/scale/ScaleReport.java
+++ b/src/main/java/edgenode/simulation/fleet/ScaleReport.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/willowyoke/kit/scale/Shape.java
+++ b/src/main/java/edgenode/simulation/fleet/Shape.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
 /**
  * The size of a fleet and of the run.
--- a/src/main/java/willowyoke/kit/scale/Tally.java
+++ b/src/main/java/edgenode/simulation/fleet/Tally.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/src/main/java/willowyoke/kit/scale/WireForms.java
+++ b/src/main/java/edgenode/simulation/fleet/WireForms.java
@@ -1,16 +1,16 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.emulator.Agent;
+import edgenode.membership.Entry;
+import edgenode.net.counter.CounterClient;
+import edgenode.net.discovery.MembersJson;
+import edgenode.net.resp.Resp;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.StringJoiner;
-import willowyoke.membership.Entry;
-import willowyoke.net.counter.CounterClient;
-import willowyoke.net.discovery.MembersJson;
-import willowyoke.net.resp.Resp;
-import willowyoke.standin.Agent;
 
 /** Messages as the connections write and read them, for their lengths (bytes) and what they say. */
 final class WireForms {
--- a/src/main/java/willowyoke/kit/judge/Breach.java
+++ b/src/main/java/edgenode/simulation/invariants/Breach.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
 /**
  * A rule that was broken.
--- a/src/main/java/willowyoke/kit/judge/Bucket.java
+++ b/src/main/java/edgenode/simulation/invariants/Bucket.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
 /**
  * A store of units that starts full, fills at a rate and holds its burst at most (a token bucket).
--- a/src/main/java/willowyoke/kit/judge/Ceilings.java
+++ b/src/main/java/edgenode/simulation/invariants/Ceilings.java
@@ -1,5 +1,6 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,7 +8,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import willowyoke.Gateway;
 
 /**
  * The fifth rule: a plan's second store, one for a customer over all edge nodes, from which each
--- a/src/main/java/willowyoke/kit/judge/ColdServers.java
+++ b/src/main/java/edgenode/simulation/invariants/ColdServers.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/willowyoke/kit/judge/EffectsOnce.java
+++ b/src/main/java/edgenode/simulation/invariants/EffectsOnce.java
@@ -1,11 +1,11 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import willowyoke.Gateway;
 
 /**
  * The second rule: nothing that may have run goes out again unless its class allows it, and it is
--- a/src/main/java/willowyoke/kit/judge/Event.java
+++ b/src/main/java/edgenode/simulation/invariants/Event.java
@@ -1,6 +1,6 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
-import willowyoke.standin.Capacity;
+import edgenode.emulator.Capacity;
 
 /**
  * What passed on the sockets of the stand-ins, and what was done to the world: all that the judges
--- a/src/main/java/willowyoke/kit/judge/Quotas.java
+++ b/src/main/java/edgenode/simulation/invariants/Quotas.java
@@ -1,5 +1,6 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,7 +9,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import willowyoke.Gateway;
 
 /**
  * Quota arithmetic: an exact token bucket for each customer over all edge nodes, fed by what came
--- a/src/main/java/willowyoke/kit/judge/Terms.java
+++ b/src/main/java/edgenode/simulation/invariants/Terms.java
@@ -1,8 +1,8 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
+import edgenode.policy.Gateway;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import willowyoke.Gateway;
 
 /**
  * The figures that the rules hold with: those of the settings, each time limit 50 ms longer, as on
--- a/src/main/java/willowyoke/store/Batch.java
+++ b/src/main/java/edgenode/store/Batch.java
@@ -1,4 +1,4 @@
-package willowyoke.store;
+package edgenode.store;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/willowyoke/store/Compaction.java
+++ b/src/main/java/edgenode/store/Compaction.java
@@ -1,14 +1,14 @@
-package willowyoke.store;
+package edgenode.store;
 
+import edgenode.store.Disk.DiskException;
+import edgenode.store.Frames.Stored;
+import edgenode.store.StoreException.Reason;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import willowyoke.store.Disk.DiskException;
-import willowyoke.store.Frames.Stored;
-import willowyoke.store.StoreException.Reason;
 
 /**
  * Copies what is still wanted of neighbouring segments into a new one, in steps. Sequence numbers
--- a/src/main/java/willowyoke/store/Disk.java
+++ b/src/main/java/edgenode/store/Disk.java
@@ -1,4 +1,4 @@
-package willowyoke.store;
+package edgenode.store;
 
 import java.nio.ByteBuffer;
 import java.util.List;
--- a/src/main/java/willowyoke/store/Engine.java
+++ b/src/main/java/edgenode/store/Engine.java
@@ -1,5 +1,8 @@
-package willowyoke.store;
+package edgenode.store;
 
+import edgenode.store.Disk.DiskException;
+import edgenode.store.Frames.Stored;
+import edgenode.store.StoreException.Reason;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,9 +17,6 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
-import willowyoke.store.Disk.DiskException;
-import willowyoke.store.Frames.Stored;
-import willowyoke.store.StoreException.Reason;
 
 /**
  * The log and its index. One thread writes: {@link #append}, then {@link #sync} where it must last,
--- a/src/main/java/willowyoke/store/FileDisk.java
+++ b/src/main/java/edgenode/store/FileDisk.java
@@ -1,4 +1,4 @@
-package willowyoke.store;
+package edgenode.store;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/main/java/willowyoke/store/Hint.java
+++ b/src/main/java/edgenode/store/Hint.java
@@ -1,13 +1,13 @@
-package willowyoke.store;
+package edgenode.store;
 
+import edgenode.store.Disk.DiskException;
+import edgenode.store.Frames.Stored;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import willowyoke.store.Disk.DiskException;
-import willowyoke.store.Frames.Stored;
 
 /**
  * The keys of a closed segment with their places, so that a start need not read the values. It is
--- a/src/main/java/willowyoke/store/Salvage.java
+++ b/src/main/java/edgenode/store/Salvage.java
@@ -1,12 +1,12 @@
-package willowyoke.store;
+package edgenode.store;
 
+import edgenode.store.Disk.DiskException;
+import edgenode.store.Frames.Stored;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import willowyoke.store.Disk.DiskException;
-import willowyoke.store.Frames.Stored;
 
 /**
  * Reads all that can be read of a folder, changing nothing: what {@code store check}, {@code dump}
--- a/src/main/java/willowyoke/store/Slot.java
+++ b/src/main/java/edgenode/store/Slot.java
@@ -1,4 +1,4 @@
-package willowyoke.store;
+package edgenode.store;
 
 /**
  * A version of a key: where it stands, and the one before it as long as a snapshot may want that.
--- a/src/main/java/willowyoke/store/Store.java
+++ b/src/main/java/edgenode/store/Store.java
@@ -1,5 +1,7 @@
-package willowyoke.store;
+package edgenode.store;
 
+import edgenode.store.Disk.DiskException;
+import edgenode.store.StoreException.Reason;
 import java.nio.file.Path;
 import java.security.SecureRandom;
 import java.util.ArrayList;
@@ -10,8 +12,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import willowyoke.store.Disk.DiskException;
-import willowyoke.store.StoreException.Reason;
 
 /**
  * Keys and values that survive a power cut, in one folder, in one process. For all threads.
--- a/src/main/java/willowyoke/store/StoreCommand.java
+++ b/src/main/java/edgenode/store/StoreCommand.java
@@ -1,5 +1,6 @@
-package willowyoke.store;
+package edgenode.store;
 
+import edgenode.store.Disk.DiskException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.security.SecureRandom;
@@ -11,7 +12,6 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import willowyoke.store.Disk.DiskException;
 
 /**
  * {@code store check|stats|dump|compact|repair}: what operators do to a folder that no node has
--- a/src/main/java/willowyoke/store/StoreException.java
+++ b/src/main/java/edgenode/store/StoreException.java
@@ -1,4 +1,4 @@
-package willowyoke.store;
+package edgenode.store;
 
 /** Why the store does not do what it was asked. */
 public final class StoreException extends Exception {
--- a/src/test/java/willowyoke/bench/ChangeCost.java
+++ b/src/test/java/edgenode/benchmark/ChangeCost.java
@@ -1,17 +1,17 @@
-package willowyoke.bench;
+package edgenode.benchmark;
 
+import edgenode.membership.Entry;
+import edgenode.membership.Limits;
+import edgenode.membership.Membership;
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import willowyoke.Gateway;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Limits;
-import willowyoke.membership.Membership;
 
 /**
  * The core's cost of one change, and of one whole list that changes one server, by the length of
  * the list. Run from the repository's root: {@code java -cp target/test-classes:target/classes
- * willowyoke.bench.ChangeCost}. Prints the median of 11 rounds, and their least and most, in
+ * edgenode.benchmark.ChangeCost}. Prints the median of 11 rounds, and their least and most, in
  * microseconds.
  */
 final class ChangeCost {
--- a/src/test/java/willowyoke/bench/IdleCost.java
+++ b/src/test/java/edgenode/benchmark/IdleCost.java
@@ -1,5 +1,7 @@
-package willowyoke.bench;
+package edgenode.benchmark;
 
+import edgenode.emulator.Agent;
+import edgenode.emulator.AppServer;
 import java.io.File;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -18,14 +20,12 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import willowyoke.standin.Agent;
-import willowyoke.standin.AppServer;
 
 /**
  * CPU of a node that serves nobody, or so many requests a second: what discovery costs, in ms of
  * CPU a second. Arguments: the command's jar, servers in the list, changes a second, seconds,
  * requests a second. Run from the repository's root: {@code java -cp
- * target/test-classes:target/classes:target/lib/* willowyoke.bench.IdleCost target/willowyoke.jar
+ * target/test-classes:target/classes:target/lib/* edgenode.benchmark.IdleCost target/edge-node.jar
  * 10 0 20}
  */
 final class IdleCost {
--- a/src/test/java/willowyoke/bench/LedgerCost.java
+++ b/src/test/java/edgenode/benchmark/LedgerCost.java
@@ -1,14 +1,14 @@
-package willowyoke.bench;
+package edgenode.benchmark;
 
+import edgenode.ledger.Ledger;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import willowyoke.ledger.Ledger;
 
 /**
  * What a request costs the ledger, by class alone and by campus, and what an audit of all accounts
  * takes. Run from the repository's root: {@code java -cp target/test-classes:target/classes
- * willowyoke.bench.LedgerCost}. Prints the median of 11 rounds, their least and most.
+ * edgenode.benchmark.LedgerCost}. Prints the median of 11 rounds, their least and most.
  */
 final class LedgerCost {
   private static final int ROUNDS = 11;
--- a/src/test/java/willowyoke/bench/RepeatCost.java
+++ b/src/test/java/edgenode/benchmark/RepeatCost.java
@@ -1,22 +1,22 @@
-package willowyoke.bench;
+package edgenode.benchmark;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
+import edgenode.idempotency.Bounds;
+import edgenode.idempotency.Repeats;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.LongConsumer;
-import willowyoke.repeats.Bounds;
-import willowyoke.repeats.Repeats;
 
 /**
  * What a request with a key costs the store of repeats, beside a cache of the same bounds that
  * keeps the answers alone (Caffeine on one thread, with its own clock set by hand). Run from the
  * repository's root after {@code mvn test-compile dependency:build-classpath
  * -Dmdep.outputFile=target/cp}: {@code java -Xmx4g -cp target/test-classes:target/classes:$(cat
- * target/cp) willowyoke.bench.RepeatCost}. Prints the median of 11 rounds, their least and most, in
- * nanoseconds, and the bytes of an entry.
+ * target/cp) edgenode.benchmark.RepeatCost}. Prints the median of 11 rounds, their least and most,
+ * in nanoseconds, and the bytes of an entry.
  */
 final class RepeatCost {
   private static final int ROUNDS = 11;
--- a/src/test/java/willowyoke/bench/StartCost.java
+++ b/src/test/java/edgenode/benchmark/StartCost.java
@@ -1,5 +1,7 @@
-package willowyoke.bench;
+package edgenode.benchmark;
 
+import edgenode.emulator.Agent;
+import edgenode.emulator.AppServer;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -18,8 +20,6 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import willowyoke.standin.Agent;
-import willowyoke.standin.AppServer;
 
 /**
  * What a start costs, part by part, with clients that wait for the first PONG: the command of the
@@ -27,7 +27,7 @@
  * before, wall and CPU (ms, from the system's hundredths of a second), median, 90th percentile and
  * most. Arguments: starts, clients that wait. Run from the repository's root after the deploy
  * file's build: {@code java -cp target/test-classes:target/classes:target/lib/*
- * willowyoke.bench.StartCost 20 8}
+ * edgenode.benchmark.StartCost 20 8}
  */
 final class StartCost {
   private static final String PARTS = "start, wall/CPU ms:";
--- a/src/test/java/willowyoke/bench/SubsetCost.java
+++ b/src/test/java/edgenode/benchmark/SubsetCost.java
@@ -1,18 +1,18 @@
-package willowyoke.bench;
+package edgenode.benchmark;
 
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import willowyoke.Decide;
-import willowyoke.Gateway;
 
 /**
  * The decision module's cost of a request, of a change and of a server, by the length of the list,
  * at one node of 5,500 (or of the number given): CPU time of the thread, median of 9 rounds. A
  * request arrives, is sent, and ends in time, 16 of them out at once; a change takes one server
  * out, or in. Run from the repository's root: {@code java -Xmx1500m -cp
- * target/test-classes:target/classes willowyoke.bench.SubsetCost [NODES]}.
+ * target/test-classes:target/classes edgenode.benchmark.SubsetCost [NODES]}.
  */
 final class SubsetCost {
   private static final int ROUNDS = 9;
--- a/src/test/java/willowyoke/config/ConfigFileTest.java
+++ b/src/test/java/edgenode/config/ConfigFileTest.java
@@ -1,4 +1,4 @@
-package willowyoke.config;
+package edgenode.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/willowyoke/config/EdgeSettingsTest.java
+++ b/src/test/java/edgenode/config/EdgeSettingsTest.java
@@ -1,17 +1,17 @@
-package willowyoke.config;
+package edgenode.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import edgenode.idempotency.Bounds;
+import edgenode.membership.Limits;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import willowyoke.membership.Limits;
-import willowyoke.repeats.Bounds;
 
 /**
  * The operators' settings: all faults together, each with file, line, key, what was found and what
--- a/src/test/java/willowyoke/drain/DrainProperties.java
+++ b/src/test/java/edgenode/drain/DrainProperties.java
@@ -1,4 +1,4 @@
-package willowyoke.drain;
+package edgenode.drain;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/willowyoke/standin/CapacityTest.java
+++ b/src/test/java/edgenode/emulator/CapacityTest.java
@@ -1,4 +1,4 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/willowyoke/standin/StandInTest.java
+++ b/src/test/java/edgenode/emulator/StandInTest.java
@@ -1,9 +1,13 @@
-package willowyoke.standin;
+package edgenode.emulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.eventloop.Clock;
+import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.Transport;
+import edgenode.node.Peer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -15,10 +19,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowyoke.loop.Clock;
-import willowyoke.loop.LoopThread;
-import willowyoke.loop.Transport;
-import willowyoke.node.Peer;
 
 /** App server and counter by the protocol page, and each of their faults, over sockets. */
 @Timeout(60)
--- a/src/test/java/willowyoke/loop/AcceptTest.java
+++ b/src/test/java/edgenode/eventloop/AcceptTest.java
@@ -1,4 +1,4 @@
-package willowyoke.loop;
+package edgenode.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/willowyoke/repeats/RepeatsProperties.java
+++ b/src/test/java/edgenode/idempotency/RepeatsProperties.java
@@ -1,10 +1,11 @@
-package willowyoke.repeats;
+package edgenode.idempotency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.idempotency.Repeats.Verdict;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,7 +15,6 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import willowyoke.repeats.Repeats.Verdict;
 
 /** Requests, ends, give-ups and time in any order, against a model that remembers everything. */
 class RepeatsProperties {
--- a/src/test/java/willowyoke/ledger/LedgerProperties.java
+++ b/src/test/java/edgenode/ledger/LedgerProperties.java
@@ -1,4 +1,4 @@
-package willowyoke.ledger;
+package edgenode.ledger;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/willowyoke/membership/MembershipProperties.java
+++ b/src/test/java/edgenode/membership/MembershipProperties.java
@@ -1,8 +1,9 @@
-package willowyoke.membership;
+package edgenode.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -13,7 +14,6 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
-import willowyoke.Gateway;
 
 /**
  * The core against a model that knows the truth: a discovery whose list changes, told by two eyes
--- a/src/test/java/willowyoke/membership/MembershipTest.java
+++ b/src/test/java/edgenode/membership/MembershipTest.java
@@ -1,9 +1,10 @@
-package willowyoke.membership;
+package edgenode.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -11,7 +12,6 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
 
 /** Each rule of the core by itself; times are ms. */
 class MembershipTest {
--- a/src/test/java/willowyoke/net/discovery/BackoffTest.java
+++ b/src/test/java/edgenode/net/discovery/BackoffTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/src/test/java/willowyoke/net/discovery/SourcesTest.java
+++ b/src/test/java/edgenode/net/discovery/SourcesTest.java
@@ -1,9 +1,20 @@
-package willowyoke.net.discovery;
+package edgenode.net.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.config.Config;
+import edgenode.config.EdgeSettings;
+import edgenode.emulator.Agent;
+import edgenode.emulator.Consul;
+import edgenode.emulator.Eds;
+import edgenode.emulator.NameServer;
+import edgenode.eventloop.Loop;
+import edgenode.eventloop.Transport;
+import edgenode.membership.Entry;
+import edgenode.membership.Limits;
+import edgenode.policy.Gateway;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
 import io.netty.util.concurrent.Future;
@@ -26,17 +37,6 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.EdgeSettings;
-import willowyoke.loop.Loop;
-import willowyoke.loop.Transport;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Limits;
-import willowyoke.standin.Agent;
-import willowyoke.standin.Consul;
-import willowyoke.standin.Eds;
-import willowyoke.standin.NameServer;
 
 /**
  * Sources of other installations against stand-ins on loopback, and what they do when those fail.
--- a/src/test/java/willowyoke/net/client/PlacesProperties.java
+++ b/src/test/java/edgenode/net/downstream/PlacesProperties.java
@@ -1,4 +1,4 @@
-package willowyoke.net.client;
+package edgenode.net.downstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/willowyoke/net/resp/LongValuesTest.java
+++ b/src/test/java/edgenode/net/resp/LongValuesTest.java
@@ -1,4 +1,4 @@
-package willowyoke.net.resp;
+package edgenode.net.resp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/willowyoke/node/Calls.java
+++ b/src/test/java/edgenode/node/Calls.java
@@ -1,4 +1,4 @@
-package willowyoke.node;
+package edgenode.node;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/test/java/willowyoke/node/HealthTest.java
+++ b/src/test/java/edgenode/node/HealthTest.java
@@ -1,15 +1,15 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.emulator.Agent;
+import edgenode.membership.Membership;
+import edgenode.policy.Gateway;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowyoke.Gateway;
-import willowyoke.membership.Membership;
-import willowyoke.standin.Agent;
 
 /**
  * What connections to servers say beside the list, and lists that cannot be right, on a real node.
--- a/src/test/java/willowyoke/node/LateConnects.java
+++ b/src/test/java/edgenode/node/LateConnects.java
@@ -1,5 +1,6 @@
-package willowyoke.node;
+package edgenode.node;
 
+import edgenode.eventloop.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -14,7 +15,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import willowyoke.loop.Transport;
 
 /**
  * Sockets on which connects come up when a test says so: the network's SYN is held back until
--- a/src/test/java/willowyoke/node/LeaversTest.java
+++ b/src/test/java/edgenode/node/LeaversTest.java
@@ -1,4 +1,4 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/willowyoke/node/MomentsTest.java
+++ b/src/test/java/edgenode/node/MomentsTest.java
@@ -1,10 +1,11 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.drain.Drain;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
@@ -13,7 +14,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import willowyoke.drain.Drain;
 
 /**
  * Narrow moments: something ends just as something else is owed. The paths stand in
--- a/src/test/java/willowyoke/node/NodeFixture.java
+++ b/src/test/java/edgenode/node/NodeFixture.java
@@ -1,8 +1,15 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.config.Config;
+import edgenode.config.EdgeSettings;
+import edgenode.config.Json;
+import edgenode.eventloop.Clock;
+import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.Transport;
+import edgenode.policy.Gateway;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -19,13 +26,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.EdgeSettings;
-import willowyoke.config.Json;
-import willowyoke.loop.Clock;
-import willowyoke.loop.LoopThread;
-import willowyoke.loop.Transport;
 
 /** A real edge node between peers on loopback sockets, with a scripted module for the decisions. */
 @Timeout(30)
--- a/src/test/java/willowyoke/node/NodeTest.java
+++ b/src/test/java/edgenode/node/NodeTest.java
@@ -1,10 +1,16 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.eventloop.Clock;
+import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.Transport;
+import edgenode.net.downstream.ClientListener;
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -17,12 +23,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.loop.Clock;
-import willowyoke.loop.LoopThread;
-import willowyoke.loop.Transport;
-import willowyoke.net.client.ClientListener;
 
 /** Calls through the edge node: order, outcomes, lists, counter, its end. */
 class NodeTest extends NodeFixture {
--- a/src/test/java/willowyoke/node/OperationsTest.java
+++ b/src/test/java/edgenode/node/OperationsTest.java
@@ -1,4 +1,4 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,6 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.drain.Drain;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -17,9 +20,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.drain.Drain;
 
 /** What operators ask and tell, at a real node's second address. */
 class OperationsTest extends NodeFixture {
--- a/src/test/java/willowyoke/node/Peer.java
+++ b/src/test/java/edgenode/node/Peer.java
@@ -1,4 +1,4 @@
-package willowyoke.node;
+package edgenode.node;
 
 import java.io.BufferedInputStream;
 import java.io.Closeable;
--- a/src/test/java/willowyoke/node/QuietEvents.java
+++ b/src/test/java/edgenode/node/QuietEvents.java
@@ -1,7 +1,7 @@
-package willowyoke.node;
+package edgenode.node;
 
+import edgenode.policy.Gateway;
 import java.util.List;
-import willowyoke.Gateway;
 
 /** A module for tests that does nothing of itself: each test says what it is about. */
 public abstract class QuietEvents implements Gateway.Events {
--- a/src/test/java/willowyoke/node/Rig.java
+++ b/src/test/java/edgenode/node/Rig.java
@@ -1,5 +1,10 @@
-package willowyoke.node;
+package edgenode.node;
 
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.emulator.Agent;
+import edgenode.emulator.AppServer;
+import edgenode.policy.Gateway;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Arrays;
@@ -10,11 +15,6 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.standin.Agent;
-import willowyoke.standin.AppServer;
 
 /**
  * A real node on sockets between stand-ins, a module that sends each request to one server as long
--- a/src/test/java/willowyoke/node/UpgradeTest.java
+++ b/src/test/java/edgenode/node/UpgradeTest.java
@@ -1,18 +1,18 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.policy.Gateway;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
 
 /** A new version takes over the address of one that serves. */
 class UpgradeTest extends NodeFixture {
--- a/src/test/java/willowyoke/node/WarmupTest.java
+++ b/src/test/java/edgenode/node/WarmupTest.java
@@ -1,15 +1,15 @@
-package willowyoke.node;
+package edgenode.node;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.policy.Gateway;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
 
 /**
  * The warm-up must go the ordinary path to its end: a module that is never answered warms little.
--- a/src/test/java/willowyoke/Days.java
+++ b/src/test/java/edgenode/policy/Days.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package edgenode.policy;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/willowyoke/FleetTest.java
+++ b/src/test/java/edgenode/policy/FleetTest.java
@@ -1,4 +1,4 @@
-package willowyoke;
+package edgenode.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/willowyoke/subset/SubsetBalance.java
+++ b/src/test/java/edgenode/policy/subset/SubsetBalance.java
@@ -1,4 +1,4 @@
-package willowyoke.subset;
+package edgenode.policy.subset;
 
 import java.util.Arrays;
 import java.util.Locale;
@@ -9,9 +9,9 @@
  * {@link Subset} has them: nodes that hold a server, servers that a node holds, and the load of a
  * server in parts of the mean, where each node spreads its traffic evenly over what it holds and
  * none looks at answers. Run from the repository's root, after {@code mvn -DskipTests package}:
- * {@code java -cp target/test-classes:target/classes willowyoke.subset.SubsetBalance}. The last
- * columns: a tenth of the nodes by number gone, and traffic of the nodes spread log-normally with a
- * mean of 1 (sigma 0.8: one in a hundred has over 4).
+ * {@code java -cp target/test-classes:target/classes edgenode.policy.subset.SubsetBalance}. The
+ * last columns: a tenth of the nodes by number gone, and traffic of the nodes spread log-normally
+ * with a mean of 1 (sigma 0.8: one in a hundred has over 4).
  */
 final class SubsetBalance {
   private SubsetBalance() {}
--- a/src/test/java/willowyoke/subset/SubsetProperties.java
+++ b/src/test/java/edgenode/policy/subset/SubsetProperties.java
@@ -1,4 +1,4 @@
-package willowyoke.subset;
+package edgenode.policy.subset;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/willowyoke/sim/WireDigests.java
+++ b/src/test/java/edgenode/simhost/WireDigests.java
@@ -1,4 +1,4 @@
-package willowyoke.sim;
+package edgenode.simhost;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/test/java/willowyoke/sim/WireTest.java
+++ b/src/test/java/edgenode/simhost/WireTest.java
@@ -1,4 +1,4 @@
-package willowyoke.sim;
+package edgenode.simhost;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/willowyoke/kit/Crossings.java
+++ b/src/test/java/edgenode/simulation/Crossings.java
@@ -1,5 +1,24 @@
-package willowyoke.kit;
-
+package edgenode.simulation;
+
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.emulator.Capacity;
+import edgenode.emulator.Counter;
+import edgenode.emulator.Discovery;
+import edgenode.emulator.EnrolmentServer;
+import edgenode.emulator.Rack;
+import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.Transport;
+import edgenode.net.resp.Resp;
+import edgenode.node.Node;
+import edgenode.policy.Decide;
+import edgenode.simulation.invariants.AnswersOnce;
+import edgenode.simulation.invariants.Breach;
+import edgenode.simulation.invariants.Drains;
+import edgenode.simulation.invariants.EffectsOnce;
+import edgenode.simulation.invariants.Event;
+import edgenode.simulation.invariants.Judge;
+import edgenode.simulation.invariants.Terms;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -31,25 +50,6 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
-import willowyoke.Decide;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.kit.judge.AnswersOnce;
-import willowyoke.kit.judge.Breach;
-import willowyoke.kit.judge.Drains;
-import willowyoke.kit.judge.EffectsOnce;
-import willowyoke.kit.judge.Event;
-import willowyoke.kit.judge.Judge;
-import willowyoke.kit.judge.Terms;
-import willowyoke.loop.LoopThread;
-import willowyoke.loop.Transport;
-import willowyoke.net.resp.Resp;
-import willowyoke.node.Node;
-import willowyoke.standin.Capacity;
-import willowyoke.standin.Counter;
-import willowyoke.standin.Discovery;
-import willowyoke.standin.EnrolmentServer;
-import willowyoke.standin.Rack;
 
 /**
  * Some seconds of one edge node in virtual time, all of whose moments are drawn from one seed:
--- a/src/test/java/willowyoke/kit/CrossingsTest.java
+++ b/src/test/java/edgenode/simulation/CrossingsTest.java
@@ -1,8 +1,10 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.simulation.Crossings.Planted;
+import edgenode.simulation.invariants.Breach;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -12,8 +14,6 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import org.junit.jupiter.api.Test;
-import willowyoke.kit.Crossings.Planted;
-import willowyoke.kit.judge.Breach;
 
 /**
  * A node through seeded crossings: after each day nothing is owed, and no rule is broken. A seed
--- a/src/test/java/willowyoke/kit/DecisionDigests.java
+++ b/src/test/java/edgenode/simulation/DecisionDigests.java
@@ -1,5 +1,6 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.simhost.WireDigests;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -9,7 +10,6 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import willowyoke.sim.WireDigests;
 
 /**
  * Prints one line for each scenario and seed, and for each seed of the simulator's wire, with the
--- a/src/test/java/willowyoke/kit/DiscoveryTermTest.java
+++ b/src/test/java/edgenode/simulation/DiscoveryTermTest.java
@@ -1,7 +1,15 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.emulator.Agent;
+import edgenode.eventloop.LoopThread;
+import edgenode.membership.Entry;
+import edgenode.membership.Limits;
+import edgenode.net.discovery.Members;
+import edgenode.net.discovery.MembersJson;
+import edgenode.policy.Gateway;
+import edgenode.simulation.FaultyAgent.Fault;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -15,14 +23,6 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import willowyoke.Gateway;
-import willowyoke.kit.FaultyAgent.Fault;
-import willowyoke.loop.LoopThread;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Limits;
-import willowyoke.net.discovery.Members;
-import willowyoke.net.discovery.MembersJson;
-import willowyoke.standin.Agent;
 
 /**
  * After calls to discovery that failed, were refused or were given up, a change is known within the
--- a/src/test/java/willowyoke/kit/FaultyAgent.java
+++ b/src/test/java/edgenode/simulation/FaultyAgent.java
@@ -1,5 +1,8 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
+import edgenode.emulator.Agent;
+import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -22,9 +25,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import willowyoke.loop.LoopThread;
-import willowyoke.loop.Transport;
-import willowyoke.standin.Agent;
 
 /**
  * Discovery on a virtual loop whose calls fail in one way, apart for whole lists and for watches.
--- a/src/test/java/willowyoke/kit/FleetStartTest.java
+++ b/src/test/java/edgenode/simulation/FleetStartTest.java
@@ -1,8 +1,23 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.config.Config;
+import edgenode.config.Json;
+import edgenode.emulator.Capacity;
+import edgenode.emulator.Counter;
+import edgenode.emulator.Discovery;
+import edgenode.emulator.Effects;
+import edgenode.emulator.EnrolmentServer;
+import edgenode.emulator.Rack;
+import edgenode.eventloop.LoopThread;
+import edgenode.membership.Entry;
+import edgenode.membership.Health;
+import edgenode.net.upstream.ServerPool;
+import edgenode.node.Node;
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,21 +25,6 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowyoke.Decide;
-import willowyoke.Gateway;
-import willowyoke.config.Config;
-import willowyoke.config.Json;
-import willowyoke.loop.LoopThread;
-import willowyoke.membership.Entry;
-import willowyoke.membership.Health;
-import willowyoke.net.server.ServerPool;
-import willowyoke.node.Node;
-import willowyoke.standin.Capacity;
-import willowyoke.standin.Counter;
-import willowyoke.standin.Discovery;
-import willowyoke.standin.Effects;
-import willowyoke.standin.EnrolmentServer;
-import willowyoke.standin.Rack;
 
 /**
  * A whole fleet that starts at one moment asks more of discovery than it can serve: a node must not
--- a/src/test/java/willowyoke/kit/RehearsalTest.java
+++ b/src/test/java/edgenode/simulation/RehearsalTest.java
@@ -1,4 +1,4 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,6 +7,11 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import edgenode.node.Node;
+import edgenode.node.QuietEvents;
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
+import edgenode.simulation.invariants.Event;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -24,11 +29,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import willowyoke.Decide;
-import willowyoke.Gateway;
-import willowyoke.kit.judge.Event;
-import willowyoke.node.Node;
-import willowyoke.node.QuietEvents;
 
 /**
  * Whole days: the node keeps the five rules on all of them, and planted bugs in its module are
--- a/src/test/java/willowyoke/kit/SimulationTest.java
+++ b/src/test/java/edgenode/simulation/SimulationTest.java
@@ -1,9 +1,10 @@
-package willowyoke.kit;
+package edgenode.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.emulator.CampusClients;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -11,7 +12,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowyoke.standin.CampusClients;
 
 /** Edge nodes and their world in virtual time: the same seed gives the same day, to the byte. */
 @Timeout(120)
--- a/src/test/java/willowyoke/kit/scale/Crooked.java
+++ b/src/test/java/edgenode/simulation/fleet/Crooked.java
@@ -1,9 +1,9 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
+import edgenode.policy.Decide;
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.List;
-import willowyoke.Decide;
-import willowyoke.Gateway;
 
 /** The decision module with one fault planted in it, for the judges to find. */
 final class Crooked implements Gateway.Events {
--- a/src/test/java/willowyoke/kit/scale/ScaleTest.java
+++ b/src/test/java/edgenode/simulation/fleet/ScaleTest.java
@@ -1,4 +1,4 @@
-package willowyoke.kit.scale;
+package edgenode.simulation.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -8,6 +8,8 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
+import edgenode.policy.Decide;
+import edgenode.simulation.Kit;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -17,8 +19,6 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import willowyoke.Decide;
-import willowyoke.kit.Kit;
 
 /**
  * A small fleet of hollow nodes: it repeats, it is judged by counts, and each judge finds what is
--- a/src/test/java/willowyoke/kit/judge/JudgeTest.java
+++ b/src/test/java/edgenode/simulation/invariants/JudgeTest.java
@@ -1,14 +1,14 @@
-package willowyoke.kit.judge;
+package edgenode.simulation.invariants;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.emulator.Capacity;
+import edgenode.policy.Gateway;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import willowyoke.Gateway;
-import willowyoke.standin.Capacity;
 
 /** Each judge finds the planted breach of its one rule, and is silent on its honest twin. */
 class JudgeTest {
--- a/src/test/java/willowyoke/store/CrashTest.java
+++ b/src/test/java/edgenode/store/CrashTest.java
@@ -1,4 +1,4 @@
-package willowyoke.store;
+package edgenode.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
