--- a/src/main/java/edgenode/Main.java
+++ b/src/main/java/edgenode/Main.java
@@ -9,7 +9,7 @@
 import edgenode.node.Prime;
 import edgenode.node.StartLog;
 import edgenode.node.Warmup;
-import edgenode.policy.Decide;
+import edgenode.policy.PolicyEngine;
 import edgenode.simhost.Wire;
 import edgenode.simulation.Kit;
 import edgenode.store.StoreCommand;
@@ -159,11 +159,12 @@
     }
     StartLog.ended("configuration");
     EdgeSettings own =
-        settings == null ? null : settings(settings, config.settings().rules().warmAfter());
+        settings == null ? null : settings(settings, config.settings().rules().warmUpMs());
     Node.Maker maker =
         own == null
-            ? Decide::new
-            : (told, seed, now, actions) -> new Decide(told, seed, now, actions, own.subset());
+            ? PolicyEngine::new
+            : (told, seed, now, actions) ->
+                new PolicyEngine(told, seed, now, actions, own.subset());
     Node node = new Node(config, maker, own, LoopThread.real());
     try {
       node.answerOperators();
@@ -171,7 +172,7 @@
       System.err.println("start: " + bad.getMessage());
       Runtime.getRuntime().halt(1);
     }
-    Warmup.run(config.settings(), Decide::new);
+    Warmup.run(config.settings(), PolicyEngine::new);
     StartLog.ended("warm-up");
     ConfigFile file = new ConfigFile(environment, node::reload, System.err::println);
     node.whenLost(file::suspect);
--- a/src/main/java/edgenode/benchmark/Cores.java
+++ b/src/main/java/edgenode/benchmark/Cores.java
@@ -5,7 +5,8 @@
 import edgenode.membership.Limits;
 import edgenode.membership.Membership;
 import edgenode.net.discovery.MembersJson;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -56,7 +57,7 @@
         sizes,
         n -> {
           Instance i = listed(n);
-          List<Gateway.Server> all = Instance.servers(n);
+          List<EndpointInfo> all = Instance.servers(n);
           return run.meter()
               .time(
                   n,
@@ -117,7 +118,7 @@
           int at = next / 2 % n;
           i.servers(
               List.of(
-                  Instance.server(at, next++ % 2 == 0 ? Gateway.State.DRAINING : Gateway.State.UP)),
+                  Instance.server(at, next++ % 2 == 0 ? EndpointState.DRAINING : EndpointState.UP)),
               false);
         }
       }
@@ -248,7 +249,7 @@
 
   // ---- Membership ----
 
-  static Entry entry(int i, Gateway.State state) {
+  static Entry entry(int i, EndpointState state) {
     return new Entry(
         Instance.server(i, state),
         "10." + (i >> 16) + "." + (i >> 8 & 255) + "." + (i & 255) + ":6379");
@@ -257,7 +258,7 @@
   private static List<Entry> entries(int n) {
     List<Entry> all = new ArrayList<>(n);
     for (int i = 0; i < n; i++) {
-      all.add(entry(i, Gateway.State.UP));
+      all.add(entry(i, EndpointState.UP));
     }
     return all;
   }
@@ -294,7 +295,7 @@
                             false,
                             List.of(
                                 entry(
-                                    at, seq % 2 == 0 ? Gateway.State.DRAINING : Gateway.State.UP)));
+                                    at, seq % 2 == 0 ? EndpointState.DRAINING : EndpointState.UP)));
                       }
                     }
                   });
@@ -319,7 +320,7 @@
                         int at = (int) (seq / 2 % n);
                         all.set(
                             at,
-                            entry(at, seq % 2 == 1 ? Gateway.State.DRAINING : Gateway.State.UP));
+                            entry(at, seq % 2 == 1 ? EndpointState.DRAINING : EndpointState.UP));
                         core.told(Instance.START + 200 * seq, "a", ++seq, true, all);
                       }
                     }
@@ -353,7 +354,7 @@
     List<Entry> all = entries(n);
     List<Entry> gone = new ArrayList<>();
     for (int i = 0; i < n; i += ZONES) {
-      gone.add(entry(i, Gateway.State.GONE));
+      gone.add(entry(i, EndpointState.REMOVED));
     }
     return new Meter.Work() {
       private Membership core;
@@ -390,7 +391,7 @@
   }
 
   static Agent.Host host(int i) {
-    Entry e = entry(i, Gateway.State.UP);
+    Entry e = entry(i, EndpointState.UP);
     return new Agent.Host(
         e.server().id(), e.dial(), "active", 0, e.server().zone(), e.server().cell());
   }
--- a/src/main/java/edgenode/benchmark/Fleet.java
+++ b/src/main/java/edgenode/benchmark/Fleet.java
@@ -1,7 +1,12 @@
 package edgenode.benchmark;
 
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEngine;
+import edgenode.policy.PolicyEvents;
+import edgenode.policy.QuotaPlan;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
@@ -66,7 +71,7 @@
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.serial, b.serial));
   private final Map<Long, Double> sums = new HashMap<>();
-  private final Gateway.Events[] modules;
+  private final PolicyEvents[] modules;
   private final Random random;
   private double now = Instance.START;
   private final double measuredFrom;
@@ -80,14 +85,15 @@
     this.terms = terms;
     random = new Random(seed);
     measuredFrom = now + terms.warmMs;
-    modules = new Gateway.Events[terms.nodes];
-    List<Gateway.Plan> plans =
-        List.of(new Gateway.Plan("rate", terms.quota, burst(terms), 0, 1, 0, 1, 0, 0, 0));
-    List<Gateway.Server> list = Instance.servers(SERVERS);
+    modules = new PolicyEvents[terms.nodes];
+    List<QuotaPlan> plans =
+        List.of(new QuotaPlan("rate", terms.quota, burst(terms), 0, 1, 0, 1, 0, 0, 0));
+    List<EndpointInfo> list = Instance.servers(SERVERS);
     for (int i = 0; i < terms.nodes; i++) {
       modules[i] =
-          new Decide(Instance.settings(i, terms.nodes, true, plans), seed + i, now, new Node(i));
-      modules[i].servers(now, list, true);
+          new PolicyEngine(
+              Instance.settings(i, terms.nodes, true, plans), seed + i, now, new Node(i));
+      modules[i].endpointsChanged(now, list, true);
     }
     for (int c = 0; c < terms.customers; c++) {
       arrival(c);
@@ -116,9 +122,10 @@
       now = e.at;
       switch (e.kind) {
         case ARRIVAL -> arrived((int) e.id);
-        case TIMER -> modules[e.node].timer(now, e.id);
+        case TIMER -> modules[e.node].timerFired(now, e.id);
         case ENDED ->
-            modules[e.node].ended(now, e.id, 0, Gateway.Outcome.OK, SERVED, true, 0, new double[0]);
+            modules[e.node].attemptEnded(
+                now, e.id, 0, CallOutcome.OK, SERVED, true, 0, new double[0]);
         default -> counted(e);
       }
     }
@@ -134,9 +141,9 @@
 
   private void counted(Event e) {
     if (Double.isNaN(e.value)) {
-      modules[e.node].counted(now, e.id, Gateway.Outcome.TIMEOUT, TIMEOUT, 0);
+      modules[e.node].counterCallEnded(now, e.id, CallOutcome.TIMEOUT, TIMEOUT, 0);
     } else {
-      modules[e.node].counted(now, e.id, Gateway.Outcome.OK, COUNTER, e.value);
+      modules[e.node].counterCallEnded(now, e.id, CallOutcome.OK, COUNTER, e.value);
     }
   }
 
@@ -145,13 +152,13 @@
     int node = (first + random.nextInt(terms.spread)) % terms.nodes;
     requests += now >= measuredFrom ? 1 : 0;
     arrival(customer);
-    modules[node].arrived(
+    modules[node].requestArrived(
         now,
-        new Gateway.Request(
+        new IncomingRequest(
             ++ids, "read", "rate", "c" + customer, 2000, 1, terms.spread, first, false));
   }
 
-  private final class Node implements Gateway.Actions {
+  private final class Node implements PolicyActions {
     private final int me;
 
     Node(int me) {
@@ -168,21 +175,21 @@
     public void cancel(long id, int attempt) {}
 
     @Override
-    public void refuse(long id, double retryAfter) {}
+    public void reject(long id, double retryAfter) {}
 
     @Override
     public void fail(long id) {}
 
     @Override
-    public void timer(double delay, long token) {
+    public void setTimer(double delay, long token) {
       add(now + delay, Kind.TIMER, me, token, 0);
     }
 
     @Override
-    public void probe(String server) {}
+    public void checkHealth(String server) {}
 
     @Override
-    public void count(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double keepFor) {
       calls += now >= measuredFrom ? 1 : 0;
       if (me < terms.cut && now >= measuredFrom) {
         add(now + TIMEOUT, Kind.COUNTED, me, name, Double.NaN);
--- a/src/main/java/edgenode/benchmark/Instance.java
+++ b/src/main/java/edgenode/benchmark/Instance.java
@@ -1,7 +1,20 @@
 package edgenode.benchmark;
 
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.Capabilities;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.Idempotency;
+import edgenode.policy.IdempotencyGroup;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEngine;
+import edgenode.policy.PolicyEvents;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.Prices;
+import edgenode.policy.QuotaPlan;
+import edgenode.policy.RequestClass;
+import edgenode.policy.RuleLimits;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,10 +22,11 @@
 import java.util.Map;
 
 /**
- * One decision module on the seam of {@link Gateway} alone, in virtual time that its user moves on:
- * any build of it can be measured side by side. The counter answers at once, or never.
+ * One decision module on the seam of {@link PolicyEvents} and {@link PolicyActions} alone, in
+ * virtual time that its user moves on: any build of it can be measured side by side. The counter
+ * answers at once, or never.
  */
-final class Instance implements Gateway.Actions {
+final class Instance implements PolicyActions {
   /** Unix time (ms), as a real clock gives it: what was never seen is as old as that. */
   static final double START = 1_700_000_000_000.0;
 
@@ -22,7 +36,7 @@
 
   private record Call(long name, double total) {}
 
-  private final Gateway.Events module;
+  private final PolicyEvents module;
   private final boolean counterAnswers;
   private final Map<Long, Double> sums = new HashMap<>();
   private final ArrayDeque<Call> calls = new ArrayDeque<>();
@@ -34,26 +48,26 @@
 
   Instance(int nodes, boolean counter, boolean counterAnswers) {
     this.counterAnswers = counterAnswers;
-    module = new Decide(settings(0, nodes, counter), 1, now, this);
+    module = new PolicyEngine(settings(0, nodes, counter), 1, now, this);
   }
 
   /**
    * As the settings of a site are: a plan of some units a second, a wide one, one without a limit;
    * aim 600 ms.
    */
-  static Gateway.Settings settings(int me, int nodes, boolean counter) {
+  static PolicySettings settings(int me, int nodes, boolean counter) {
     return settings(
         me,
         nodes,
         counter,
         List.of(
-            new Gateway.Plan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
-            new Gateway.Plan("wide", 1e5, 1e5, 0, 1, 0, 1, 0, 0, 0),
-            new Gateway.Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0)));
+            new QuotaPlan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
+            new QuotaPlan("wide", 1e5, 1e5, 0, 1, 0, 1, 0, 0, 0),
+            new QuotaPlan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0)));
   }
 
-  static Gateway.Settings settings(int me, int nodes, boolean counter, List<Gateway.Plan> plans) {
-    return new Gateway.Settings(
+  static PolicySettings settings(int me, int nodes, boolean counter, List<QuotaPlan> plans) {
+    return new PolicySettings(
         me,
         nodes,
         "a",
@@ -63,15 +77,15 @@
         1,
         List.of(),
         List.of(
-            new Gateway.RequestClass(
-                "read", Gateway.Effect.SAFE, Gateway.Group.ALL, 600, 2000, 1, 0, 0, false)),
+            new RequestClass(
+                "read", Idempotency.IDEMPOTENT, IdempotencyGroup.ALL, 600, 2000, 1, 0, 0, false)),
         plans,
-        new Gateway.Allowed(false, true, true, true, false, counter, 3, 2000, 50, 15_000),
-        new Gateway.Rules(16, 250, 0.2, 15_000, 2, 2000),
-        new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
+        new Capabilities(false, true, true, true, false, counter, 3, 2000, 50, 15_000),
+        new RuleLimits(16, 250, 0.2, 15_000, 2, 2000),
+        new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
-  Gateway.Events module() {
+  PolicyEvents module() {
     return module;
   }
 
@@ -87,14 +101,14 @@
     return counted;
   }
 
-  void servers(List<Gateway.Server> list, boolean whole) {
-    module.servers(now, list, whole);
+  void servers(List<EndpointInfo> list, boolean whole) {
+    module.endpointsChanged(now, list, whole);
   }
 
   /** One request; the oldest is answered once more than {@code depth} are out. */
   void request(String plan, String customer, int spread, boolean again, int depth) {
-    module.arrived(
-        now, new Gateway.Request(++id, "read", plan, customer, 2000, 1, spread, 0, again));
+    module.requestArrived(
+        now, new IncomingRequest(++id, "read", plan, customer, 2000, 1, spread, 0, again));
     answerCounter();
     while (out.size() > depth) {
       answer();
@@ -102,7 +116,7 @@
   }
 
   private void answer() {
-    module.ended(now, out.poll(), 0, Gateway.Outcome.OK, TOOK, true, 0, new double[0]);
+    module.attemptEnded(now, out.poll(), 0, CallOutcome.OK, TOOK, true, 0, new double[0]);
     answerCounter();
   }
 
@@ -143,7 +157,7 @@
   void edges(int times) {
     for (int i = 0; i < times; i++) {
       now += EDGE;
-      module.timer(now, 0);
+      module.timerFired(now, 0);
       answerCounter();
     }
   }
@@ -155,21 +169,21 @@
   private void answerCounter() {
     while (counterAnswers && !calls.isEmpty()) {
       Call call = calls.poll();
-      module.counted(now, call.name, Gateway.Outcome.OK, 2, call.total);
+      module.counterCallEnded(now, call.name, CallOutcome.OK, 2, call.total);
     }
   }
 
   /** Servers s0 to s(n-1), in racks of 40 and ten zones. */
-  static List<Gateway.Server> servers(int n) {
-    List<Gateway.Server> all = new ArrayList<>(n);
+  static List<EndpointInfo> servers(int n) {
+    List<EndpointInfo> all = new ArrayList<>(n);
     for (int i = 0; i < n; i++) {
-      all.add(server(i, Gateway.State.UP));
+      all.add(server(i, EndpointState.UP));
     }
     return all;
   }
 
-  static Gateway.Server server(int i, Gateway.State state) {
-    return new Gateway.Server(
+  static EndpointInfo server(int i, EndpointState state) {
+    return new EndpointInfo(
         "s-" + Integer.toHexString(0x10000000 + i), i / 40, "z" + i % 10, state, "m2", 0, 1);
   }
 
@@ -183,19 +197,19 @@
   public void cancel(long request, int attempt) {}
 
   @Override
-  public void refuse(long request, double retryAfter) {}
+  public void reject(long request, double retryAfter) {}
 
   @Override
   public void fail(long request) {}
 
   @Override
-  public void timer(double delay, long token) {}
+  public void setTimer(double delay, long token) {}
 
   @Override
-  public void probe(String server) {}
+  public void checkHealth(String server) {}
 
   @Override
-  public void count(long name, double amount, double keepFor) {
+  public void addToCounter(long name, double amount, double keepFor) {
     counted++;
     calls.add(new Call(name, counterAnswers ? sums.merge(name, amount, Double::sum) : 0));
   }
--- a/src/main/java/edgenode/benchmark/Wires.java
+++ b/src/main/java/edgenode/benchmark/Wires.java
@@ -12,7 +12,8 @@
 import edgenode.net.discovery.MembersJson;
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.resp.Resp;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.PolicySettings;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -363,7 +364,7 @@
                 calling,
                 (name, outcome, took, total) -> {
                   long next = name + OUT * 4L * 997;
-                  if (outcome == Gateway.Outcome.OK) {
+                  if (outcome == CallOutcome.OK) {
                     answered.incrementAndGet();
                     clients[me].add(next, 1, 60_000);
                   } else { // a line that has ended fails them at once: again at once would be very
@@ -547,7 +548,7 @@
         });
   }
 
-  private static Gateway.Settings settings(byte[] text) {
+  private static PolicySettings settings(byte[] text) {
     try {
       return Config.again(text, Map.of()).settings();
     } catch (IOException e) {
--- a/src/main/java/edgenode/config/Config.java
+++ b/src/main/java/edgenode/config/Config.java
@@ -1,6 +1,6 @@
 package edgenode.config;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.PolicySettings;
 import io.netty.util.NetUtil;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -27,7 +27,7 @@
     long seed,
     int sockets,
     Json known,
-    Gateway.Settings settings,
+    PolicySettings settings,
     double keepAlive,
     double connectTimeout) {
 
--- a/src/main/java/edgenode/config/SettingsReader.java
+++ b/src/main/java/edgenode/config/SettingsReader.java
@@ -1,6 +1,13 @@
 package edgenode.config;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.Capabilities;
+import edgenode.policy.Idempotency;
+import edgenode.policy.IdempotencyGroup;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.Prices;
+import edgenode.policy.QuotaPlan;
+import edgenode.policy.RequestClass;
+import edgenode.policy.RuleLimits;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -42,26 +49,26 @@
   /**
    * A list of objects has its length under {@code .count}; a key that is not known here is skipped.
    */
-  public static Gateway.Settings read(Map<String, String> keys) {
+  public static PolicySettings read(Map<String, String> keys) {
     SettingsReader k = new SettingsReader(keys);
-    List<Gateway.RequestClass> classes = new ArrayList<>();
+    List<RequestClass> classes = new ArrayList<>();
     for (int i = 0; i < k.num("request_classes.count"); i++) {
       String at = "request_classes." + i + ".";
-      Gateway.Effect effect =
+      Idempotency effect =
           switch (k.text(at + "effect")) {
-            case "read_like" -> Gateway.Effect.SAFE;
-            case "idempotency_key" -> Gateway.Effect.KEYED;
-            case "non_idempotent" -> Gateway.Effect.UNSAFE;
+            case "read_like" -> Idempotency.IDEMPOTENT;
+            case "idempotency_key" -> Idempotency.KEYED;
+            case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new Bad(at + "effect", "unknown effect");
           };
-      Gateway.Group group =
+      IdempotencyGroup group =
           switch (k.or(at + "group", "cell")) {
-            case "all" -> Gateway.Group.ALL;
-            case "zone" -> Gateway.Group.ZONE;
-            default -> Gateway.Group.CELL;
+            case "all" -> IdempotencyGroup.ALL;
+            case "zone" -> IdempotencyGroup.ZONE;
+            default -> IdempotencyGroup.CELL;
           };
       classes.add(
-          new Gateway.RequestClass(
+          new RequestClass(
               k.text(at + "name"),
               effect,
               group,
@@ -72,11 +79,11 @@
               k.num(at + "repeat_window"),
               k.flag(at + "stream")));
     }
-    List<Gateway.Plan> plans = new ArrayList<>();
+    List<QuotaPlan> plans = new ArrayList<>();
     for (int i = 0; i < k.num("tariffs.count"); i++) {
       String at = "tariffs." + i + ".";
       plans.add(
-          new Gateway.Plan(
+          new QuotaPlan(
               k.text(at + "name"),
               k.num(at + "per_second"),
               k.num(at + "depth"),
@@ -89,7 +96,7 @@
               k.num(at + "cap_slack")));
     }
     String fields = k.or("feedback.fields", "");
-    return new Gateway.Settings(
+    return new PolicySettings(
         (int) k.num("rank"),
         Math.max(1, (int) k.num("group_size")),
         k.or("my_zone", ""),
@@ -100,7 +107,7 @@
         fields.isEmpty() ? List.of() : List.of(fields.split(",")),
         classes,
         plans,
-        new Gateway.Allowed(
+        new Capabilities(
             k.flag("limits.probing"),
             k.flag("limits.cancelling"),
             k.flag("limits.parallel_tries"),
@@ -111,14 +118,14 @@
             k.num("limits.max_retry_after"),
             k.num("family_info.count_limit"),
             k.num("limits.keepalive")),
-        new Gateway.Rules(
+        new RuleLimits(
             k.num("contract.grace_to_answer"),
             k.num("contract.drain_grace"),
             k.num("contract.cold_share"),
             k.num("contract.warm_after"),
             k.num("contract.overload_factor"),
             k.num("contract.overload_for")),
-        new Gateway.Prices(
+        new Prices(
             k.num("prices.waste"),
             k.num("prices.probe"),
             k.num("family_info.counter_price"),
--- a/src/main/java/edgenode/emulator/Arrivals.java
+++ b/src/main/java/edgenode/emulator/Arrivals.java
@@ -10,7 +10,7 @@
  */
 public final class Arrivals {
   /**
-   * The rate at a time: requests a second at {@code at} ms from the start, never above {@code
+   * The rate at a time: requests a second at {@code at} ms from the start, never above {@code *
    * most}.
    */
   public interface Rate {
--- a/src/main/java/edgenode/emulator/EnrolmentServer.java
+++ b/src/main/java/edgenode/emulator/EnrolmentServer.java
@@ -26,8 +26,8 @@
 
 /**
  * A stand-in for an app server, from the protocol page, on an event loop that is given: its {@link
- * Capacity}, repeats dropped in its {@link Rack}, load reports that are late and noisy, a bound of
- * connections and idle ones closed. It can die and come back cold, vanish, stall, lose cores,
+ * * Capacity}, repeats dropped in its {@link Rack}, load reports that are late and noisy, a bound
+ * of connections and idle ones closed. It can die and come back cold, vanish, stall, lose cores,
  * answer with noise, stop reading and fall silent. All methods are for the loop's thread.
  */
 public final class EnrolmentServer {
--- a/src/main/java/edgenode/membership/Entry.java
+++ b/src/main/java/edgenode/membership/Entry.java
@@ -1,6 +1,7 @@
 package edgenode.membership;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import java.util.Objects;
 
 /**
@@ -10,13 +11,13 @@
  *     long ago
  * @param dial where it listens, {@code address:port}; null only where the server is gone
  */
-public record Entry(Gateway.Server server, String dial) {
+public record Entry(EndpointInfo server, String dial) {
   public Entry {
     Objects.requireNonNull(server.id());
     if (server.id().isEmpty()) {
       throw new IllegalArgumentException("a server without a name");
     }
-    if (dial == null && server.state() != Gateway.State.GONE) {
+    if (dial == null && server.state() != EndpointState.REMOVED) {
       throw new IllegalArgumentException("server " + server.id() + " has no address");
     }
   }
@@ -25,12 +26,12 @@
     return server.id();
   }
 
-  Entry with(Gateway.State state, double startedAt) {
-    if (state == server.state() && startedAt == server.startedAt()) {
+  Entry with(EndpointState state, double startedAt) {
+    if (state == server.state() && startedAt == server.startedAtMs()) {
       return this;
     }
     return new Entry(
-        new Gateway.Server(
+        new EndpointInfo(
             server.id(),
             server.cell(),
             server.zone(),
@@ -50,13 +51,13 @@
     if (!(o instanceof Entry e)) {
       return false;
     }
-    Gateway.Server a = server;
-    Gateway.Server b = e.server;
+    EndpointInfo a = server;
+    EndpointInfo b = e.server;
     return a == b && Objects.equals(dial, e.dial)
         || a.id().equals(b.id())
             && Objects.equals(dial, e.dial)
             && a.state() == b.state()
-            && a.startedAt() == b.startedAt()
+            && a.startedAtMs() == b.startedAtMs()
             && a.weight() == b.weight()
             && a.cell() == b.cell()
             && Objects.equals(a.zone(), b.zone())
--- a/src/main/java/edgenode/membership/Membership.java
+++ b/src/main/java/edgenode/membership/Membership.java
@@ -1,6 +1,6 @@
 package edgenode.membership;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointState;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -307,7 +307,7 @@
     }
     int left = 0;
     for (Entry e : current.entries.values()) {
-      left += e.server().state() == Gateway.State.UP ? 1 : 0;
+      left += e.server().state() == EndpointState.UP ? 1 : 0;
     }
     double hold = left == 0 ? limits.holdEmpty() : limits.holdShrunk();
     boolean holding = up > 0 && left < limits.shrink() * up;
@@ -324,7 +324,7 @@
       if (h == null || h.heldUntil > now) {
         continue;
       }
-      boolean wasUp = h.shown != null && h.shown.server().state() == Gateway.State.UP;
+      boolean wasUp = h.shown != null && h.shown.server().state() == EndpointState.UP;
       if (holding
           && wasUp
           && h.answeredAt > Double.NEGATIVE_INFINITY
@@ -361,7 +361,7 @@
     Set<String> named = new HashSet<>();
     for (Entry e : entries) {
       named.add(e.id());
-      if (e.server().state() != Gateway.State.UP) {
+      if (e.server().state() != EndpointState.UP) {
         doubt(e.id());
       }
     }
@@ -416,12 +416,12 @@
     Entry e = told;
     if (e.dial() != null) {
       Cold c = cold.get(e.dial());
-      if (c != null && c.until > now && e.server().startedAt() < c.startedAt) {
+      if (c != null && c.until > now && e.server().startedAtMs() < c.startedAt) {
         e = e.with(e.server().state(), c.startedAt);
       }
-      remember(e.dial(), e.server().startedAt());
+      remember(e.dial(), e.server().startedAtMs());
     }
-    if (e.server().state() == Gateway.State.GONE) {
+    if (e.server().state() == EndpointState.REMOVED) {
       s.entries.remove(e.id());
       s.toldAt.remove(e.id());
       bury(s, e.id());
@@ -431,7 +431,7 @@
       s.gone.remove(e.id());
     }
     Host h = hosts.computeIfAbsent(e.id(), id -> new Host());
-    if (e.server().state() == Gateway.State.GONE) {
+    if (e.server().state() == EndpointState.REMOVED) {
       h.heldUntil = Double.NEGATIVE_INFINITY; // said in so many words
     }
   }
@@ -527,7 +527,7 @@
       touched.add(id);
       if (h.refused >= limits.refusals()) {
         Entry e = current.entries.get(id);
-        if (e != null && e.server().startedAt() + limits.warm() < now) {
+        if (e != null && e.server().startedAtMs() + limits.warm() < now) {
           remember(e.dial(), now);
           put(current, e);
         }
@@ -698,7 +698,7 @@
           fromLeft = true;
         }
       }
-      if (e != null && e.server().state() == Gateway.State.GONE) {
+      if (e != null && e.server().state() == EndpointState.REMOVED) {
         e = null;
       }
     }
@@ -715,11 +715,11 @@
     h.heldUntil = Double.NEGATIVE_INFINITY;
     holding.remove(id);
     boolean down =
-        e.server().state() != Gateway.State.UP
+        e.server().state() != EndpointState.UP
             || h.dead
             || current.doubted.contains(id)
             || against(id, e);
-    return down ? e.with(Gateway.State.DRAINING, e.server().startedAt()) : e;
+    return down ? e.with(EndpointState.DRAINING, e.server().startedAtMs()) : e;
   }
 
   /**
@@ -729,12 +729,12 @@
   private boolean against(String id, Entry e) {
     for (Space s : left) {
       Entry old = s.entries.get(id);
-      if (old == null && s.gone.containsKey(id) && e.server().startedAt() <= s.gone.get(id)) {
+      if (old == null && s.gone.containsKey(id) && e.server().startedAtMs() <= s.gone.get(id)) {
         return true;
       }
       if (old != null
-          && old.server().state() != Gateway.State.UP
-          && e.server().startedAt() <= Math.max(old.server().startedAt(), s.toldAt.get(id))) {
+          && old.server().state() != EndpointState.UP
+          && e.server().startedAtMs() <= Math.max(old.server().startedAtMs(), s.toldAt.get(id))) {
         return true;
       }
     }
@@ -763,8 +763,8 @@
 
   private void judge(String id, Host h, List<Entry> changed) {
     Entry e = verdict(id, h);
-    boolean wasUp = h.shown != null && h.shown.server().state() == Gateway.State.UP;
-    boolean isUp = e != null && e.server().state() == Gateway.State.UP;
+    boolean wasUp = h.shown != null && h.shown.server().state() == EndpointState.UP;
+    boolean isUp = e != null && e.server().state() == EndpointState.UP;
     if (isUp && !wasUp && h.downAt > Double.NEGATIVE_INFINITY) { // it comes back: not at once
       if (h.upAt == Double.NEGATIVE_INFINITY) {
         h.upAt = now + Math.min(limits.upAfterMost(), limits.upAfter() * Math.pow(2, h.falls));
@@ -772,7 +772,7 @@
       }
       if (now < h.upAt) {
         isUp = false;
-        e = e.with(Gateway.State.DRAINING, e.server().startedAt());
+        e = e.with(EndpointState.DRAINING, e.server().startedAtMs());
       }
     } else if (!isUp) {
       h.upAt = Double.NEGATIVE_INFINITY;
@@ -786,7 +786,7 @@
     up += (isUp ? 1 : 0) - (wasUp ? 1 : 0);
     if (e == null) {
       if (h.shown != null) {
-        changed.add(h.shown.with(Gateway.State.GONE, h.shown.server().startedAt()));
+        changed.add(h.shown.with(EndpointState.REMOVED, h.shown.server().startedAtMs()));
         h.shown = null;
         h.goneAt = now;
       }
--- a/src/main/java/edgenode/net/counter/CounterClient.java
+++ b/src/main/java/edgenode/net/counter/CounterClient.java
@@ -2,7 +2,7 @@
 
 import edgenode.eventloop.Loop;
 import edgenode.net.resp.Resp;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -35,7 +35,7 @@
      * @param took ms from the call to its end
      * @param total the name's new total where the outcome is OK
      */
-    void counted(long name, Gateway.Outcome outcome, double took, double total);
+    void counted(long name, CallOutcome outcome, double took, double total);
   }
 
   private static final int LINES = 4;
@@ -176,7 +176,7 @@
   public void add(long name, double amount, double keepFor) {
     Line line = address == null ? null : line((int) Math.floorMod(name, (long) LINES));
     if (line == null || line.channel == null && !line.connecting) {
-      loop.later(() -> counted.counted(name, Gateway.Outcome.NO_CONNECTION, 0, 0));
+      loop.later(() -> counted.counted(name, CallOutcome.NO_CONNECTION, 0, 0));
       return;
     }
     Call call = new Call(line, name, loop.now(), false);
@@ -227,14 +227,14 @@
       call.line.spoilt(); // half an answer, and no more of it
     }
     if (call.line.waiting.remove(call) != null) {
-      tell(call, Gateway.Outcome.NO_CONNECTION, 0);
+      tell(call, CallOutcome.NO_CONNECTION, 0);
     } else if (!call.told) {
-      counted.counted(call.name, Gateway.Outcome.OVERDUE, loop.now() - call.sent, 0);
-      loop.after((GIVEN_UP - 1) * limit, () -> tell(call, Gateway.Outcome.ERROR, 0));
+      counted.counted(call.name, CallOutcome.OVERDUE, loop.now() - call.sent, 0);
+      loop.after((GIVEN_UP - 1) * limit, () -> tell(call, CallOutcome.ERROR, 0));
     }
   }
 
-  private void tell(Call call, Gateway.Outcome outcome, double total) {
+  private void tell(Call call, CallOutcome outcome, double total) {
     if (!call.told) {
       call.told = true;
       counted.counted(call.name, outcome, loop.now() - call.sent, total);
@@ -296,7 +296,7 @@
      */
     void spoilt() {
       if (!calls.isEmpty()) {
-        tell(calls.poll(), Gateway.Outcome.ERROR, 0);
+        tell(calls.poll(), CallOutcome.ERROR, 0);
       }
       broken();
       channel.close();
@@ -304,7 +304,7 @@
 
     private void broken() {
       for (Call call = calls.poll(); call != null; call = calls.poll()) {
-        tell(call, call.written ? Gateway.Outcome.RESET : Gateway.Outcome.NO_CONNECTION, 0);
+        tell(call, call.written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, 0);
       }
     }
 
@@ -344,7 +344,7 @@
               }
               ready.complete(null);
             } else {
-              held.forEach((call, words) -> tell(call, Gateway.Outcome.NO_CONNECTION, 0));
+              held.forEach((call, words) -> tell(call, CallOutcome.NO_CONNECTION, 0));
               loop.flush();
               loop.after(RECONNECT, this::connect);
             }
@@ -409,12 +409,12 @@
         }
         if (msg instanceof ErrorRedisMessage error
             && (error.content().startsWith("BUSY") || error.content().startsWith("ERR"))) {
-          tell(call, Gateway.Outcome.FULL, 0); // nothing was added
+          tell(call, CallOutcome.FULL, 0); // nothing was added
           return true;
         }
         String total = Resp.isValue(msg) ? Resp.text(msg) : "";
         if (NUMBER.matcher(total).matches()) {
-          tell(call, Gateway.Outcome.OK, Double.parseDouble(total));
+          tell(call, CallOutcome.OK, Double.parseDouble(total));
           return true;
         }
         return false;
--- a/src/main/java/edgenode/net/discovery/AgentSource.java
+++ b/src/main/java/edgenode/net/discovery/AgentSource.java
@@ -44,7 +44,7 @@
  * itself is opened anew each time that it has said nothing for LOOK ms, from the last version, and
  * the one before is ended.
  *
- * <p>While discovery is down all are silent: unanswered looks become rarer, to one each {@link
+ * <p>While discovery is down all are silent: unanswered looks become rarer, to one each {@link *
  * #LOOK_MOST} ms, and those asked before stay open, as it tells those first when it is back.
  *
  * <p>After a call that failed, was refused or was given up, what discovery has counts as told
--- a/src/main/java/edgenode/net/discovery/ConsulSource.java
+++ b/src/main/java/edgenode/net/discovery/ConsulSource.java
@@ -4,7 +4,8 @@
 import edgenode.config.Json;
 import edgenode.eventloop.Loop;
 import edgenode.membership.Entry;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -133,11 +134,11 @@
     double weight = weights.get(warning ? "Warning" : "Passing").number(1);
     Json meta = service.get("Meta");
     return new Entry(
-        new Gateway.Server(
+        new EndpointInfo(
             service.get("ID").text(""),
             (int) meta.get("block").number(0),
             each.get("Node").get("Datacenter").text(""),
-            out || weight <= 0 ? Gateway.State.DRAINING : Gateway.State.UP,
+            out || weight <= 0 ? EndpointState.DRAINING : EndpointState.UP,
             meta.get("class").text(""),
             meta.get("born_ms").number(0),
             Math.max(0, weight)),
--- a/src/main/java/edgenode/net/discovery/DnsSrvSource.java
+++ b/src/main/java/edgenode/net/discovery/DnsSrvSource.java
@@ -3,7 +3,8 @@
 import edgenode.eventloop.Loop;
 import edgenode.membership.Entry;
 import edgenode.membership.Source;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AddressedEnvelope;
 import io.netty.channel.EventLoop;
@@ -247,8 +248,8 @@
       known.put(t.name, at);
       entries.add(
           new Entry(
-              new Gateway.Server(
-                  t.name + ":" + t.port, 0, "", Gateway.State.UP, "", 0, Math.max(1, t.weight)),
+              new EndpointInfo(
+                  t.name + ":" + t.port, 0, "", EndpointState.UP, "", 0, Math.max(1, t.weight)),
               (at.indexOf(':') >= 0 ? "[" + at + "]" : at) + ":" + t.port));
     }
     entries.sort(Comparator.comparing(Entry::dial));
--- a/src/main/java/edgenode/net/discovery/EdsSource.java
+++ b/src/main/java/edgenode/net/discovery/EdsSource.java
@@ -6,7 +6,8 @@
 import edgenode.config.Json;
 import edgenode.eventloop.Loop;
 import edgenode.membership.Entry;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -193,11 +194,11 @@
         String name = each.get("endpoint").get("hostname").text("");
         entries.add(
             new Entry(
-                new Gateway.Server(
+                new EndpointInfo(
                     name.isEmpty() ? dial : name,
                     0,
                     zone,
-                    up && weight > 0 ? Gateway.State.UP : Gateway.State.DRAINING,
+                    up && weight > 0 ? EndpointState.UP : EndpointState.DRAINING,
                     "",
                     0,
                     Math.max(0, health.equals("DEGRADED") ? DEGRADED * weight : weight)),
--- a/src/main/java/edgenode/net/discovery/Members.java
+++ b/src/main/java/edgenode/net/discovery/Members.java
@@ -30,7 +30,7 @@
     void discoveryRefuses();
 
     /**
-     * Tries a connect to a server, and tells {@link Members#reachable} or {@link
+     * Tries a connect to a server, and tells {@link Members#reachable} or {@link *
      * Members#unreachable}.
      */
     void tryOut(String id);
--- a/src/main/java/edgenode/net/discovery/MembersJson.java
+++ b/src/main/java/edgenode/net/discovery/MembersJson.java
@@ -6,7 +6,8 @@
 import edgenode.config.Config;
 import edgenode.config.Json;
 import edgenode.membership.Entry;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -138,12 +139,12 @@
       double share,
       double born,
       Consumer<String> bad) {
-    Gateway.State state =
+    EndpointState state =
         switch (health) {
-          case "active" -> Gateway.State.UP;
-          case "left" -> Gateway.State.GONE;
+          case "active" -> EndpointState.UP;
+          case "left" -> EndpointState.REMOVED;
           default ->
-              Gateway.State.DRAINING; // leaving, or a word to come: nothing new is the safe reading
+              EndpointState.DRAINING; // leaving, or a word to come: nothing new is the safe reading
         };
     try {
       if (!dial.isEmpty()) {
@@ -151,7 +152,7 @@
       }
       entries.add(
           new Entry(
-              new Gateway.Server(host, block, site, state, kind, born, share),
+              new EndpointInfo(host, block, site, state, kind, born, share),
               dial.isEmpty() ? null : dial));
     } catch (IllegalArgumentException e) { // the others are of use
       bad.accept(e.getMessage());
--- a/src/main/java/edgenode/net/resp/Call.java
+++ b/src/main/java/edgenode/net/resp/Call.java
@@ -1,6 +1,8 @@
 package edgenode.net.resp;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.Idempotency;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.RequestClass;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.handler.codec.redis.ArrayRedisMessage;
 import io.netty.handler.codec.redis.FullBulkStringRedisMessage;
@@ -47,7 +49,7 @@
    * Throws IllegalArgumentException with what is wrong; sets and units are held against the
    * settings.
    */
-  public static Call of(ArrayRedisMessage command, Gateway.Settings settings) {
+  public static Call of(ArrayRedisMessage command, PolicySettings settings) {
     List<RedisMessage> parts = command.children();
     if (parts.size() <= LIST || parts.size() > BODY + 1) {
       throw new IllegalArgumentException("wrong number of arguments");
@@ -102,17 +104,17 @@
       throw new IllegalArgumentException("c, t and d are needed");
     }
     if (units < 1
-        || units > settings.mostUnits()
+        || units > settings.maxRequestUnits()
         || spread < 1
-        || spread > settings.nodes()
-        || first >= settings.nodes()) {
+        || spread > settings.nodeCount()
+        || first >= settings.nodeCount()) {
       throw new IllegalArgumentException("units or set out of range");
     }
     boolean get = Resp.text(parts.get(0)).endsWith("GET");
-    for (Gateway.RequestClass c : settings.classes()) {
+    for (RequestClass c : settings.requestClasses()) {
       if (c.name().equals(type)
-          && (get != (c.effect() == Gateway.Effect.SAFE)
-              || c.effect() == Gateway.Effect.KEYED && key == null)) {
+          && (get != (c.idempotency() == Idempotency.IDEMPOTENT)
+              || c.idempotency() == Idempotency.KEYED && key == null)) {
         throw new IllegalArgumentException("not the command of this class, or no k");
       }
     }
--- a/src/main/java/edgenode/net/resp/LongValues.java
+++ b/src/main/java/edgenode/net/resp/LongValues.java
@@ -11,7 +11,7 @@
 
 /**
  * Answers of app servers whose value is too long to be kept: an array of three whose first element
- * is a bulk string of more than {@link Resp#VALUE} bytes comes as a {@link Begin}, its {@link
+ * is a bulk string of more than {@link Resp#VALUE} bytes comes as a {@link Begin}, its {@link *
  * Part}s as they are read, and then an array of the two elements behind it. All else passes
  * unchanged. Stands between the decoder and the aggregators.
  */
--- a/src/main/java/edgenode/net/upstream/ServerPool.java
+++ b/src/main/java/edgenode/net/upstream/ServerPool.java
@@ -6,7 +6,8 @@
 import edgenode.membership.Health;
 import edgenode.net.resp.LongValues;
 import edgenode.net.resp.Resp;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointState;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -61,7 +62,7 @@
      * @param value where the outcome is OK; the pool's to release
      * @param load the server's report in the order of the settings' fields, or empty
      */
-    void ended(Attempt attempt, Gateway.Outcome outcome, RedisMessage value, double[] load);
+    void ended(Attempt attempt, CallOutcome outcome, RedisMessage value, double[] load);
 
     /**
      * Told in the place of {@link #ended} where the value is too long to be kept: the attempt has
@@ -104,7 +105,7 @@
     /**
      * @param took ms
      */
-    void probed(String server, Gateway.Outcome outcome, double took, double[] load);
+    void probed(String server, CallOutcome outcome, double took, double[] load);
   }
 
   /** Where a server has told nothing of its load. */
@@ -284,7 +285,7 @@
     for (Entry m : members) {
       String id = m.server().id();
       Target old = targets.get(id);
-      if (m.server().state() == Gateway.State.GONE) {
+      if (m.server().state() == EndpointState.REMOVED) {
         leave(targets.remove(id));
         continue;
       }
@@ -294,10 +295,10 @@
         t = new Target(id, m.dial());
         targets.put(id, t);
       }
-      t.up = m.server().state() == Gateway.State.UP;
+      t.up = m.server().state() == EndpointState.UP;
       if (!t.up) {
         leave(t);
-      } else if (t.links.isEmpty() && t.connecting == 0 && config.settings().nodes() <= AHEAD) {
+      } else if (t.links.isEmpty() && t.connecting == 0 && config.settings().nodeCount() <= AHEAD) {
         connect(t); // so that the first request need not wait for one
       }
     }
@@ -315,7 +316,7 @@
     }
     while (!t.waiting.isEmpty()) {
       Attempt a = t.waiting.poll();
-      loop.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+      loop.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
     }
   }
 
@@ -359,7 +360,7 @@
   public void send(Attempt a) {
     Target t = targets.get(a.server);
     if (t == null || !t.up) {
-      loop.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+      loop.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
       return;
     }
     if (t.write(a, loop.now())) {
@@ -371,7 +372,7 @@
       return;
     }
     if (open >= most && !spare()) {
-      loop.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+      loop.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
       return;
     }
     t.waiting.add(a);
@@ -386,9 +387,9 @@
     while (!t.waiting.isEmpty()) {
       Attempt a = t.waiting.peek();
       if (loop.now() >= a.before) {
-        loop.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+        loop.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
       } else if (a.work != null && !a.work.wanted()) {
-        loop.later(() -> end(a, Gateway.Outcome.NOT_SENT, null, NO_LOAD));
+        loop.later(() -> end(a, CallOutcome.NOT_SENT, null, NO_LOAD));
       } else if (!t.write(a, loop.now())) {
         break;
       }
@@ -401,12 +402,12 @@
 
   public void probe(String server) {
     Attempt a = new Attempt(null, 0, server, loop.now(), Double.POSITIVE_INFINITY);
-    loop.after(PROBE_WITHIN, () -> giveUp(a, Gateway.Outcome.TIMEOUT));
+    loop.after(PROBE_WITHIN, () -> giveUp(a, CallOutcome.TIMEOUT));
     send(a);
   }
 
   /** Stops waiting for an attempt. One that was not written whole cannot have run. */
-  public void giveUp(Attempt a, Gateway.Outcome outcome) {
+  public void giveUp(Attempt a, CallOutcome outcome) {
     if (a.done) {
       return;
     }
@@ -415,7 +416,7 @@
     unlink(a); // first: whoever hears of the end may send the next one at once
     end(
         a,
-        unsent && outcome == Gateway.Outcome.TIMEOUT ? Gateway.Outcome.NO_CONNECTION : outcome,
+        unsent && outcome == CallOutcome.TIMEOUT ? CallOutcome.NO_CONNECTION : outcome,
         null,
         NO_LOAD);
   }
@@ -439,11 +440,11 @@
   public void withdraw(Attempt a) {
     if (a.waits()) {
       unlink(a);
-      loop.later(() -> end(a, Gateway.Outcome.NOT_SENT, null, NO_LOAD));
+      loop.later(() -> end(a, CallOutcome.NOT_SENT, null, NO_LOAD));
     }
   }
 
-  private void end(Attempt a, Gateway.Outcome outcome, RedisMessage value, double[] load) {
+  private void end(Attempt a, CallOutcome outcome, RedisMessage value, double[] load) {
     if (a.done) {
       return;
     }
@@ -505,7 +506,7 @@
             if (t.waiting.size() > t.connecting + t.idle.size()) {
               Attempt a =
                   t.waiting.poll(); // later: with no descriptor left it fails inside the send
-              loop.later(() -> end(a, Gateway.Outcome.NO_CONNECTION, null, NO_LOAD));
+              loop.later(() -> end(a, CallOutcome.NO_CONNECTION, null, NO_LOAD));
             }
           } else if (!t.up) {
             link.channel.close();
@@ -604,7 +605,7 @@
         if (a == null || !written || !answered(a, (RedisMessage) msg)) {
           channel.close(); // nothing was asked, or not this: what comes next belongs to nobody
           if (a != null) { // now that it is out no more: the next one may go at once
-            end(a, Gateway.Outcome.ERROR, null, NO_LOAD);
+            end(a, CallOutcome.ERROR, null, NO_LOAD);
           }
           return;
         }
@@ -620,7 +621,7 @@
       if (a == null || a.done || !written || a.work == null) {
         channel.close(); // nothing was asked, or no value
         if (a != null) {
-          end(a, Gateway.Outcome.ERROR, null, NO_LOAD);
+          end(a, CallOutcome.ERROR, null, NO_LOAD);
         }
         return;
       }
@@ -702,7 +703,7 @@
           && a.work != null) {
         List<RedisMessage> parts = array.children();
         health.answered(target.id);
-        end(a, Gateway.Outcome.OK, parts.get(0), load(Resp.text(parts.get(2))));
+        end(a, CallOutcome.OK, parts.get(0), load(Resp.text(parts.get(2))));
       } else if (msg instanceof ErrorRedisMessage error) {
         String text = error.content();
         boolean busy = text.equals("BUSY") || text.startsWith("BUSY ");
@@ -713,11 +714,11 @@
         int space = text.lastIndexOf(' ');
         end(
             a,
-            busy ? Gateway.Outcome.FULL : Gateway.Outcome.ERROR,
+            busy ? CallOutcome.FULL : CallOutcome.ERROR,
             null,
             text.indexOf('=', space) > 0 ? load(text.substring(space + 1)) : NO_LOAD);
       } else if (a.work == null && Resp.isValue(msg)) {
-        end(a, Gateway.Outcome.OK, null, load(Resp.text(msg)));
+        end(a, CallOutcome.OK, null, load(Resp.text(msg)));
       } else {
         return false;
       }
@@ -752,7 +753,7 @@
       if (current == a) {
         current = null;
         channel.close();
-        end(a, Gateway.Outcome.ERROR, null, NO_LOAD);
+        end(a, CallOutcome.ERROR, null, NO_LOAD);
       }
     }
 
@@ -768,7 +769,7 @@
       Attempt a = current;
       current = null;
       if (a != null) {
-        end(a, written ? Gateway.Outcome.RESET : Gateway.Outcome.NO_CONNECTION, null, NO_LOAD);
+        end(a, written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, null, NO_LOAD);
       }
       loop.flush();
     }
@@ -791,7 +792,7 @@
 
   /** The values in the order of the settings' fields; what is not told is not a number. */
   private double[] load(String report) {
-    List<String> fields = config.settings().loadFields();
+    List<String> fields = config.settings().loadReportFields();
     if (report == null || fields.isEmpty()) {
       return NO_LOAD;
     }
--- a/src/main/java/edgenode/node/Node.java
+++ b/src/main/java/edgenode/node/Node.java
@@ -18,7 +18,13 @@
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.resp.Call;
 import edgenode.net.upstream.ServerPool;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEvents;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.RequestClass;
 import edgenode.store.StoreException;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -48,7 +54,7 @@
  * decides nothing.
  */
 public final class Node
-    implements Gateway.Actions,
+    implements PolicyActions,
         Members.View,
         ClientListener.Requests,
         ServerPool.Probed,
@@ -56,7 +62,7 @@
         Operations {
   /** How a decision module is made. */
   public interface Maker {
-    Gateway.Events start(Gateway.Settings settings, long seed, double now, Gateway.Actions actions);
+    PolicyEvents start(PolicySettings settings, long seed, double now, PolicyActions actions);
   }
 
   /** Off a client's wait (ms), so that an answer at the end of it is back in time. */
@@ -219,7 +225,7 @@
       } else {
         over(this, Ledger.End.ABANDONED);
         led(this, null, false);
-        tell(m -> m.gone(loop.now(), id));
+        tell(m -> m.clientDisconnected(loop.now(), id));
         settle(this);
       }
     }
@@ -265,15 +271,8 @@
       }
       tell(
           m ->
-              m.ended(
-                  now,
-                  id,
-                  a.number,
-                  Gateway.Outcome.OK,
-                  now - a.sent,
-                  true,
-                  0,
-                  ServerPool.NO_LOAD));
+              m.attemptEnded(
+                  now, id, a.number, CallOutcome.OK, now - a.sent, true, 0, ServerPool.NO_LOAD));
       settle(this);
       if (wanted) {
         slot.begin(length, source::flow);
@@ -283,14 +282,15 @@
 
     @Override
     public void ended(
-        ServerPool.Attempt a, Gateway.Outcome outcome, RedisMessage value, double[] load) {
+        ServerPool.Attempt a, CallOutcome outcome, RedisMessage value, double[] load) {
       out--;
-      ran -= a.wrote() && outcome.neverRan() ? 1 : 0;
+      ran -= a.wrote() && outcome.provesNothingRan() ? 1 : 0;
       double now = loop.now();
-      if (outcome == Gateway.Outcome.OK && !over) {
+      if (outcome == CallOutcome.OK && !over) {
         Node.this.answer(this, Ledger.End.SERVED, ReferenceCountUtil.retain(value));
       }
-      boolean told = tell(m -> m.ended(now, id, a.number, outcome, now - a.sent, over, 0, load));
+      boolean told =
+          tell(m -> m.attemptEnded(now, id, a.number, outcome, now - a.sent, over, 0, load));
       if (!told) {
         Node.this.giveUp(this);
       }
@@ -370,7 +370,7 @@
   private final Members discovery;
   private final CompletableFuture<Void> ended = new CompletableFuture<>();
   private Members.Place agent;
-  private Gateway.Events module;
+  private PolicyEvents module;
   private long lastId;
   private long held;
   private Runnable lost = () -> {};
@@ -418,7 +418,7 @@
             ? new Members(
                 loop,
                 this,
-                Limits.platform(config.settings().rules().warmAfter()),
+                Limits.platform(config.settings().rules().warmUpMs()),
                 List.of(agent),
                 0)
             : new Members(loop, this, own.limits(), Sources.of(own, agent), own.failOver());
@@ -429,12 +429,12 @@
     keys = own == null ? null : own.store();
     ledger =
         new Ledger(
-            config.settings().classes().stream().map(Gateway.RequestClass::name).toList(),
+            config.settings().requestClasses().stream().map(RequestClass::name).toList(),
             own == null ? 0 : own.campuses());
     servers = new ServerPool(loop, discovery, this, config, places(config.sockets(), SERVERS));
     counter =
         new CounterClient(
-            loop, this, config.counter(), config.settings().allowed().counterTimeout());
+            loop, this, config.counter(), config.settings().capabilities().counterTimeoutMs());
   }
 
   // ---- life ----
@@ -605,8 +605,8 @@
    */
   public CompletableFuture<Void> leave() {
     double longest =
-        config.settings().classes().stream()
-            .mapToDouble(Gateway.RequestClass::deadline)
+        config.settings().requestClasses().stream()
+            .mapToDouble(RequestClass::deadlineMs)
             .max()
             .orElse(0);
     double granted = Math.min(longest, GRANTED_MOST) + GRANTED - LAST_MOMENT;
@@ -675,7 +675,7 @@
   }
 
   /** Tells the module; an exception in it is logged and never gets to the loop. */
-  private boolean tell(Consumer<Gateway.Events> event) {
+  private boolean tell(Consumer<PolicyEvents> event) {
     try {
       event.accept(module);
       return true;
@@ -711,7 +711,9 @@
       return null;
     }
     boolean leads = false;
-    if (recognition != null && call.key() != null && config.settings().keyed(call.type())) {
+    if (recognition != null
+        && call.key() != null
+        && config.settings().hasIdempotencyKey(call.type())) {
       switch (recognition.arrived(
           ++lastId, slot, call, command, ledger.row(call.type(), call.customer()), patience)) {
         case DONE:
@@ -759,9 +761,9 @@
     double now = loop.now();
     if (!tell(
         m ->
-            m.arrived(
+            m.requestArrived(
                 now,
-                new Gateway.Request(
+                new IncomingRequest(
                     r.id,
                     r.call.type(),
                     r.call.plan(),
@@ -797,7 +799,7 @@
    */
   private void waited(Request r) {
     for (ServerPool.Attempt a : r.attempts.toArray(new ServerPool.Attempt[0])) {
-      servers.giveUp(a, Gateway.Outcome.TIMEOUT);
+      servers.giveUp(a, CallOutcome.TIMEOUT);
     }
     if (!r.over) {
       r.timer = loop.after(LAST_WORD, () -> giveUp(r));
@@ -808,7 +810,7 @@
   private void giveUp(Request r) {
     if (!r.over) {
       answer(r, Ledger.End.FAILED, new ErrorRedisMessage("ERR failed"));
-      tell(m -> m.gone(loop.now(), r.id));
+      tell(m -> m.clientDisconnected(loop.now(), r.id));
     }
   }
 
@@ -862,13 +864,13 @@
   // ---- from servers, counter and discovery ----
 
   @Override
-  public void probed(String server, Gateway.Outcome outcome, double took, double[] load) {
-    tell(m -> m.probed(loop.now(), server, outcome, took, load));
+  public void probed(String server, CallOutcome outcome, double took, double[] load) {
+    tell(m -> m.healthCheckEnded(loop.now(), server, outcome, took, load));
   }
 
   @Override
-  public void counted(long name, Gateway.Outcome outcome, double took, double total) {
-    tell(m -> m.counted(loop.now(), name, outcome, took, total));
+  public void counted(long name, CallOutcome outcome, double took, double total) {
+    tell(m -> m.counterCallEnded(loop.now(), name, outcome, took, total));
   }
 
   /**
@@ -878,11 +880,11 @@
   @Override
   public void listed(List<Entry> entries, boolean whole) {
     servers.listed(entries);
-    List<Gateway.Server> list = new ArrayList<>(entries.size());
+    List<EndpointInfo> list = new ArrayList<>(entries.size());
     for (Entry e : entries) {
       list.add(e.server());
     }
-    tell(m -> m.servers(loop.now(), list, whole));
+    tell(m -> m.endpointsChanged(loop.now(), list, whole));
   }
 
   @Override
@@ -935,7 +937,7 @@
   @Override
   public String figures() {
     Membership.Figures members = discovery.figures();
-    int avoided = module == null ? 0 : module.avoided(loop.now());
+    int avoided = module == null ? 0 : module.ejectedCount(loop.now());
     String state = notReady();
     boolean addsUp = audit(false);
     return Figures.json(
@@ -1001,16 +1003,20 @@
             r.attempts.size(),
             server,
             loop.now(),
-            r.ranAt + config.settings().memory(r.call.type()) - config.settings().tick());
+            r.ranAt
+                + config.settings().idempotencyWindowMs(r.call.type())
+                - config.settings().tickMs());
     r.attempts.add(a);
     r.out++;
-    if (a.sent >= r.deadline || a.number >= config.settings().allowed().attempts() || !r.wanted()) {
+    if (a.sent >= r.deadline
+        || a.number >= config.settings().capabilities().maxAttempts()
+        || !r.wanted()) {
       a.drop();
-      loop.later(() -> r.ended(a, Gateway.Outcome.NOT_SENT, null, ServerPool.NO_LOAD));
+      loop.later(() -> r.ended(a, CallOutcome.NOT_SENT, null, ServerPool.NO_LOAD));
       return;
     }
     if (until > 0 && until < r.deadline) {
-      loop.after(until - a.sent, () -> servers.giveUp(a, Gateway.Outcome.TIMEOUT));
+      loop.after(until - a.sent, () -> servers.giveUp(a, CallOutcome.TIMEOUT));
     }
     servers.send(a);
   }
@@ -1020,12 +1026,12 @@
     Request r = requests.get(id);
     if (r != null && attempt >= 0 && attempt < r.attempts.size()) {
       ServerPool.Attempt a = r.attempts.get(attempt);
-      loop.later(() -> servers.giveUp(a, Gateway.Outcome.CANCELLED));
+      loop.later(() -> servers.giveUp(a, CallOutcome.CANCELLED));
     }
   }
 
   @Override
-  public void refuse(long id, double retryAfter) {
+  public void reject(long id, double retryAfter) {
     Request r = requests.get(id);
     if (r != null && !r.over) {
       answer(
@@ -1044,26 +1050,26 @@
   }
 
   @Override
-  public void timer(double delay, long token) {
+  public void setTimer(double delay, long token) {
     double due = loop.now() + delay;
     loop.after(
         delay,
         () -> {
           // the module keeps one timer for all: lost with an exception, nothing would fall due
           // again
-          if (!tell(m -> m.timer(Math.max(loop.now(), due), token))) {
-            timer(TIMER_AGAIN, token);
+          if (!tell(m -> m.timerFired(Math.max(loop.now(), due), token))) {
+            setTimer(TIMER_AGAIN, token);
           }
         });
   }
 
   @Override
-  public void probe(String server) {
+  public void checkHealth(String server) {
     servers.probe(server);
   }
 
   @Override
-  public void count(long name, double amount, double keepFor) {
+  public void addToCounter(long name, double amount, double keepFor) {
     counter.add(name, amount, keepFor);
   }
 
--- a/src/main/java/edgenode/node/Warmup.java
+++ b/src/main/java/edgenode/node/Warmup.java
@@ -3,7 +3,16 @@
 import edgenode.net.resp.Call;
 import edgenode.net.resp.Resp;
 import edgenode.net.upstream.ServerPool;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.Idempotency;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEvents;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.QuotaPlan;
+import edgenode.policy.RequestClass;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -23,7 +32,7 @@
  * it: on part of a core the first seconds of cold code make answers late. A module of its own, no
  * sockets, a own clock.
  */
-public final class Warmup implements Gateway.Actions {
+public final class Warmup implements PolicyActions {
   /**
    * A restart waits for them, and others carry the load meanwhile: on 0.15 of a core 500 rounds
    * took 1 s more for nothing that was seen; 2 rounds left the first 5 s of a day so cold that a
@@ -39,8 +48,8 @@
   /** Elements, as on the real connections. */
   private static final int MOST = 16;
 
-  private final Gateway.Settings settings;
-  private final Gateway.Events module;
+  private final PolicySettings settings;
+  private final PolicyEvents module;
   private final EmbeddedChannel client = new EmbeddedChannel();
   private final EmbeddedChannel server = new EmbeddedChannel();
   private final Map<Long, Double> totals = new HashMap<>();
@@ -48,23 +57,23 @@
   private final ArrayDeque<Runnable> told = new ArrayDeque<>();
   private double now = 1000;
 
-  private Warmup(Gateway.Settings settings, Node.Maker maker) {
+  private Warmup(PolicySettings settings, Node.Maker maker) {
     this.settings = settings;
     Resp.codec(client.pipeline(), MOST);
     Resp.codec(server.pipeline(), MOST);
     module = maker.start(settings, 1, now, this);
-    List<Gateway.Server> list = new ArrayList<>();
+    List<EndpointInfo> list = new ArrayList<>();
     for (int i = 0; i < SERVERS; i++) {
-      list.add(new Gateway.Server("w" + i, i, settings.zone(), Gateway.State.UP, "", 0, 1));
+      list.add(new EndpointInfo("w" + i, i, settings.zone(), EndpointState.UP, "", 0, 1));
     }
-    module.servers(now, list, true);
+    module.endpointsChanged(now, list, true);
   }
 
   /** Cold code is no reason not to start: what goes wrong here is told and left. */
-  public static void run(Gateway.Settings settings, Node.Maker maker) {
+  public static void run(PolicySettings settings, Node.Maker maker) {
     try {
       Warmup warmup = new Warmup(settings, maker);
-      boolean able = !settings.classes().isEmpty() && !settings.plans().isEmpty();
+      boolean able = !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
       for (int i = 1; able && i <= ROUNDS; i++) {
         warmup.round(i);
       }
@@ -80,9 +89,9 @@
   }
 
   private void round(int i) {
-    Gateway.RequestClass type = settings.classes().get(i % settings.classes().size());
-    Gateway.Plan plan = settings.plans().get(i % settings.plans().size());
-    String verb = type.effect() == Gateway.Effect.SAFE ? "CALL.GET" : "CALL.POST";
+    RequestClass type = settings.requestClasses().get(i % settings.requestClasses().size());
+    QuotaPlan plan = settings.plans().get(i % settings.plans().size());
+    String verb = type.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
     client.writeInbound(
         bytes(
             array(
@@ -94,17 +103,17 @@
                     + ",t="
                     + plan.name()
                     + ",d="
-                    + Math.round(type.deadline())
+                    + Math.round(type.deadlineMs())
                     + ",k="
                     + i
                     + ",units=1,spread="
-                    + Math.min(2, settings.nodes())
+                    + Math.min(2, settings.nodeCount())
                     + ",first=0")));
     ArrayRedisMessage command = client.readInbound();
     Call call = Call.of(command, settings);
-    module.arrived(
+    module.requestArrived(
         now,
-        new Gateway.Request(
+        new IncomingRequest(
             i,
             call.type(),
             call.plan(),
@@ -126,7 +135,7 @@
         n > 0 && timers.peek() <= now;
         n--) { // a new one may be due at once
       timers.poll();
-      module.timer(now, 0);
+      module.timerFired(now, 0);
     }
     for (int n = told.size(); n > 0; n--) {
       told.poll().run();
@@ -160,17 +169,18 @@
 
   @Override
   public void send(long id, String to, double until) {
-    told.add(() -> module.ended(now, id, 0, Gateway.Outcome.OK, STEP, true, 0, ServerPool.NO_LOAD));
+    told.add(
+        () -> module.attemptEnded(now, id, 0, CallOutcome.OK, STEP, true, 0, ServerPool.NO_LOAD));
   }
 
   @Override
-  public void count(long name, double amount, double keepFor) {
+  public void addToCounter(long name, double amount, double keepFor) {
     double total = totals.merge(name, amount, Double::sum);
-    told.add(() -> module.counted(now, name, Gateway.Outcome.OK, 1, total));
+    told.add(() -> module.counterCallEnded(now, name, CallOutcome.OK, 1, total));
   }
 
   @Override
-  public void timer(double delay, long token) {
+  public void setTimer(double delay, long token) {
     timers.add(now + delay);
   }
 
@@ -178,13 +188,13 @@
   public void cancel(long id, int attempt) {}
 
   @Override
-  public void refuse(long id, double retryAfter) {}
+  public void reject(long id, double retryAfter) {}
 
   @Override
   public void fail(long id) {}
 
   @Override
-  public void probe(String to) {}
+  public void checkHealth(String to) {}
 
   @Override
   public void subscribe() {}
--- /dev/null
+++ b/src/main/java/edgenode/policy/EndpointState.java
@@ -0,0 +1,7 @@
+package edgenode.policy;
+
+public enum EndpointState {
+  UP,
+  DRAINING,
+  REMOVED
+}
--- a/src/main/java/edgenode/policy/Decide.java
+++ b/src/main/java/edgenode/policy/PolicyEngine.java
@@ -1,4 +1,3 @@
-// What goes in and out is declared in Gateway.java: Events in, Actions out.
 package edgenode.policy;
 
 import edgenode.policy.subset.Subset;
@@ -9,7 +8,7 @@
  * Every decision of one gateway. The same events give the same actions; all chance comes from one
  * seed.
  */
-public final class Decide implements Gateway.Events {
+public final class PolicyEngine implements PolicyEvents {
   /** The design re-splits four times a second. */
   private static final double SUBPERIOD = 250;
 
@@ -161,19 +160,19 @@
 
   // ---- state ----
 
-  private final Gateway.Settings set;
-  private final Gateway.Actions act;
+  private final PolicySettings set;
+  private final PolicyActions act;
   private final Random random;
   private double now;
   private long serial, edges;
   private final Map<String, Type> types = new HashMap<>();
-  private final Map<String, Gateway.Plan> plans = new HashMap<>();
+  private final Map<String, QuotaPlan> plans = new HashMap<>();
   private final Map<String, Customer> customers = new HashMap<>();
   private final ArrayDeque<Customer> ring = new ArrayDeque<>();
   private final Map<Long, Req> requests = new HashMap<>();
   private final Map<String, Host> hosts =
       new TreeMap<>(); // of the subset, and where attempts are out
-  private final Subset<Gateway.Server> subset;
+  private final Subset<EndpointInfo> subset;
   private final Set<Host> leaving = new LinkedHashSet<>();
   private final Host[] near = new Host[NEAR];
   private List<Host> view = List.of(); // the hosts of the subset, by id
@@ -203,19 +202,21 @@
 
   /** A class with the mean time that its answers take. */
   private static final class Type {
-    final Gateway.RequestClass told;
+    final RequestClass told;
     double mean;
 
-    Type(Gateway.RequestClass told) {
+    Type(RequestClass told) {
       this.told = told;
-      mean = told.aim() / 8; // until seen: an aim leaves room for a queue, a retry and the way
+      mean =
+          told.latencyObjectiveMs()
+              / 8; // until seen: an aim leaves room for a queue, a retry and the way
     }
   }
 
   private static final class Customer {
     final String name;
     final long key;
-    final Gateway.Plan plan;
+    final QuotaPlan plan;
     final int spread;
     final TreeSet<Req> queue =
         new TreeSet<>(
@@ -240,19 +241,19 @@
     int out;
     boolean asking, inRing, read, unheard;
 
-    Customer(String name, Gateway.Plan plan, int spread, double now) {
+    Customer(String name, QuotaPlan plan, int spread, double now) {
       this.name = name;
       this.plan = plan;
       this.spread = Math.max(1, spread);
       key = UUID.nameUUIDFromBytes(name.getBytes(StandardCharsets.UTF_8)).getMostSignificantBits();
       seen = ceilingAt = levelAt = guessAt = accruedAt = now;
-      level = guess = plan.burst();
+      level = guess = plan.burstUnits();
       share = 1.0 / this.spread;
     }
   }
 
   private static final class Req {
-    final Gateway.Request told;
+    final IncomingRequest told;
     final Type type;
     final Customer customer;
     final double deadline, useful;
@@ -261,13 +262,13 @@
     boolean over, streaming;
     int out;
 
-    Req(Gateway.Request told, Type type, Customer customer, double now, long serial) {
+    Req(IncomingRequest told, Type type, Customer customer, double now, long serial) {
       this.told = told;
       this.type = type;
       this.customer = customer;
       this.serial = serial;
-      deadline = now + told.patience();
-      useful = Math.min(now + type.told.aim(), deadline);
+      deadline = now + told.remainingMs();
+      useful = Math.min(now + type.told.latencyObjectiveMs(), deadline);
     }
   }
 
@@ -275,7 +276,7 @@
     final Req req;
     final Host host;
     final double sent;
-    Gateway.Outcome outcome;
+    CallOutcome outcome;
 
     Attempt(Req req, Host host, double sent) {
       this.req = req;
@@ -284,13 +285,13 @@
     }
 
     boolean mayHaveRun() {
-      return outcome == null || !outcome.neverRan;
+      return outcome == null || !outcome.provesNothingRan;
     }
   }
 
   private static final class Host {
     final String id;
-    Gateway.Server told;
+    EndpointInfo told;
     final LinkedHashSet<Attempt> out = new LinkedHashSet<>();
     double slow = 1, slowAt, limit = 4; // at first about two for each core of a small machine
     double lastSent, fails, ejectedUntil, ejections, keptUntil = Double.NEGATIVE_INFINITY;
@@ -324,32 +325,32 @@
 
   private record Timer(double at, long serial, Kind kind, Req req) {}
 
-  public Decide(Gateway.Settings settings, long seed, double now, Gateway.Actions actions) {
+  public PolicyEngine(PolicySettings settings, long seed, double now, PolicyActions actions) {
     this(settings, seed, now, actions, Subset.SERVERS);
   }
 
   /**
    * @param servers how many of a longer list a node holds on average at least
    */
-  public Decide(
-      Gateway.Settings settings, long seed, double now, Gateway.Actions actions, int servers) {
+  public PolicyEngine(
+      PolicySettings settings, long seed, double now, PolicyActions actions, int servers) {
     set = settings;
-    subset = new Subset<>(settings.me(), settings.nodes(), servers);
+    subset = new Subset<>(settings.nodeIndex(), settings.nodeCount(), servers);
     act = actions;
     random = new Random(seed);
     this.now = now;
-    for (Gateway.RequestClass c : settings.classes()) {
+    for (RequestClass c : settings.requestClasses()) {
       types.put(c.name(), new Type(c));
-      longestAim = Math.max(longestAim, c.aim());
-      meanAim += c.aim() / settings.classes().size();
+      longestAim = Math.max(longestAim, c.latencyObjectiveMs());
+      meanAim += c.latencyObjectiveMs() / settings.requestClasses().size();
     }
-    for (Gateway.Plan p : settings.plans()) {
+    for (QuotaPlan p : settings.plans()) {
       plans.put(p.name(), p);
     }
-    callLimit = Math.max(1, CALLS / settings.nodes());
+    callLimit = Math.max(1, CALLS / settings.nodeCount());
     callsLeft = SAVED * callLimit;
     at(Kind.EDGE, nextEdge(), null);
-    if (settings.mustAsk()) {
+    if (settings.mustPollDiscovery()) {
       act.subscribe();
     }
   }
@@ -357,22 +358,22 @@
   // ---- events ----
 
   @Override
-  public void servers(double time, List<Gateway.Server> list, boolean whole) {
+  public void endpointsChanged(double time, List<EndpointInfo> list, boolean whole) {
     begin(time);
     if (whole) {
-      subset.retain(new HashSet<>(list.stream().map(Gateway.Server::id).toList()));
+      subset.retain(new HashSet<>(list.stream().map(EndpointInfo::id).toList()));
     }
-    for (Gateway.Server l : list) {
-      if (l.state() == Gateway.State.GONE) {
+    for (EndpointInfo l : list) {
+      if (l.state() == EndpointState.REMOVED) {
         subset.remove(l.id());
       } else {
-        subset.put(l.id(), l.state() == Gateway.State.UP, l, groups(l));
+        subset.put(l.id(), l.state() == EndpointState.UP, l, groups(l));
       }
     }
     move(list);
     up = subset.up();
     if (edges < 4 && up > 0) { // at first two out at each server, of all gateways together
-      paceRate = Math.max(paceRate, 2000.0 * up / set.nodes() / (meanAim / 8));
+      paceRate = Math.max(paceRate, 2000.0 * up / set.nodeCount() / (meanAim / 8));
       paceCredit = Math.max(2, paceRate * SUBPERIOD / 1000);
     }
     pump();
@@ -382,8 +383,8 @@
    * What enters the subset is brought in; what leaves is forgotten once nothing is out there: ids
    * are ever new.
    */
-  private void move(List<Gateway.Server> list) {
-    Subset.Moves<Gateway.Server> moves = subset.settle();
+  private void move(List<EndpointInfo> list) {
+    Subset.Moves<EndpointInfo> moves = subset.settle();
     for (String id : moves.left()) {
       hosts.get(id).left = true;
       leaving.add(hosts.get(id));
@@ -395,17 +396,17 @@
     view = hosts.values().stream().filter(h -> !h.left).toList();
   }
 
-  private void told(Gateway.Server s) {
+  private void told(EndpointInfo s) {
     Host h = hosts.computeIfAbsent(s.id(), Host::new);
     h.left = !subset.holds(s.id());
-    h.listed = !h.left && s.state() == Gateway.State.UP;
+    h.listed = !h.left && s.state() == EndpointState.UP;
     if (h.left) {
       leaving.add(h);
     }
-    boolean restarted = h.told != null && s.startedAt() > h.told.startedAt();
+    boolean restarted = h.told != null && s.startedAtMs() > h.told.startedAtMs();
     h.told = s;
-    if (s.startedAt() > 0 && s.startedAt() + set.rules().warmAfter() > now) {
-      cold(h, s.startedAt());
+    if (s.startedAtMs() > 0 && s.startedAtMs() + set.rules().warmUpMs() > now) {
+      cold(h, s.startedAtMs());
     }
     if (restarted) {
       h.fails = h.ejectedUntil = h.ejections = 0;
@@ -439,7 +440,7 @@
   @Override
   public void discoveryFailed(double time) {
     begin(time);
-    if (set.mustAsk()) {
+    if (set.mustPollDiscovery()) {
       at(Kind.SUBSCRIBE, now + subscribeBackoff * (0.5 + random.nextDouble()), null);
       // a call that is given up has taken 2 s; half as much again as this and the next call are to
       // end within 6 s
@@ -448,28 +449,28 @@
   }
 
   @Override
-  public void arrived(double time, Gateway.Request told) {
+  public void requestArrived(double time, IncomingRequest told) {
     begin(time);
-    Type type = types.get(told.type());
-    Gateway.Plan plan = plans.get(told.plan());
+    Type type = types.get(told.className());
+    QuotaPlan plan = plans.get(told.planName());
     if (type == null || plan == null) {
-      act.refuse(
+      act.reject(
           told.id(), 0); // nothing is told of such a class or plan: no quota can be kept for it
       return;
     }
-    Customer c = customers.get(told.customer());
+    Customer c = customers.get(told.customerName());
     if (c == null) {
-      c = new Customer(told.customer(), plan, told.spread(), now);
-      c.credits = alone(c) ? Math.floor(plan.burst() / c.spread) : 0;
+      c = new Customer(told.customerName(), plan, told.nodeSpread(), now);
+      c.credits = alone(c) ? Math.floor(plan.burstUnits() / c.spread) : 0;
       c.inside = usuallyInside;
-      customers.put(told.customer(), c);
+      customers.put(told.customerName(), c);
     }
     c.seen = now;
     c.arrived += told.units();
     askedInPeriod++;
     Req r = new Req(told, type, c, now, serial++);
     requests.put(told.id(), r);
-    if (told.again() && now < c.shortUntil) {
+    if (told.isClientRetry() && now < c.shortUntil) {
       answer(r); // its first try waited here until it was of no use: a fresh request earns more
       return;
     }
@@ -484,14 +485,14 @@
     if (c.queue.contains(r)) {
       // a crowded class's mean may leave no wait at all: the counter's answer is waited for, in
       // time
-      double heard = now + (alone(c) ? 0 : set.allowed().counterTimeout());
-      double last = Math.max(lastCall(r), Math.min(heard, r.deadline - 2 * set.tick()));
-      at(Kind.EXPIRE, Math.max(now + set.tick(), last), r);
+      double heard = now + (alone(c) ? 0 : set.capabilities().counterTimeoutMs());
+      double last = Math.max(lastCall(r), Math.min(heard, r.deadline - 2 * set.tickMs()));
+      at(Kind.EXPIRE, Math.max(now + set.tickMs(), last), r);
     }
   }
 
   @Override
-  public void firstAnswer(double time, long id, int attempt) {
+  public void responseStarted(double time, long id, int attempt) {
     begin(time);
     Req r = requests.get(id);
     if (r != null) {
@@ -500,11 +501,11 @@
   }
 
   @Override
-  public void ended(
+  public void attemptEnded(
       double time,
       long id,
       int number,
-      Gateway.Outcome outcome,
+      CallOutcome outcome,
       double took,
       boolean over,
       int trueUnits,
@@ -523,7 +524,7 @@
     r.customer.out--;
     a.host.out.remove(a);
     learn(a.host, r.type, outcome, took);
-    if (outcome == Gateway.Outcome.OK && trueUnits > 0 && set.settled()) {
+    if (outcome == CallOutcome.OK && trueUnits > 0 && set.settlesUnits()) {
       r.customer.uncounted += trueUnits - r.told.units();
     }
     if (over || r.over) {
@@ -536,7 +537,7 @@
   }
 
   @Override
-  public void gone(double time, long id) {
+  public void clientDisconnected(double time, long id) {
     begin(time);
     Req r = requests.get(id);
     if (r != null) {
@@ -545,47 +546,48 @@
   }
 
   @Override
-  public void timer(double time, long token) {
+  public void timerFired(double time, long token) {
     boolean last = time >= armed - 1e-3; // an older reminder leaves the one still to come alone
     begin(time);
     pump();
     if (last) {
       armed = timers.peek().at;
-      act.timer(Math.max(0, armed - now), 0);
+      act.setTimer(Math.max(0, armed - now), 0);
     }
   }
 
   @Override
-  public void probed(
-      double time, String server, Gateway.Outcome outcome, double took, double[] load) {
+  public void healthCheckEnded(
+      double time, String server, CallOutcome outcome, double took, double[] load) {
     begin(time);
   }
 
   @Override
-  public void counted(double time, long name, Gateway.Outcome outcome, double took, double total) {
+  public void counterCallEnded(
+      double time, long name, CallOutcome outcome, double took, double total) {
     begin(time);
     ArrayDeque<Call> queue = calls.get(name);
     if (queue == null) {
       return;
     }
-    boolean overdue = outcome == Gateway.Outcome.OVERDUE;
+    boolean overdue = outcome == CallOutcome.OVERDUE;
     Call call = overdue ? queue.peek() : queue.poll();
     if (queue.isEmpty()) {
       calls.remove(name);
     }
     Customer c = call.customer;
-    boolean heard = outcome == Gateway.Outcome.OK;
+    boolean heard = outcome == CallOutcome.OK;
     // a connection that broke was up a moment ago: no sign that the counter is away
-    boolean alive = outcome == Gateway.Outcome.RESET || outcome == Gateway.Outcome.ERROR;
+    boolean alive = outcome == CallOutcome.RESET || outcome == CallOutcome.ERROR;
     misses = heard ? 0 : alive ? misses : misses + 1;
     // crowded, also where the wait was nearly too long; a connection that breaks tells nothing of
     // that
-    double crowded = CROWDED * set.allowed().counterTimeout();
+    double crowded = CROWDED * set.capabilities().counterTimeoutMs();
     callsFailed |=
-        outcome == Gateway.Outcome.FULL
-            || outcome == Gateway.Outcome.TIMEOUT
+        outcome == CallOutcome.FULL
+            || outcome == CallOutcome.TIMEOUT
             || overdue
-            || heard && took > crowded && took <= set.allowed().counterTimeout();
+            || heard && took > crowded && took <= set.capabilities().counterTimeoutMs();
     if (heard) {
       counterBackoff = SUBPERIOD;
     } else if (misses >= MISSES && now >= counterSilentUntil) {
@@ -603,19 +605,19 @@
     giveBack(c);
   }
 
-  private void callEnded(Call call, Gateway.Outcome outcome, double total) {
+  private void callEnded(Call call, CallOutcome outcome, double total) {
     Customer c = call.customer;
     switch (call.why) {
       case CLAIM -> claimHeard(c, outcome, total);
       case GIVE -> c.uncounted += lost(outcome) ? call.amount : 0; // below 0: still to be taken off
-      case FIX -> fixHeard(c, outcome == Gateway.Outcome.OK, total);
-      case TAKE_SLOT -> slotHeard(c, outcome == Gateway.Outcome.OK, total);
+      case FIX -> fixHeard(c, outcome == CallOutcome.OK, total);
+      case TAKE_SLOT -> slotHeard(c, outcome == CallOutcome.OK, total);
       default -> {}
     }
   }
 
   @Override
-  public int avoided(double time) {
+  public int ejectedCount(double time) {
     return (int) view.stream().filter(h -> h.listed && time < h.ejectedUntil).count();
   }
 
@@ -625,7 +627,7 @@
    * The next edge here: gateways spread theirs over the subperiod, or the counter gets all at once.
    */
   private double nextEdge() {
-    double phase = SUBPERIOD * set.me() / set.nodes();
+    double phase = SUBPERIOD * set.nodeIndex() / set.nodeCount();
     double next = (Math.floor((now - phase) / SUBPERIOD) + 1) * SUBPERIOD + phase;
     return next > now
         ? next
@@ -633,7 +635,7 @@
   }
 
   private boolean alone(Customer c) {
-    return !set.allowed().counter() || c.spread == 1;
+    return !set.capabilities().hasCounter() || c.spread == 1;
   }
 
   /**
@@ -641,7 +643,7 @@
    * up for.
    */
   private static boolean thin(Customer c) {
-    return c.plan.burst() < c.spread / 2.0;
+    return c.plan.burstUnits() < c.spread / 2.0;
   }
 
   private boolean mayCall() {
@@ -661,7 +663,8 @@
     if (callsFailed) {
       callsMost =
           callLimit < callsMost ? 0.9 * callLimit : callLimit; // RFC 9438 4.7, fast convergence
-      callLimit = Math.max(CALLS / set.nodes() / 16, callLimit * 0.8); // as TCP: under what failed,
+      callLimit =
+          Math.max(CALLS / set.nodeCount() / 16, callLimit * 0.8); // as TCP: under what failed,
       answeredEdges = 0;
     } else if (callsLeft
         < (SAVED - 1) * callLimit) { // soon near it again, then past it, slowly at first
@@ -678,7 +681,7 @@
       double ahead = Math.floor(c.usual) + c.held - c.credits - c.dueUnits;
       if (ahead >= 1 && c.usual >= 1 && c.inside > 0.5) {
         claim(c, ahead);
-      } else if (ahead <= -1 && !c.asking && mayCall() && !alone(c) && c.plan.rate() > 0) {
+      } else if (ahead <= -1 && !c.asking && mayCall() && !alone(c) && c.plan.ratePerSecond() > 0) {
         double back = Math.min(Math.floor(-ahead), Math.floor(c.credits));
         c.credits -= back;
         call(c, name(c, epoch()), -back, Why.GIVE);
@@ -699,7 +702,8 @@
   private void call(Customer c, long name, double amount, Why why) {
     callsLeft--;
     calls.computeIfAbsent(name, k -> new ArrayDeque<>()).add(new Call(c, why, amount));
-    act.count(name, amount, why.ordinal() < Why.TAKE_SLOT.ordinal() ? 2 * ACCOUNT : 2 * OPEN_EPOCH);
+    act.addToCounter(
+        name, amount, why.ordinal() < Why.TAKE_SLOT.ordinal() ? 2 * ACCOUNT : 2 * OPEN_EPOCH);
   }
 
   /** A name on the counter, of a customer and an epoch. */
@@ -717,7 +721,7 @@
    * covers at this place.
    */
   private void claim(Customer c, double weight) {
-    if (c.asking || alone(c) || c.plan.rate() <= 0 || now < c.askAt || !mayCall()) {
+    if (c.asking || alone(c) || c.plan.ratePerSecond() <= 0 || now < c.askAt || !mayCall()) {
       return;
     }
     c.asking = true;
@@ -736,18 +740,18 @@
    * Most calls on a connection that breaks were not added: taken as added, a tenth went beyond
    * quotas.
    */
-  private static boolean lost(Gateway.Outcome outcome) {
-    return outcome.neverRan || outcome == Gateway.Outcome.RESET;
+  private static boolean lost(CallOutcome outcome) {
+    return outcome.provesNothingRan || outcome == CallOutcome.RESET;
   }
 
   /** What the quota has filled under the name of an epoch: a burst and the rate since. */
   private double filled(Customer c, long epoch) {
-    return c.plan.burst() + c.plan.rate() * (now - epoch * ACCOUNT) / 1000;
+    return c.plan.burstUnits() + c.plan.ratePerSecond() * (now - epoch * ACCOUNT) / 1000;
   }
 
-  private void claimHeard(Customer c, Gateway.Outcome outcome, double total) {
+  private void claimHeard(Customer c, CallOutcome outcome, double total) {
     c.asking = false;
-    if (outcome != Gateway.Outcome.OK) {
+    if (outcome != CallOutcome.OK) {
       // a late call is added all the same, as a crowded counter serves those too; the next add
       // makes up
       c.uncounted += lost(outcome) ? c.added - c.claimed : -c.claimed;
@@ -755,12 +759,12 @@
       c.unheard = true;
       return;
     }
-    double rate = c.plan.rate() / 1000;
+    double rate = c.plan.ratePerSecond() / 1000;
     double before = filled(c, c.askEpoch) - (total - c.added);
     // no store holds more than a burst, nor more than was last read of it and what has come since
-    double known = Math.min(c.plan.burst(), Math.max(0, c.level) + rate * (now - c.levelAt));
+    double known = Math.min(c.plan.burstUnits(), Math.max(0, c.level) + rate * (now - c.levelAt));
     double excess = before - Math.max(-rate * longestAim, Math.min(before, known));
-    boolean far = Math.abs(excess) > c.plan.burst() / 2;
+    boolean far = Math.abs(excess) > c.plan.burstUnits() / 2;
     if (far) { // idle time, a new or lost name, lost calls: put right
       c.fixed = excess;
       call(c, name(c, c.askEpoch), excess, Why.FIX);
@@ -825,23 +829,24 @@
     }
     if (alone(c) || now < counterSilentUntil) {
       double from = Math.max(c.accruedAt, alone(c) ? 0 : silentSince);
-      double room = Math.max(set.mostUnits(), c.plan.burst() * c.share);
+      double room = Math.max(set.maxRequestUnits(), c.plan.burstUnits() * c.share);
       c.share += (1.0 / c.spread - c.share) * SLOW * Math.min(1, (now - from) / SUBPERIOD);
       c.credits =
           Math.max(
-              c.credits, Math.min(room, c.credits + c.plan.rate() * c.share * (now - from) / 1000));
+              c.credits,
+              Math.min(room, c.credits + c.plan.ratePerSecond() * c.share * (now - from) / 1000));
     }
     c.accruedAt = now;
   }
 
   /** A slot of the open cap: by the count on the counter, by the even part while it is silent. */
   private boolean slot(Customer c) {
-    if (c.plan.open() <= 0 || c.out < c.slots.size()) {
+    if (c.plan.maxOpenRequests() <= 0 || c.out < c.slots.size()) {
       return true;
     }
     if (alone(c) || !mayCall()) {
       // the even part; where that is under one, one at a time while the last counts showed room
-      return c.out < c.plan.open() / c.spread || c.out == 0 && believed(c);
+      return c.out < c.plan.maxOpenRequests() / c.spread || c.out == 0 && believed(c);
     }
     if (!c.asking && now >= c.askAt) {
       c.asking = true;
@@ -854,8 +859,8 @@
   /** The answer to a try for a slot: within the cap it is ours, else given back and tried again. */
   private void slotHeard(Customer c, boolean heard, double total) {
     c.asking = false;
-    c.inside += heard ? ((total <= c.plan.open() ? 1 : 0) - c.inside) / 2 : 0;
-    if (heard && total <= c.plan.open()) {
+    c.inside += heard ? ((total <= c.plan.maxOpenRequests() ? 1 : 0) - c.inside) / 2 : 0;
+    if (heard && total <= c.plan.maxOpenRequests()) {
       c.slots.add(c.slotEpoch);
     } else if (heard) {
       call(c, slotName(c, c.slotEpoch), -1, Why.GIVE_SLOT);
@@ -872,17 +877,17 @@
 
   /** From here on a held request is of no use. */
   private double lastCall(Req r) {
-    return Math.min(r.useful - LAST_CALL * r.type.mean, r.deadline - 2 * set.tick());
+    return Math.min(r.useful - LAST_CALL * r.type.mean, r.deadline - 2 * set.tickMs());
   }
 
   private boolean covered(Customer c, Req r) {
     accrue(c);
-    if (c.plan.rate() > 0 && c.credits < r.told.units() && !onBelief(c, r)) {
+    if (c.plan.ratePerSecond() > 0 && c.credits < r.told.units() && !onBelief(c, r)) {
       double weight = Math.ceil(c.held - c.credits - c.dueUnits - 1e-6);
       // no use to add where the last reading leaves nothing in time; most of what has come since is
       // others'
       double part = Math.min(1, PARTS * Math.max(c.share, 1.0 / c.spread));
-      double known = c.level + c.plan.rate() / 1000 * (lastCall(r) - c.levelAt) * part;
+      double known = c.level + c.plan.ratePerSecond() / 1000 * (lastCall(r) - c.levelAt) * part;
       if (weight > 0 && known >= r.told.units()) {
         claim(c, weight);
       }
@@ -901,12 +906,14 @@
     return !alone(c)
         && (!c.asking || unheard)
         && (unheard || !mayCall() || spares(c))
-        && c.plan.ceilingRate() <= 0
-        && !r.told.again()
+        && c.plan.ceilingRatePerSecond() <= 0
+        && !r.told.isClientRetry()
         && believed(c)
         && guess(c)
             >= r.told.units()
-                + Math.min(UNSEEN * c.plan.burst(), c.plan.rate() / 1000 * (now - c.levelAt));
+                + Math.min(
+                    UNSEEN * c.plan.burstUnits(),
+                    c.plan.ratePerSecond() / 1000 * (now - c.levelAt));
   }
 
   /**
@@ -914,18 +921,19 @@
    * of later.
    */
   private boolean spares(Customer c) {
-    return c.read && callsLeft < callLimit * guess(c) / c.plan.burst();
+    return c.read && callsLeft < callLimit * guess(c) / c.plan.burstUnits();
   }
 
   /** Sending earns more than it costs, by what the plan tells, and servers are not pressed. */
   private boolean believed(Customer c) {
-    double cost = c.plan.overCost();
+    double cost = c.plan.overQuotaCost();
     return paceRate >= PRESSED * askRate
-        && c.inside > cost / (1 + cost - Math.min(c.plan.overWorth(), 0.99));
+        && c.inside > cost / (1 + cost - Math.min(c.plan.overQuotaWeight(), 0.99));
   }
 
   private double guess(Customer c) {
-    return Math.min(c.plan.burst(), c.guess + c.plan.rate() / 1000 * (now - c.guessAt));
+    return Math.min(
+        c.plan.burstUnits(), c.guess + c.plan.ratePerSecond() / 1000 * (now - c.guessAt));
   }
 
   // ---- dispatch ----
@@ -954,7 +962,7 @@
       }
       dequeue(r);
       thinSent += thin(c) ? r.told.units() : 0;
-      c.credits -= c.plan.rate() > 0 ? r.told.units() : 0;
+      c.credits -= c.plan.ratePerSecond() > 0 ? r.told.units() : 0;
       c.ceiling -= r.told.units();
       if (c.credits < 0 || now < counterSilentUntil) { // told with the next add
         c.guess = guess(c) - r.told.units() / c.share;
@@ -980,7 +988,7 @@
     paceCredit = Math.min(most, paceCredit + paceRate * (now - pacedAt) / 1000);
     pacedAt = now;
     if (paceCredit < 1 && now >= paceWake) {
-      paceWake = now + Math.max(set.tick(), (1 - paceCredit) / paceRate * 1000);
+      paceWake = now + Math.max(set.tickMs(), (1 - paceCredit) / paceRate * 1000);
       at(Kind.RETRY, paceWake, null);
     }
     return paceCredit >= 1; // one and another's retry may always be out
@@ -1040,17 +1048,17 @@
             });
   }
 
-  private static boolean grouped(Gateway.RequestClass c) {
-    return c.effect() == Gateway.Effect.KEYED && c.group() != Gateway.Group.ALL;
+  private static boolean grouped(RequestClass c) {
+    return c.idempotency() == Idempotency.KEYED && c.group() != IdempotencyGroup.ALL;
   }
 
-  private static Object group(Gateway.RequestClass c, Gateway.Server s) {
-    return c.group() == Gateway.Group.ZONE ? s.zone() : (Object) s.cell();
+  private static Object group(RequestClass c, EndpointInfo s) {
+    return c.group() == IdempotencyGroup.ZONE ? s.zone() : (Object) s.cell();
   }
 
-  private Object[] groups(Gateway.Server s) {
-    return set.classes().stream()
-        .filter(Decide::grouped)
+  private Object[] groups(EndpointInfo s) {
+    return set.requestClasses().stream()
+        .filter(PolicyEngine::grouped)
         .map(c -> group(c, s))
         .distinct()
         .toArray();
@@ -1059,7 +1067,7 @@
   private Host best(Req r, Collection<Host> some) {
     Host best = null;
     double bestScore = 0;
-    boolean keeps = set.allowed().keepAlive() > 0;
+    boolean keeps = set.capabilities().keepAliveMs() > 0;
     for (Host h : some) {
       if (h == null || !mayGet(r, h) || !room(h)) {
         continue;
@@ -1108,23 +1116,24 @@
 
   /** Additive increase where the bound was reached and the answer quick, else decrease. */
   private void bound(Host h, Type type, double took) {
-    if (took <= type.told.aim() / 2) { // later ones were counted when they became late
+    if (took
+        <= type.told.latencyObjectiveMs() / 2) { // later ones were counted when they became late
       pace(false);
     }
-    if (took > type.told.aim() / 4) { // the rest is for waiting here and another try
+    if (took > type.told.latencyObjectiveMs() / 4) { // the rest is for waiting here and another try
       h.limit = Math.max(LIMIT_LEAST, h.limit * LIMIT_DOWN);
     } else if (h.out.size() + 1 >= (int) h.limit) {
       h.limit += 1 / Math.max(1, h.limit);
     }
   }
 
-  private void learn(Host h, Type type, Gateway.Outcome outcome, double took) {
-    boolean ok = outcome == Gateway.Outcome.OK;
+  private void learn(Host h, Type type, CallOutcome outcome, double took) {
+    boolean ok = outcome == CallOutcome.OK;
     h.keptUntil =
-        ok || outcome == Gateway.Outcome.ERROR
-            ? now + KEPT * set.allowed().keepAlive()
+        ok || outcome == CallOutcome.ERROR
+            ? now + KEPT * set.capabilities().keepAliveMs()
             : Double.NEGATIVE_INFINITY;
-    if (outcome != Gateway.Outcome.CANCELLED && outcome != Gateway.Outcome.NOT_SENT) {
+    if (outcome != CallOutcome.CANCELLED && outcome != CallOutcome.NOT_SENT) {
       h.failing.put(type, new double[] {(failing(h, type) + (ok ? 0 : 1)) / 2, now});
     }
     switch (outcome) {
@@ -1171,7 +1180,7 @@
     if (h.fails < 3 && !h.trial || now < h.ejectedUntil) {
       return;
     }
-    if (2 * avoided(now) + 2 <= view.stream().filter(o -> o.listed).count()) {
+    if (2 * ejectedCount(now) + 2 <= view.stream().filter(o -> o.listed).count()) {
       h.ejectedUntil = now + EJECT * Math.pow(2, h.ejections);
       h.ejections = Math.min(h.ejections + 1, EJECT_DOUBLINGS);
       h.trial = true;
@@ -1191,7 +1200,7 @@
     near[nearAt++ % NEAR] = h;
     sentInPeriod += warmth(h) >= 1 ? 1 : 0;
     paceCredit--;
-    at(Kind.LATE, now + r.type.told.aim() / 2, r);
+    at(Kind.LATE, now + r.type.told.latencyObjectiveMs() / 2, r);
     act.send(r.told.id(), h.id, 0);
   }
 
@@ -1201,9 +1210,9 @@
    */
   private void again(Req r) {
     if (now >= r.useful
-        || now >= r.deadline - 2 * set.tick()
+        || now >= r.deadline - 2 * set.tickMs()
         || !mayRepeat(r)
-        || r.attempts.size() >= set.allowed().attempts()) {
+        || r.attempts.size() >= set.capabilities().maxAttempts()) {
       answer(r);
       return;
     }
@@ -1221,7 +1230,9 @@
     if (mayRefuse(r)) {
       // what was short is so for a while: a client that comes back sooner costs calls and finds no
       // more
-      act.refuse(r.told.id(), set.allowed().retryAfter() ? set.allowed().maxRetryAfter() : 0);
+      act.reject(
+          r.told.id(),
+          set.capabilities().canSendRetryAfter() ? set.capabilities().maxRetryAfterMs() : 0);
     } else {
       act.fail(r.told.id());
     }
@@ -1230,7 +1241,7 @@
 
   private void end(Req r) {
     for (int i = 0;
-        i < r.attempts.size() && !r.over && !r.streaming && set.allowed().cancel();
+        i < r.attempts.size() && !r.over && !r.streaming && set.capabilities().canCancel();
         i++) {
       if (r.attempts.get(i).outcome == null) {
         act.cancel(r.told.id(), i);
@@ -1269,7 +1280,8 @@
     double rate = warmRate / 1000 * warmth(h) * most;
     h.coldCredit =
         Math.min(
-            Math.max(1, rate * set.rules().overloadFor()), h.coldCredit + rate * (now - h.coldAt));
+            Math.max(1, rate * set.rules().overloadWindowMs()),
+            h.coldCredit + rate * (now - h.coldAt));
     h.coldAt = now;
     return h.coldCredit;
   }
@@ -1285,8 +1297,8 @@
   /** The least capacity that a server can have by now, 1 when it is warm. */
   private double warmth(Host h) {
     double age = now - h.coldFrom;
-    double cold = set.rules().coldShare();
-    double warm = set.rules().warmAfter();
+    double cold = set.rules().coldCapacityShare();
+    double warm = set.rules().warmUpMs();
     return age >= warm ? 1 : cold + (1 - cold) * Math.max(0, age) / warm;
   }
 
@@ -1295,29 +1307,31 @@
     OptionalDouble ran =
         r.attempts.stream().filter(Attempt::mayHaveRun).mapToDouble(a -> a.sent).min();
     return ran.isEmpty()
-        || switch (r.type.told.effect()) {
-          case SAFE -> true;
-          case KEYED -> now - ran.getAsDouble() < r.type.told.window() - 2 * set.tick();
-          case UNSAFE -> false;
+        || switch (r.type.told.idempotency()) {
+          case IDEMPOTENT -> true;
+          case KEYED ->
+              now - ran.getAsDouble() < r.type.told.idempotencyWindowMs() - 2 * set.tickMs();
+          case NOT_IDEMPOTENT -> false;
         };
   }
 
   private boolean inGroup(Req r, Host h) {
-    Gateway.Group group = r.type.told.group();
-    return r.type.told.effect() != Gateway.Effect.KEYED
-        || group == Gateway.Group.ALL
+    IdempotencyGroup group = r.type.told.group();
+    return r.type.told.idempotency() != Idempotency.KEYED
+        || group == IdempotencyGroup.ALL
         || r.attempts.stream()
             .noneMatch(
                 a ->
                     a.mayHaveRun()
-                        && (group == Gateway.Group.ZONE
+                        && (group == IdempotencyGroup.ZONE
                             ? !a.host.told.zone().equals(h.told.zone())
                             : a.host.told.cell() != h.told.cell()));
   }
 
   private static boolean mayRefuse(Req r) {
-    return r.type.told.effect() == Gateway.Effect.SAFE
-        || r.type.told.effect() == Gateway.Effect.KEYED && r.type.told.group() == Gateway.Group.ALL
+    return r.type.told.idempotency() == Idempotency.IDEMPOTENT
+        || r.type.told.idempotency() == Idempotency.KEYED
+            && r.type.told.group() == IdempotencyGroup.ALL
         || r.attempts.stream().noneMatch(Attempt::mayHaveRun);
   }
 
@@ -1325,13 +1339,13 @@
    * The hard ceiling: the even part rounded down, empty at the start, whatever the counter says.
    */
   private boolean underCeiling(Customer c, Req r) {
-    if (c.plan.ceilingRate() <= 0) {
+    if (c.plan.ceilingRatePerSecond() <= 0) {
       return true;
     }
     c.ceiling =
         Math.min(
-            Math.floor(c.plan.ceilingBurst() / c.spread),
-            c.ceiling + (now - c.ceilingAt) / 1000 * c.plan.ceilingRate() / c.spread);
+            Math.floor(c.plan.ceilingBurstUnits() / c.spread),
+            c.ceiling + (now - c.ceilingAt) / 1000 * c.plan.ceilingRatePerSecond() / c.spread);
     c.ceilingAt = now;
     return c.ceiling >= r.told.units();
   }
@@ -1342,7 +1356,7 @@
     timers.add(new Timer(time, serial++, kind, r));
     if (time < armed - 1e-6) {
       armed = time;
-      act.timer(Math.max(0, armed - now), 0);
+      act.setTimer(Math.max(0, armed - now), 0);
     }
   }
 
@@ -1356,13 +1370,13 @@
         case SUBSCRIBE -> act.subscribe();
         case EXPIRE -> {
           if (!r.over && r.attempts.isEmpty()) {
-            r.customer.shortUntil = now + r.type.told.aim();
+            r.customer.shortUntil = now + r.type.told.latencyObjectiveMs();
             answer(r); // held until it would be late
           }
         }
         case LATE -> {
           double sent = r.attempts.get(r.attempts.size() - 1).sent;
-          if (r.out > 0 && sent <= now - r.type.told.aim() / 2) {
+          if (r.out > 0 && sent <= now - r.type.told.latencyObjectiveMs() / 2) {
             pace(true);
           }
         }
--- a/src/main/java/edgenode/policy/subset/Subset.java
+++ b/src/main/java/edgenode/policy/subset/Subset.java
@@ -123,7 +123,7 @@
 
   /**
    * How many times the even arc this node's is, 1 at least: what enters and leaves shows at {@link
-   * #settle}.
+   * * #settle}.
    */
   public void width(double times) {
     width = Math.max(1, times);
--- a/src/main/java/edgenode/simhost/Wire.java
+++ b/src/main/java/edgenode/simhost/Wire.java
@@ -1,8 +1,14 @@
 package edgenode.simhost;
 
 import edgenode.config.SettingsReader;
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEngine;
+import edgenode.policy.PolicyEvents;
+import edgenode.policy.PolicySettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -27,30 +33,30 @@
     }
   }
 
-  private static final Map<String, Gateway.Outcome> OUTCOMES =
+  private static final Map<String, CallOutcome> OUTCOMES =
       Map.of(
           "S",
-          Gateway.Outcome.OK,
+          CallOutcome.OK,
           "E",
-          Gateway.Outcome.ERROR,
+          CallOutcome.ERROR,
           "F",
-          Gateway.Outcome.FULL,
+          CallOutcome.FULL,
           "T",
-          Gateway.Outcome.TIMEOUT,
+          CallOutcome.TIMEOUT,
           "C",
-          Gateway.Outcome.NO_CONNECTION,
+          CallOutcome.NO_CONNECTION,
           "R",
-          Gateway.Outcome.RESET,
+          CallOutcome.RESET,
           "X",
-          Gateway.Outcome.CANCELLED,
+          CallOutcome.CANCELLED,
           "N",
-          Gateway.Outcome.NOT_SENT);
+          CallOutcome.NOT_SENT);
   private static final double[] NO_LOAD = new double[0];
 
   /** One instance with its reply in the making. */
-  private static final class Host implements Gateway.Actions {
+  private static final class Host implements PolicyActions {
     private final StringBuilder out = new StringBuilder();
-    private Gateway.Events events;
+    private PolicyEvents events;
 
     /** A number to the microsecond, never in exponent form. */
     private static String plain(double value) {
@@ -78,7 +84,7 @@
     }
 
     @Override
-    public void refuse(long id, double retryAfter) {
+    public void reject(long id, double retryAfter) {
       word("PUSH_BACK\t").append(id).append('\t').append(plain(retryAfter)).append('\n');
     }
 
@@ -88,17 +94,17 @@
     }
 
     @Override
-    public void timer(double delay, long token) {
+    public void setTimer(double delay, long token) {
       word("WAKE_AT\t").append(plain(delay)).append('\t').append(token).append('\n');
     }
 
     @Override
-    public void probe(String server) {
+    public void checkHealth(String server) {
       word("ASK_LOAD\t").append(server).append('\n');
     }
 
     @Override
-    public void count(long name, double amount, double keepFor) {
+    public void addToCounter(long name, double amount, double keepFor) {
       word("ADD_TO\t")
           .append(plain(amount))
           .append('\t')
@@ -170,7 +176,7 @@
   private void event(Host host) throws IOException {
     if (part[0].equals("UP")) {
       host.out.setLength(0);
-      host.events = new Decide(settings(), whole(1, "entropy"), now, host);
+      host.events = new PolicyEngine(settings(), whole(1, "entropy"), now, host);
       return;
     }
     if (part[0].equals("DESTROY")) {
@@ -181,13 +187,13 @@
     if (host.events == null) {
       throw bad("instance", "instance " + current + " has not been started");
     }
-    Gateway.Events to = host.events;
+    PolicyEvents to = host.events;
     switch (part[0]) {
       case "MEMBERSHIP" -> list(to);
       case "ARRIVAL" ->
-          to.arrived(
+          to.requestArrived(
               now,
-              new Gateway.Request(
+              new IncomingRequest(
                   whole(1, "tid"),
                   field(2, "band"),
                   field(3, "tariff"),
@@ -197,9 +203,9 @@
                   (int) whole(7, "spread"),
                   (int) whole(8, "first_door"),
                   flag(9, "again_by_client")));
-      case "ACK_FIRST" -> to.firstAnswer(now, whole(1, "tid"), (int) whole(4, "round_no"));
+      case "ACK_FIRST" -> to.responseStarted(now, whole(1, "tid"), (int) whole(4, "round_no"));
       case "ENDED" ->
-          to.ended(
+          to.attemptEnded(
               now,
               whole(1, "tid"),
               (int) whole(4, "round_no"),
@@ -208,12 +214,12 @@
               flag(3, "settled"),
               (int) wholeOr(8, "actual"),
               load(9));
-      case "CANCELLED_BY_CLIENT" -> to.gone(now, whole(1, "tid"));
-      case "REMINDER" -> to.timer(now, whole(1, "ctx"));
+      case "CANCELLED_BY_CLIENT" -> to.clientDisconnected(now, whole(1, "tid"));
+      case "REMINDER" -> to.timerFired(now, whole(1, "ctx"));
       case "PROBE_RESULT" ->
-          to.probed(now, field(1, "server"), outcome(2), number(3, "cost_time"), load(4));
+          to.healthCheckEnded(now, field(1, "server"), outcome(2), number(3, "cost_time"), load(4));
       case "COUNTER_REPLY" ->
-          to.counted(
+          to.counterCallEnded(
               now,
               whole(2, "counter"),
               outcome(1),
@@ -224,14 +230,14 @@
     }
   }
 
-  private void list(Gateway.Events to) throws IOException {
+  private void list(PolicyEvents to) throws IOException {
     String kind = field(1, "kind");
     if (!List.of("diff", "snapshot", "disk", "error").contains(kind)) {
       throw bad("kind", "unknown list kind " + shown(kind));
     }
     wholeOr(2, "seq_no");
     long count = wholeOr(3, "items");
-    List<Gateway.Server> list = new ArrayList<>();
+    List<EndpointInfo> list = new ArrayList<>();
     for (long i = 0; i < count; i++) {
       String line = next();
       if (line == null) {
@@ -241,15 +247,15 @@
       if (!part[0].equals("ITEM")) {
         throw bad("message", "ITEM expected, found " + shown(part[0]));
       }
-      Gateway.State state =
+      EndpointState state =
           switch (field(4, "condition")) {
-            case "on" -> Gateway.State.UP;
-            case "fading" -> Gateway.State.DRAINING;
-            case "off" -> Gateway.State.GONE;
+            case "on" -> EndpointState.UP;
+            case "fading" -> EndpointState.DRAINING;
+            case "off" -> EndpointState.REMOVED;
             default -> throw bad("condition", "unknown condition " + shown(part[4]));
           };
       list.add(
-          new Gateway.Server(
+          new EndpointInfo(
               field(3, "server"),
               (int) wholeOr(1, "pack"),
               field(2, "region_part"),
@@ -261,12 +267,12 @@
     if (kind.equals("error")) {
       to.discoveryFailed(now);
     } else {
-      to.servers(now, list, !kind.equals("diff"));
+      to.endpointsChanged(now, list, !kind.equals("diff"));
     }
   }
 
   /** The settings of an UP line; a key that is not known here is skipped. */
-  private Gateway.Settings settings() {
+  private PolicySettings settings() {
     Map<String, String> keys = new HashMap<>();
     for (int i = 2; i < part.length; i++) {
       int eq = part[i].indexOf('=');
@@ -294,8 +300,8 @@
     return values;
   }
 
-  private Gateway.Outcome outcome(int i) {
-    Gateway.Outcome outcome = OUTCOMES.get(field(i, "outcome"));
+  private CallOutcome outcome(int i) {
+    CallOutcome outcome = OUTCOMES.get(field(i, "outcome"));
     if (outcome == null) {
       throw bad("outcome", "unknown outcome " + shown(part[i]));
     }
--- a/src/main/java/edgenode/simulation/Rehearsal.java
+++ b/src/main/java/edgenode/simulation/Rehearsal.java
@@ -2,7 +2,7 @@
 
 import edgenode.emulator.CampusClients;
 import edgenode.node.Node;
-import edgenode.policy.Decide;
+import edgenode.policy.PolicyEngine;
 import edgenode.simulation.invariants.Breach;
 import edgenode.simulation.invariants.Court;
 import edgenode.simulation.invariants.Event;
@@ -38,7 +38,7 @@
   private static final int LOGGED = 500;
 
   static Rehearsal play(Scenario scenario, long seed) throws IOException, InterruptedException {
-    return play(scenario, seed, Decide::new);
+    return play(scenario, seed, PolicyEngine::new);
   }
 
   /**
--- a/src/main/java/edgenode/simulation/RehearseCommand.java
+++ b/src/main/java/edgenode/simulation/RehearseCommand.java
@@ -1,7 +1,7 @@
 package edgenode.simulation;
 
 import edgenode.emulator.CampusClients;
-import edgenode.policy.Decide;
+import edgenode.policy.PolicyEngine;
 import edgenode.simulation.invariants.Breach;
 import edgenode.simulation.invariants.Event;
 import edgenode.simulation.invariants.Quotas;
@@ -201,7 +201,7 @@
       try (Progress progress =
           new Progress(System.err, day.name() + ", seed " + seed, day.lengthMs(), System::nanoTime)
               .start()) {
-        played = Rehearsal.play(day, seed, Decide::new, progress);
+        played = Rehearsal.play(day, seed, PolicyEngine::new, progress);
       }
       summary(played);
       if (report != null) {
--- a/src/main/java/edgenode/simulation/Simulation.java
+++ b/src/main/java/edgenode/simulation/Simulation.java
@@ -121,7 +121,10 @@
         return;
       }
       double most =
-          told.settings().classes().stream().mapToDouble(c -> c.deadline()).max().orElse(0);
+          told.settings().requestClasses().stream()
+              .mapToDouble(c -> c.deadlineMs())
+              .max()
+              .orElse(0);
       front.down(number, loop.now() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
       leaving
           .leave()
--- a/src/main/java/edgenode/simulation/World.java
+++ b/src/main/java/edgenode/simulation/World.java
@@ -13,8 +13,9 @@
 import edgenode.eventloop.LoopThread;
 import edgenode.eventloop.Transport;
 import edgenode.node.Node;
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.PolicyEngine;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.QuotaPlan;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
@@ -77,7 +78,7 @@
            {"name":"tope","per_second":10,"depth":20,"price":1,"hard_rate":12,"ceiling_burst":24,"cap_slack":4}]}}""";
 
   /** The settings that these nodes are told. */
-  static Gateway.Settings settings(int nodes) {
+  static PolicySettings settings(int nodes) {
     try {
       return Config.of(
               Json.read(
@@ -90,7 +91,7 @@
     }
   }
 
-  static Gateway.Plan plan(String name) {
+  static QuotaPlan plan(String name) {
     return settings(1).plans().stream()
         .filter(p -> p.name().equals(name))
         .findFirst()
@@ -141,7 +142,7 @@
                   CONFIG.formatted(
                       "try", "127.0.0.1:" + port, discovery.address(), at, seed, 0, 1)),
               Map.of());
-      node = new Node(config, Decide::new, null, nodeLoop);
+      node = new Node(config, PolicyEngine::new, null, nodeLoop);
       node.start();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/edgenode/simulation/fleet/Assumed.java
+++ b/src/main/java/edgenode/simulation/fleet/Assumed.java
@@ -1,6 +1,13 @@
 package edgenode.simulation.fleet;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.Capabilities;
+import edgenode.policy.Idempotency;
+import edgenode.policy.IdempotencyGroup;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.Prices;
+import edgenode.policy.QuotaPlan;
+import edgenode.policy.RequestClass;
+import edgenode.policy.RuleLimits;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -90,20 +97,19 @@
     return PLANS;
   }
 
-  static Gateway.Settings settings(int me, int nodes, String zone) {
-    List<Gateway.Plan> plans = new ArrayList<>();
+  static PolicySettings settings(int me, int nodes, String zone) {
+    List<QuotaPlan> plans = new ArrayList<>();
     for (int i = 0; i < PLANS; i++) {
       plans.add(
-          new Gateway.Plan(
-              "p" + i, planRate(i), Math.max(4, 2 * planRate(i)), 0, 1, 0, 1, 0, 0, 0));
+          new QuotaPlan("p" + i, planRate(i), Math.max(4, 2 * planRate(i)), 0, 1, 0, 1, 0, 0, 0));
     }
-    List<Gateway.RequestClass> classes =
+    List<RequestClass> classes =
         List.of(
-            new Gateway.RequestClass(
-                "read", Gateway.Effect.SAFE, Gateway.Group.CELL, 300, 900, 1, 0, 0, false),
-            new Gateway.RequestClass(
-                "enrol", Gateway.Effect.KEYED, Gateway.Group.CELL, 600, 1500, 2, 0, 7500, false));
-    return new Gateway.Settings(
+            new RequestClass(
+                "read", Idempotency.IDEMPOTENT, IdempotencyGroup.CELL, 300, 900, 1, 0, 0, false),
+            new RequestClass(
+                "enrol", Idempotency.KEYED, IdempotencyGroup.CELL, 600, 1500, 2, 0, 7500, false));
+    return new PolicySettings(
         me,
         nodes,
         zone,
@@ -114,10 +120,10 @@
         List.of(),
         classes,
         plans,
-        new Gateway.Allowed(
+        new Capabilities(
             false, true, false, true, false, true, 5, 2000, COUNTER_TIMEOUT, KEEP_ALIVE),
-        new Gateway.Rules(16, 250, COLD_SHARE, WARM_MS, 3, 2000),
-        new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
+        new RuleLimits(16, 250, COLD_SHARE, WARM_MS, 3, 2000),
+        new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
   static List<String> lines() {
--- a/src/main/java/edgenode/simulation/fleet/CounterModel.java
+++ b/src/main/java/edgenode/simulation/fleet/CounterModel.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.fleet;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -35,14 +35,13 @@
     double sent = agenda.now();
     double came = sent + Assumed.WAY;
     if (away || cut) {
-      agenda.after(
-          Assumed.COUNTER_TIMEOUT, () -> node.counted(name, Gateway.Outcome.OVERDUE, sent, 0));
-      agenda.after(Assumed.COUNTER_DEAD, () -> node.counted(name, Gateway.Outcome.RESET, sent, 0));
+      agenda.after(Assumed.COUNTER_TIMEOUT, () -> node.counted(name, CallOutcome.OVERDUE, sent, 0));
+      agenda.after(Assumed.COUNTER_DEAD, () -> node.counted(name, CallOutcome.RESET, sent, 0));
       return;
     }
     if (freeAt - came > Assumed.COUNTER_LINE) {
       tally.counterTurnedAway++;
-      agenda.at(came + Assumed.WAY, () -> node.counted(name, Gateway.Outcome.FULL, sent, 0));
+      agenda.at(came + Assumed.WAY, () -> node.counted(name, CallOutcome.FULL, sent, 0));
       return;
     }
     freeAt = Math.max(freeAt, came) + each;
@@ -51,15 +50,14 @@
     if (heard - sent > Assumed.COUNTER_TIMEOUT) {
       tally.counterLate++;
       agenda.at(
-          sent + Assumed.COUNTER_TIMEOUT,
-          () -> node.counted(name, Gateway.Outcome.OVERDUE, sent, 0));
+          sent + Assumed.COUNTER_TIMEOUT, () -> node.counted(name, CallOutcome.OVERDUE, sent, 0));
     }
     agenda.at(
         turn,
         () -> {
           double total = totals.merge(name, amount, Double::sum);
           tally.counterBytes += forms.total(total);
-          agenda.at(heard, () -> node.counted(name, Gateway.Outcome.OK, sent, total));
+          agenda.at(heard, () -> node.counted(name, CallOutcome.OK, sent, total));
         });
   }
 }
--- a/src/main/java/edgenode/simulation/fleet/Fleet.java
+++ b/src/main/java/edgenode/simulation/fleet/Fleet.java
@@ -1,7 +1,7 @@
 package edgenode.simulation.fleet;
 
 import edgenode.node.Node;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -186,7 +186,7 @@
     boolean keyed = draw.nextInt(5) == 0;
     HollowNode node = nodes[place];
     if (!node.dead() && node.ready()) { // else its clients have gone elsewhere
-      node.arrived(node.settings().classes().get(keyed ? 1 : 0), tenant);
+      node.arrived(node.settings().requestClasses().get(keyed ? 1 : 0), tenant);
     }
   }
 
@@ -218,7 +218,7 @@
       agenda.at(
           Math.min(a.request.deadline, now + (refused ? ROUND_TRIP : Assumed.CONNECT)),
           () -> {
-            node.ended(a, Gateway.Outcome.NO_CONNECTION);
+            node.ended(a, CallOutcome.NO_CONNECTION);
             node.unreachable(s, refused);
           });
       return;
@@ -231,7 +231,7 @@
     double done = s.offer(now + Assumed.WAY, needs, Assumed.WORK, speed);
     if (Double.isNaN(done)) {
       tally.full++;
-      agenda.after(ROUND_TRIP, () -> node.ended(a, Gateway.Outcome.FULL));
+      agenda.after(ROUND_TRIP, () -> node.ended(a, CallOutcome.FULL));
       return;
     }
     agenda.at(
@@ -239,12 +239,12 @@
         () -> {
           if (s.life != a.life && !s.silent) {
             tally.resets++;
-            node.ended(a, Gateway.Outcome.RESET);
+            node.ended(a, CallOutcome.RESET);
           } else if (s.life != a.life || done + Assumed.WAY > a.request.deadline) {
             tally.timeouts++;
-            agenda.at(a.request.deadline, () -> node.ended(a, Gateway.Outcome.TIMEOUT));
+            agenda.at(a.request.deadline, () -> node.ended(a, CallOutcome.TIMEOUT));
           } else {
-            node.ended(a, Gateway.Outcome.OK);
+            node.ended(a, CallOutcome.OK);
           }
         });
   }
--- a/src/main/java/edgenode/simulation/fleet/HollowNode.java
+++ b/src/main/java/edgenode/simulation/fleet/HollowNode.java
@@ -4,7 +4,14 @@
 import edgenode.membership.Limits;
 import edgenode.membership.Membership;
 import edgenode.node.Node;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEvents;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.RequestClass;
 import io.netty.util.collection.LongObjectHashMap;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -16,7 +23,7 @@
  * membership core as {@code Node} and {@code Members} host them, on virtual time. It counts and
  * decides nothing.
  */
-final class HollowNode implements Gateway.Actions {
+final class HollowNode implements PolicyActions {
   private static final double[] NO_LOAD = new double[0];
 
   /** Between tries of a server that is dead or held (ms), as {@code Members} has it. */
@@ -65,8 +72,8 @@
   private final Agenda agenda;
   private final Tally tally;
   private final DiscoveryModel discovery;
-  private final Gateway.Settings settings;
-  private Gateway.Events module;
+  private final PolicySettings settings;
+  private PolicyEvents module;
   private Membership members;
   private final LongObjectHashMap<Open> open = new LongObjectHashMap<>();
 
@@ -89,7 +96,7 @@
       Fleet fleet,
       int place,
       DiscoveryModel discovery,
-      Gateway.Settings settings,
+      PolicySettings settings,
       Node.Maker maker,
       long seed) {
     this.fleet = fleet;
@@ -103,7 +110,7 @@
     lastUsed = new float[discovery.size()];
     seen = new int[discovery.size()];
     java.util.Arrays.fill(lastUsed, Float.NEGATIVE_INFINITY);
-    members = new Membership(Limits.defaults(settings.rules().warmAfter()), SPACE);
+    members = new Membership(Limits.defaults(settings.rules().warmUpMs()), SPACE);
     long from = Tally.cpu();
     module = maker.start(settings, seed, agenda.now(), this);
     tally.cpuNs += Tally.cpu() - from;
@@ -127,7 +134,7 @@
     dead = true;
     discovery.unwatch(this);
     for (Open o : open.values()) { // what should have been answered long ago did not die with it
-      boolean late = agenda.now() > o.deadline + settings.rules().answerGrace();
+      boolean late = agenda.now() > o.deadline + settings.rules().answerGraceMs();
       tally.unanswered += !o.over && late ? 1 : 0;
       tally.lost += o.over || late ? 0 : 1;
     }
@@ -156,7 +163,7 @@
     return used;
   }
 
-  Gateway.Settings settings() {
+  PolicySettings settings() {
     return settings;
   }
 
@@ -192,30 +199,30 @@
     tally.cpuNs += SAMPLED * (Tally.cpu() - from);
   }
 
-  private void tellServers(List<Gateway.Server> list, boolean whole) {
+  private void tellServers(List<EndpointInfo> list, boolean whole) {
     double now = agenda.now();
     long from = Tally.cpu();
-    module.servers(now, list, whole);
+    module.endpointsChanged(now, list, whole);
     tally.cpuNs += Tally.cpu() - from;
   }
 
   // ---- from clients ----
 
-  void arrived(Gateway.RequestClass type, Fleet.Tenant tenant) {
+  void arrived(RequestClass type, Fleet.Tenant tenant) {
     long id = fleet.nextId();
     tally.arrived++;
     double now = agenda.now();
-    open.put(id, new Open(id, tenant, now + type.deadline()));
+    open.put(id, new Open(id, tenant, now + type.deadlineMs()));
     tell(
         () ->
-            module.arrived(
+            module.requestArrived(
                 now,
-                new Gateway.Request(
+                new IncomingRequest(
                     id,
                     type.name(),
                     tenant.plan(),
                     tenant.name(),
-                    type.deadline(),
+                    type.deadlineMs(),
                     1,
                     tenant.spread(),
                     0,
@@ -225,22 +232,22 @@
   // ---- from app servers ----
 
   /** An attempt has ended, if its node still lives and nothing has ended it before. */
-  void ended(Attempt a, Gateway.Outcome outcome) {
+  void ended(Attempt a, CallOutcome outcome) {
     if (dead || a.ended) {
       return;
     }
     a.ended = true;
     Open o = a.request;
     o.out--;
-    if (outcome == Gateway.Outcome.OK && !o.over) {
+    if (outcome == CallOutcome.OK && !o.over) {
       o.over = true;
       tally.served++;
     }
     double now = agenda.now();
     fleet.passed(place, 2, o.id, outcome.ordinal());
-    tell(() -> module.ended(now, o.id, a.number, outcome, now - a.sent, o.over, 0, NO_LOAD));
+    tell(() -> module.attemptEnded(now, o.id, a.number, outcome, now - a.sent, o.over, 0, NO_LOAD));
     settle(o);
-    if (outcome == Gateway.Outcome.OK) {
+    if (outcome == CallOutcome.OK) {
       Membership.Changes changes = members.answered(now, "s" + a.server.index);
       if (changes != Membership.Changes.NONE) { // as with nearly every answer
         apply(changes);
@@ -262,10 +269,10 @@
 
   // ---- from the counter ----
 
-  void counted(long name, Gateway.Outcome outcome, double sent, double total) {
+  void counted(long name, CallOutcome outcome, double sent, double total) {
     if (!dead) {
       double now = agenda.now();
-      tell(() -> module.counted(now, name, outcome, now - sent, total));
+      tell(() -> module.counterCallEnded(now, name, outcome, now - sent, total));
     }
   }
 
@@ -318,11 +325,11 @@
 
   private void apply(Membership.Changes changes) {
     if (!changes.entries().isEmpty()) {
-      List<Gateway.Server> list = new ArrayList<>(changes.entries().size());
+      List<EndpointInfo> list = new ArrayList<>(changes.entries().size());
       for (Entry e : changes.entries()) {
         list.add(e.server());
         int index = index(e.server().id());
-        shownUp.set(index - discovery.from(), e.server().state() == Gateway.State.UP);
+        shownUp.set(index - discovery.from(), e.server().state() == EndpointState.UP);
         inForce(index);
       }
       tellServers(list, changes.whole());
@@ -422,8 +429,8 @@
     }
     o.attempts.add(a);
     o.out++;
-    if (now >= o.deadline || a.number >= settings.allowed().attempts()) {
-      agenda.after(0, () -> ended(a, Gateway.Outcome.NOT_SENT));
+    if (now >= o.deadline || a.number >= settings.capabilities().maxAttempts()) {
+      agenda.after(0, () -> ended(a, CallOutcome.NOT_SENT));
       return;
     }
     fleet.serve(this, a);
@@ -434,12 +441,12 @@
     Open o = open.get(id);
     if (o != null && attempt >= 0 && attempt < o.attempts.size()) {
       Attempt a = o.attempts.get(attempt);
-      agenda.after(0, () -> ended(a, Gateway.Outcome.CANCELLED));
+      agenda.after(0, () -> ended(a, CallOutcome.CANCELLED));
     }
   }
 
   @Override
-  public void refuse(long id, double retryAfter) {
+  public void reject(long id, double retryAfter) {
     tally.refused += answered(id, 3) ? 1 : 0;
   }
 
@@ -463,19 +470,19 @@
   }
 
   @Override
-  public void timer(double delay, long token) {
+  public void setTimer(double delay, long token) {
     double due = agenda.now() + delay;
     agenda.at(
         due,
         () -> {
           if (!dead) {
-            tell(() -> module.timer(Math.max(agenda.now(), due), token));
+            tell(() -> module.timerFired(Math.max(agenda.now(), due), token));
           }
         });
   }
 
   @Override
-  public void probe(String server) {
+  public void checkHealth(String server) {
     double now = agenda.now();
     agenda.after(
         2 * Assumed.WAY,
@@ -483,14 +490,14 @@
           if (!dead) {
             tell(
                 () ->
-                    module.probed(
-                        agenda.now(), server, Gateway.Outcome.OK, agenda.now() - now, NO_LOAD));
+                    module.healthCheckEnded(
+                        agenda.now(), server, CallOutcome.OK, agenda.now() - now, NO_LOAD));
           }
         });
   }
 
   @Override
-  public void count(long name, double amount, double keepFor) {
+  public void addToCounter(long name, double amount, double keepFor) {
     fleet.passed(place, 5, name, Double.doubleToLongBits(amount));
     fleet.counter().add(this, name, amount, keepFor, cut);
   }
--- a/src/main/java/edgenode/simulation/fleet/ScaleCommand.java
+++ b/src/main/java/edgenode/simulation/fleet/ScaleCommand.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.fleet;
 
-import edgenode.policy.Decide;
+import edgenode.policy.PolicyEngine;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -175,7 +175,7 @@
     boolean broken = false;
     for (Shape shape : shapes) {
       long from = System.nanoTime();
-      Tally tally = new Fleet(shape, Decide::new).run(ScaleCommand::progress, true);
+      Tally tally = new Fleet(shape, PolicyEngine::new).run(ScaleCommand::progress, true);
       System.err.println();
       Verdicts.Run run = new Verdicts.Run(shape, tally, (System.nanoTime() - from) / 1e6);
       runs.add(run);
--- a/src/main/java/edgenode/simulation/fleet/ScaleReport.java
+++ b/src/main/java/edgenode/simulation/fleet/ScaleReport.java
@@ -29,7 +29,7 @@
   private static final double IN_FORCE = 4000;
 
   /**
-   * The longest list that the node's own sources take (bytes): {@code AgentSource}, {@code
+   * The longest list that the node's own sources take (bytes): {@code AgentSource}, {@code *
    * HttpSource}.
    */
   private static final double LONGEST = 8 << 20;
--- a/src/main/java/edgenode/simulation/invariants/Ceilings.java
+++ b/src/main/java/edgenode/simulation/invariants/Ceilings.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.invariants;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.QuotaPlan;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -38,13 +38,14 @@
         && asked.containsKey(came.id())
         && sent.add(came.id())) {
       Event.Asked a = asked.get(came.id());
-      Gateway.Plan plan = terms.plan(a.plan());
-      if (plan.ceilingRate() > 0) {
+      QuotaPlan plan = terms.plan(a.plan());
+      if (plan.ceilingRatePerSecond() > 0) {
         Bucket store =
             stores.computeIfAbsent(
-                a.customer(), c -> new Bucket(plan.ceilingRate(), plan.ceilingBurst(), came.at()));
+                a.customer(),
+                c -> new Bucket(plan.ceilingRatePerSecond(), plan.ceilingBurstUnits(), came.at()));
         store.take(came.at(), a.units());
-        if (store.units(came.at()) < -plan.ceilingSlack() - 1e-9 && broken.add(a.customer())) {
+        if (store.units(came.at()) < -plan.ceilingSlackUnits() - 1e-9 && broken.add(a.customer())) {
           breaches.add(
               new Breach(
                   rule(),
@@ -56,7 +57,7 @@
                           + " units more than its ceiling holds, %.2f are granted",
                       a.customer(),
                       -store.units(came.at()),
-                      plan.ceilingSlack())));
+                      plan.ceilingSlackUnits())));
         }
       }
     }
--- a/src/main/java/edgenode/simulation/invariants/ColdServers.java
+++ b/src/main/java/edgenode/simulation/invariants/ColdServers.java
@@ -102,7 +102,7 @@
   }
 
   private void came(Cold server, Event.Came came) {
-    double span = terms.rules().overloadFor();
+    double span = terms.rules().overloadWindowMs();
     double age = came.at() - server.born.at();
     if (age > server.born.size().warmMs()) {
       cold.remove(came.server());
--- a/src/main/java/edgenode/simulation/invariants/EffectsOnce.java
+++ b/src/main/java/edgenode/simulation/invariants/EffectsOnce.java
@@ -1,6 +1,8 @@
 package edgenode.simulation.invariants;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.Idempotency;
+import edgenode.policy.IdempotencyGroup;
+import edgenode.policy.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -27,7 +29,7 @@
   }
 
   private final Terms terms;
-  private final Map<String, Gateway.RequestClass> types = new HashMap<>();
+  private final Map<String, RequestClass> types = new HashMap<>();
   private final Map<String, Integer> racks = new HashMap<>();
   private final Map<String, List<Attempt>> attempts = new HashMap<>();
   private final List<Breach> breaches = new ArrayList<>();
@@ -55,13 +57,15 @@
           .reduce((a, b) -> b)
           .ifPresent(a -> a.neverRan = true);
     } else if (event instanceof Event.Heard heard && heard.answer() == Event.Answer.BUSY) {
-      Gateway.RequestClass type = types.get(heard.id());
+      RequestClass type = types.get(heard.id());
       attempts.getOrDefault(heard.id(), List.of()).stream()
           .filter(a -> !a.neverRan)
           .findFirst()
           .ifPresent(
               a -> {
-                if (type != null && type.effect() != Gateway.Effect.SAFE && !anywhere(type)) {
+                if (type != null
+                    && type.idempotency() != Idempotency.IDEMPOTENT
+                    && !anywhere(type)) {
                   breaches.add(
                       new Breach(
                           rule(),
@@ -73,12 +77,12 @@
     }
   }
 
-  private static boolean anywhere(Gateway.RequestClass type) {
-    return type.effect() == Gateway.Effect.KEYED && type.group() == Gateway.Group.ALL;
+  private static boolean anywhere(RequestClass type) {
+    return type.idempotency() == Idempotency.KEYED && type.group() == IdempotencyGroup.ALL;
   }
 
   private void came(Event.Came came) {
-    Gateway.RequestClass type = types.get(came.id());
+    RequestClass type = types.get(came.id());
     if (type == null) {
       breaches.add(
           new Breach(rule(), came.at(), came.id(), came.server() + " got what no client asked"));
@@ -92,10 +96,10 @@
         .ifPresent(
             first -> {
               boolean dropped =
-                  type.effect() == Gateway.Effect.KEYED
+                  type.idempotency() == Idempotency.KEYED
                       && (anywhere(type) || first.rack == rack)
-                      && came.at() - first.at <= type.window() + Terms.SOCKETS;
-              if (type.effect() != Gateway.Effect.SAFE && !dropped) {
+                      && came.at() - first.at <= type.idempotencyWindowMs() + Terms.SOCKETS;
+              if (type.idempotency() != Idempotency.IDEMPOTENT && !dropped) {
                 breaches.add(
                     new Breach(
                         rule(),
--- a/src/main/java/edgenode/simulation/invariants/Quotas.java
+++ b/src/main/java/edgenode/simulation/invariants/Quotas.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.invariants;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.QuotaPlan;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -25,7 +25,7 @@
 
   private static final class Account {
     private final String customer;
-    private final Gateway.Plan plan;
+    private final QuotaPlan plan;
     private final Bucket store;
     private final ArrayDeque<double[]> beyond = new ArrayDeque<>();
     private final List<double[]> sends = new ArrayList<>();
@@ -39,10 +39,10 @@
 
     private Event.Came mostAt;
 
-    Account(String customer, Gateway.Plan plan, double now) {
+    Account(String customer, QuotaPlan plan, double now) {
       this.customer = customer;
       this.plan = plan;
-      store = new Bucket(plan.rate(), plan.burst(), now);
+      store = new Bucket(plan.ratePerSecond(), plan.burstUnits(), now);
     }
   }
 
@@ -100,8 +100,8 @@
   }
 
   private Account account(Event.Asked a) {
-    Gateway.Plan plan = terms.plan(a.plan());
-    return plan.rate() > 0
+    QuotaPlan plan = terms.plan(a.plan());
+    return plan.ratePerSecond() > 0
         ? accounts.computeIfAbsent(a.customer(), c -> new Account(c, plan, began))
         : null;
   }
@@ -138,8 +138,8 @@
   /**
    * What a store holds at a time (ms), after these sends; those that it did not hold took nothing.
    */
-  public static double store(Gateway.Plan plan, double[][] sends, double at) {
-    Bucket store = new Bucket(plan.rate(), plan.burst(), 0);
+  public static double store(QuotaPlan plan, double[][] sends, double at) {
+    Bucket store = new Bucket(plan.ratePerSecond(), plan.burstUnits(), 0);
     for (double[] send : sends) {
       if (send[0] > at) {
         break;
@@ -152,13 +152,13 @@
   }
 
   /** What a quota gives in a minute, or in a day that is shorter. */
-  private static double gives(Gateway.Plan plan, double length) {
-    return plan.burst() + plan.rate() * Math.min(MINUTE, length) / 1000;
+  private static double gives(QuotaPlan plan, double length) {
+    return plan.burstUnits() + plan.ratePerSecond() * Math.min(MINUTE, length) / 1000;
   }
 
   /** When (ms) units were sent on beyond a quota, given all sends. */
-  public static double[] beyond(Gateway.Plan plan, double[][] sends) {
-    Bucket store = new Bucket(plan.rate(), plan.burst(), 0);
+  public static double[] beyond(QuotaPlan plan, double[][] sends) {
+    Bucket store = new Bucket(plan.ratePerSecond(), plan.burstUnits(), 0);
     return Arrays.stream(sends)
         .filter(
             send -> {
--- a/src/main/java/edgenode/simulation/invariants/Terms.java
+++ b/src/main/java/edgenode/simulation/invariants/Terms.java
@@ -1,6 +1,9 @@
 package edgenode.simulation.invariants;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.QuotaPlan;
+import edgenode.policy.RequestClass;
+import edgenode.policy.RuleLimits;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -12,43 +15,43 @@
   /** What sockets and real time are granted on each time limit (ms). */
   public static final double SOCKETS = 50;
 
-  private final Map<String, Gateway.RequestClass> classes = new LinkedHashMap<>();
-  private final Map<String, Gateway.Plan> plans = new LinkedHashMap<>();
-  private final Gateway.Settings settings;
+  private final Map<String, RequestClass> classes = new LinkedHashMap<>();
+  private final Map<String, QuotaPlan> plans = new LinkedHashMap<>();
+  private final PolicySettings settings;
 
-  public Terms(Gateway.Settings settings) {
+  public Terms(PolicySettings settings) {
     this.settings = settings;
-    settings.classes().forEach(c -> classes.put(c.name(), c));
+    settings.requestClasses().forEach(c -> classes.put(c.name(), c));
     settings.plans().forEach(p -> plans.put(p.name(), p));
   }
 
-  Gateway.RequestClass type(String name) {
+  RequestClass type(String name) {
     return classes.get(name);
   }
 
-  Gateway.Plan plan(String name) {
+  QuotaPlan plan(String name) {
     return plans.get(name);
   }
 
-  Gateway.Rules rules() {
+  RuleLimits rules() {
     return settings.rules();
   }
 
   /** After the client's wait (ms). */
   double answerGrace() {
-    return settings.rules().answerGrace() + SOCKETS;
+    return settings.rules().answerGraceMs() + SOCKETS;
   }
 
   double drainGrace() {
-    return settings.rules().drainGrace() + SOCKETS;
+    return settings.rules().drainGraceMs() + SOCKETS;
   }
 
   /** Nodes that a customer's requests may come through. */
   int nodes() {
-    return settings.nodes();
+    return settings.nodeCount();
   }
 
   int mostUnits() {
-    return settings.mostUnits();
+    return settings.maxRequestUnits();
   }
 }
--- a/src/test/java/edgenode/ArchitectureTest.java
+++ b/src/test/java/edgenode/ArchitectureTest.java
@@ -33,6 +33,12 @@
                   || c.getName().matches("edgenode\\.net\\.downstream\\.Places(\\$.*)?")
                   || c.getPackageName().equals("edgenode.policy"));
 
+  /** What goes into the policy and what comes out of it. */
+  private static final String POLICY_MODEL =
+      "edgenode\\.policy\\.(CallOutcome|Capabilities|EndpointInfo|EndpointState|Idempotency"
+          + "|IdempotencyGroup|IncomingRequest|PolicyActions|PolicyEvents|PolicySettings|Prices"
+          + "|QuotaPlan|RequestClass|RuleLimits)(\\$.*)?";
+
   /**
    * What decides in the store: it knows a disk by an interface, and time and chance as arguments.
    */
@@ -86,13 +92,11 @@
   static final ArchRule THE_POLICY_MODEL_DEPENDS_ON_NOTHING_OF_OURS =
       noClasses()
           .that()
-          .haveNameMatching("edgenode\\.policy\\.Gateway(\\$.*)?")
+          .haveNameMatching(POLICY_MODEL)
           .should()
           .dependOnClassesThat(
               JavaClass.Predicates.resideInAPackage("edgenode..")
-                  .and(
-                      DescribedPredicate.not(
-                          nameMatching("(\\[L)?edgenode\\.policy\\.Gateway(\\$.*)?;?"))));
+                  .and(DescribedPredicate.not(nameMatching("(\\[L)?" + POLICY_MODEL + ";?"))));
 
   @ArchTest
   static final ArchRule THE_SUBSET_KNOWS_NOBODY =
--- a/src/test/java/edgenode/benchmark/ChangeCost.java
+++ b/src/test/java/edgenode/benchmark/ChangeCost.java
@@ -3,7 +3,8 @@
 import edgenode.membership.Entry;
 import edgenode.membership.Limits;
 import edgenode.membership.Membership;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -19,9 +20,9 @@
 
   private ChangeCost() {}
 
-  private static Entry entry(int i, Gateway.State state) {
+  private static Entry entry(int i, EndpointState state) {
     return new Entry(
-        new Gateway.Server("s" + i, 0, "z", state, "m", 0, 1), "127.0.0.1:" + (1000 + i));
+        new EndpointInfo("s" + i, 0, "z", state, "m", 0, 1), "127.0.0.1:" + (1000 + i));
   }
 
   public static void main(String[] args) {
@@ -29,7 +30,7 @@
       Membership core = new Membership(Limits.defaults(18_000), "a");
       List<Entry> all = new ArrayList<>();
       for (int i = 0; i < n; i++) {
-        all.add(entry(i, Gateway.State.UP));
+        all.add(entry(i, EndpointState.UP));
       }
       double now = 1e6;
       long seq = 1;
@@ -49,14 +50,14 @@
                       ++seq,
                       false,
                       List.of(
-                          entry(k % n, k / n % 2 == 0 ? Gateway.State.DRAINING : Gateway.State.UP)))
+                          entry(k % n, k / n % 2 == 0 ? EndpointState.DRAINING : EndpointState.UP)))
                   .entries()
                   .size();
         }
         long t1 = System.nanoTime();
         for (int k = 0; k < turns; k++) {
           now += 200;
-          all.set(k % n, entry(k % n, k % 2 == 0 ? Gateway.State.DRAINING : Gateway.State.UP));
+          all.set(k % n, entry(k % n, k % 2 == 0 ? EndpointState.DRAINING : EndpointState.UP));
           told += core.told(now, "a", ++seq, true, all).entries().size();
         }
         long t2 = System.nanoTime();
--- a/src/test/java/edgenode/benchmark/SlopesTest.java
+++ b/src/test/java/edgenode/benchmark/SlopesTest.java
@@ -160,7 +160,7 @@
     Config config =
         Config.again(Wires.configuration(50).getBytes(StandardCharsets.UTF_8), Map.of());
     assertEquals(50, config.settings().plans().size());
-    assertEquals(5500, config.settings().nodes());
+    assertEquals(5500, config.settings().nodeCount());
   }
 
   /**
--- a/src/test/java/edgenode/benchmark/SubsetCost.java
+++ b/src/test/java/edgenode/benchmark/SubsetCost.java
@@ -1,7 +1,19 @@
 package edgenode.benchmark;
 
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.Capabilities;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.Idempotency;
+import edgenode.policy.IdempotencyGroup;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEngine;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.Prices;
+import edgenode.policy.QuotaPlan;
+import edgenode.policy.RequestClass;
+import edgenode.policy.RuleLimits;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,7 +32,7 @@
 
   private SubsetCost() {}
 
-  private static final class Host implements Gateway.Actions {
+  private static final class Host implements PolicyActions {
     @Override
     public void send(long id, String server, double until) {
       sends++;
@@ -30,26 +42,26 @@
     public void cancel(long id, int attempt) {}
 
     @Override
-    public void refuse(long id, double retryAfter) {}
+    public void reject(long id, double retryAfter) {}
 
     @Override
     public void fail(long id) {}
 
     @Override
-    public void timer(double delay, long token) {}
+    public void setTimer(double delay, long token) {}
 
     @Override
-    public void probe(String server) {}
+    public void checkHealth(String server) {}
 
     @Override
-    public void count(long name, double amount, double keepFor) {}
+    public void addToCounter(long name, double amount, double keepFor) {}
 
     @Override
     public void subscribe() {}
   }
 
-  private static Gateway.Server server(int i, Gateway.State state) {
-    return new Gateway.Server(
+  private static EndpointInfo server(int i, EndpointState state) {
+    return new EndpointInfo(
         "s-" + Integer.toHexString(i), i / 40, i / 40 % 3 == 0 ? "a" : "b", state, "m", 0, 1);
   }
 
@@ -80,8 +92,8 @@
   }
 
   private static void measure(int nodes, int n) {
-    Gateway.Settings settings =
-        new Gateway.Settings(
+    PolicySettings settings =
+        new PolicySettings(
             3,
             nodes,
             "a",
@@ -91,30 +103,38 @@
             1,
             List.of(),
             List.of(
-                new Gateway.RequestClass(
-                    "read", Gateway.Effect.SAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false),
-                new Gateway.RequestClass(
+                new RequestClass(
+                    "read",
+                    Idempotency.IDEMPOTENT,
+                    IdempotencyGroup.CELL,
+                    600,
+                    2000,
+                    1,
+                    0,
+                    0,
+                    false),
+                new RequestClass(
                     "cell",
-                    Gateway.Effect.KEYED,
-                    Gateway.Group.CELL,
+                    Idempotency.KEYED,
+                    IdempotencyGroup.CELL,
                     600,
                     2000,
                     1,
                     0,
                     5000,
                     false)),
-            List.of(new Gateway.Plan("big", 1e6, 1e6, 0, 1, 0, 1, 0, 0, 0)),
-            new Gateway.Allowed(true, true, true, true, false, false, 5, 2000, 50, 15_000),
-            new Gateway.Rules(16, 250, 0.2, 15_000, 2, 2000),
-            new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
-    List<Gateway.Server> all = new ArrayList<>();
+            List.of(new QuotaPlan("big", 1e6, 1e6, 0, 1, 0, 1, 0, 0, 0)),
+            new Capabilities(true, true, true, true, false, false, 5, 2000, 50, 15_000),
+            new RuleLimits(16, 250, 0.2, 15_000, 2, 2000),
+            new Prices(0.05, 0.01, 0.02, 0, 0.03));
+    List<EndpointInfo> all = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      all.add(server(i, Gateway.State.UP));
+      all.add(server(i, EndpointState.UP));
     }
     long before = heap();
-    Decide module = new Decide(settings, 1, 0, new Host());
+    PolicyEngine module = new PolicyEngine(settings, 1, 0, new Host());
     double whole = cpu();
-    module.servers(0, all, true);
+    module.endpointsChanged(0, all, true);
     whole = cpu() - whole;
     double bytes = (heap() - before) / (double) n;
     double now = 1;
@@ -127,21 +147,22 @@
       double t0 = cpu();
       for (int i = 0; i < turns; i++, id++) {
         now += 0.01; // no edge in between
-        module.arrived(now, new Gateway.Request(id, "read", "big", "c", 2000, 1, 1, 0, false));
+        module.requestArrived(
+            now, new IncomingRequest(id, "read", "big", "c", 2000, 1, 1, 0, false));
         if (id >= 16) {
-          module.ended(now, id - 16, 0, Gateway.Outcome.OK, 20, true, 0, new double[0]);
+          module.attemptEnded(now, id - 16, 0, CallOutcome.OK, 20, true, 0, new double[0]);
         }
       }
       double t1 = cpu();
       for (int i = 0; i < turns; i++) {
         int of = (i / 2 * 7919 + r) % n;
-        module.servers(
-            now, List.of(server(of, i % 2 == 0 ? Gateway.State.GONE : Gateway.State.UP)), false);
+        module.endpointsChanged(
+            now, List.of(server(of, i % 2 == 0 ? EndpointState.REMOVED : EndpointState.UP)), false);
       }
       double t2 = cpu();
       for (int i = 0; i < 8; i++) {
         now += 250;
-        module.timer(now, 0);
+        module.timerFired(now, 0);
       }
       double t3 = cpu();
       request.add((t1 - t0) / turns);
@@ -158,7 +179,7 @@
         whole / 1000,
         bytes,
         sends);
-    if (module.avoided(now) < 0) {
+    if (module.ejectedCount(now) < 0) {
       throw new IllegalStateException("held to here, for the bytes");
     }
   }
--- a/src/test/java/edgenode/membership/MembershipProperties.java
+++ b/src/test/java/edgenode/membership/MembershipProperties.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -46,7 +46,7 @@
       at(seq())
           .forEach(
               (id, e) -> {
-                if (e.server().state() == Gateway.State.UP) {
+                if (e.server().state() == EndpointState.UP) {
                   all.add(id);
                 }
               });
@@ -59,8 +59,8 @@
         String id = "s" + random.nextInt(8);
         switch (random.nextInt(4)) {
           case 0 -> next.remove(id);
-          case 1 -> next.put(id, MembershipTest.entry(id, id + ":1", Gateway.State.DRAINING, 0));
-          default -> next.put(id, MembershipTest.entry(id, id + ":1", Gateway.State.UP, 0));
+          case 1 -> next.put(id, MembershipTest.entry(id, id + ":1", EndpointState.DRAINING, 0));
+          default -> next.put(id, MembershipTest.entry(id, id + ":1", EndpointState.UP, 0));
         }
       }
       versions.add(next);
@@ -73,7 +73,7 @@
       Map<String, Entry> b = at(to);
       for (String id : new TreeSet<>(a.keySet())) {
         if (!b.containsKey(id)) {
-          changed.add(MembershipTest.entry(id, null, Gateway.State.GONE, 0));
+          changed.add(MembershipTest.entry(id, null, EndpointState.REMOVED, 0));
         }
       }
       b.forEach(
@@ -103,7 +103,7 @@
       first &= c.entries().isEmpty();
       askAnew |= c.askAnew();
       for (Entry e : c.entries()) {
-        if (e.server().state() == Gateway.State.GONE) {
+        if (e.server().state() == EndpointState.REMOVED) {
           view.remove(e.id());
         } else {
           view.put(e.id(), e);
@@ -123,7 +123,7 @@
 
     boolean up(String id) {
       Entry e = view.get(id);
-      return e != null && e.server().state() == Gateway.State.UP;
+      return e != null && e.server().state() == EndpointState.UP;
     }
 
     TreeSet<String> ups() {
@@ -241,7 +241,7 @@
     told.forEach(e -> last.put(e.id(), e));
     for (Entry e : last.values()) {
       assertTrue(
-          e.server().state() == Gateway.State.UP || !w.up(e.id()), e.id() + " was told down");
+          e.server().state() == EndpointState.UP || !w.up(e.id()), e.id() + " was told down");
     }
   }
 
--- a/src/test/java/edgenode/membership/MembershipTest.java
+++ b/src/test/java/edgenode/membership/MembershipTest.java
@@ -4,7 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -24,27 +25,27 @@
   private boolean askAnew;
   private double now = 1_000_000;
 
-  static Entry entry(String id, String dial, Gateway.State state, double born) {
-    return new Entry(new Gateway.Server(id, 1, "z", state, "m", born, 1), dial);
+  static Entry entry(String id, String dial, EndpointState state, double born) {
+    return new Entry(new EndpointInfo(id, 1, "z", state, "m", born, 1), dial);
   }
 
   private static Entry up(String id) {
-    return entry(id, id + ":1", Gateway.State.UP, 0);
+    return entry(id, id + ":1", EndpointState.UP, 0);
   }
 
   private static Entry down(String id) {
-    return entry(id, id + ":1", Gateway.State.DRAINING, 0);
+    return entry(id, id + ":1", EndpointState.DRAINING, 0);
   }
 
   private static Entry gone(String id) {
-    return entry(id, null, Gateway.State.GONE, 0);
+    return entry(id, null, EndpointState.REMOVED, 0);
   }
 
   private void take(Membership.Changes changes) {
     notes.addAll(changes.notes());
     askAnew |= changes.askAnew();
     for (Entry e : changes.entries()) {
-      if (e.server().state() == Gateway.State.GONE) {
+      if (e.server().state() == EndpointState.REMOVED) {
         assertTrue(view.remove(e.id()) != null, "gone, and never told: " + e);
       } else {
         assertFalse(e.equals(view.put(e.id(), e)), "told again: " + e);
@@ -69,7 +70,7 @@
   /** Servers shown up. */
   private String ups() {
     return view.values().stream()
-        .filter(e -> e.server().state() == Gateway.State.UP)
+        .filter(e -> e.server().state() == EndpointState.UP)
         .map(Entry::id)
         .collect(Collectors.joining(" "));
   }
@@ -302,7 +303,7 @@
     core.move(now, B);
     told(B, 7, true, up("s0"), up("s1"), up("s2"));
     assertEquals("s2", ups());
-    told(B, 8, false, entry("s0", "s0:1", Gateway.State.UP, now + 5)); // started since
+    told(B, 8, false, entry("s0", "s0:1", EndpointState.UP, now + 5)); // started since
     pass(1000);
     assertEquals("s0 s2", ups());
   }
@@ -352,9 +353,9 @@
     double back = now;
     pass(101);
     assertEquals("s0 s1", ups());
-    assertEquals(back, view.get("s0").server().startedAt());
-    told(A, 41, false, entry("s0", "s0:1", Gateway.State.UP, back - 30));
-    assertEquals(back, view.get("s0").server().startedAt());
+    assertEquals(back, view.get("s0").server().startedAtMs());
+    told(A, 41, false, entry("s0", "s0:1", EndpointState.UP, back - 30));
+    assertEquals(back, view.get("s0").server().startedAtMs());
     assertTrue(core.toTry().isEmpty());
   }
 
@@ -374,18 +375,18 @@
   @Test
   void anAddressStaysCold() {
     start("s0");
-    told(A, 41, false, entry("s5", "x:1", Gateway.State.UP, now - 100));
+    told(A, 41, false, entry("s5", "x:1", EndpointState.UP, now - 100));
     double born = now - 100;
     told(A, 42, false, gone("s5"));
-    told(A, 43, false, entry("s6", "x:1", Gateway.State.UP, 0));
-    assertEquals(born, view.get("s6").server().startedAt());
+    told(A, 43, false, entry("s6", "x:1", EndpointState.UP, 0));
+    assertEquals(born, view.get("s6").server().startedAtMs());
     pass(LIMITS.flapWindow() + 10);
     told(A, 44, false, gone("s6"));
-    told(A, 45, false, entry("s5", "x:1", Gateway.State.UP, 0));
-    assertEquals(born, view.get("s5").server().startedAt());
+    told(A, 45, false, entry("s5", "x:1", EndpointState.UP, 0));
+    assertEquals(born, view.get("s5").server().startedAtMs());
     pass(LIMITS.warm());
-    told(A, 46, false, entry("s7", "x:1", Gateway.State.UP, 0));
-    assertEquals(0, view.get("s7").server().startedAt());
+    told(A, 46, false, entry("s7", "x:1", EndpointState.UP, 0));
+    assertEquals(0, view.get("s7").server().startedAtMs());
   }
 
   /** What is due in this moment must not be lost where the same list is known by its bytes. */
@@ -408,7 +409,7 @@
   @Test
   void theSameServerAtAnotherAddressIsTold() {
     start("s0");
-    told(A, 41, false, entry("s0", "y:1", Gateway.State.UP, 0));
+    told(A, 41, false, entry("s0", "y:1", EndpointState.UP, 0));
     assertEquals("y:1", view.get("s0").dial());
     assertEquals("s0", ups());
   }
--- a/src/test/java/edgenode/net/discovery/SourcesTest.java
+++ b/src/test/java/edgenode/net/discovery/SourcesTest.java
@@ -14,7 +14,7 @@
 import edgenode.eventloop.Transport;
 import edgenode.membership.Entry;
 import edgenode.membership.Limits;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointState;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
 import io.netty.util.concurrent.Future;
@@ -100,7 +100,7 @@
     @Override
     public void listed(List<Entry> entries, boolean whole) {
       for (Entry e : entries) {
-        if (e.server().state() == Gateway.State.GONE) {
+        if (e.server().state() == EndpointState.REMOVED) {
           view.remove(e.server().id());
         } else {
           view.put(e.server().id(), e);
@@ -141,7 +141,7 @@
 
   private String ups() {
     StringBuilder all = new StringBuilder();
-    view.forEach((id, e) -> all.append(e.server().state() == Gateway.State.UP ? id + " " : ""));
+    view.forEach((id, e) -> all.append(e.server().state() == EndpointState.UP ? id + " " : ""));
     return all.toString().trim();
   }
 
@@ -171,8 +171,8 @@
       ups("a b e");
       assertEquals(10, view.get("a").server().weight());
       assertEquals(2, view.get("b").server().weight());
-      assertEquals(Gateway.State.DRAINING, view.get("c").server().state());
-      assertEquals(Gateway.State.DRAINING, view.get("d").server().state());
+      assertEquals(EndpointState.DRAINING, view.get("c").server().state());
+      assertEquals(EndpointState.DRAINING, view.get("d").server().state());
       assertEquals("127.0.0.9:1005", view.get("e").dial());
       assertEquals("dc1", view.get("a").server().zone());
       await("the next question", () -> consul.questions() > 1);
@@ -407,13 +407,13 @@
       await("all but one", () -> view.size() == 9999);
       assertTrue(log.stream().anyMatch(l -> l.contains("s77 has no address")), log.toString());
       agent.set(new Agent.Host("s5", "127.0.0.1:1005", "leaving", 0));
-      await("the drain", () -> view.get("s5").server().state() == Gateway.State.DRAINING);
+      await("the drain", () -> view.get("s5").server().state() == EndpointState.DRAINING);
       agent.stallNow(Agent.Kind.WATCH);
       agent.set(new Agent.Host("s6", "127.0.0.1:1006", "leaving", 0));
       long told = System.nanoTime();
       await(
           "the drain of a long list, its watch stalled",
-          () -> view.get("s6").server().state() == Gateway.State.DRAINING);
+          () -> view.get("s6").server().state() == EndpointState.DRAINING);
       System.out.printf(
           "list of 10,000, watch stalled: %.0f ms%n", (System.nanoTime() - told) / 1e6);
     }
@@ -505,7 +505,7 @@
                   && view.values().stream()
                       .allMatch(
                           e ->
-                              (e.server().state() == Gateway.State.UP)
+                              (e.server().state() == EndpointState.UP)
                                   == truth.get(e.server().id()).equals("active")));
     }
   }
@@ -565,7 +565,7 @@
       ups("b");
       agent.set(new Agent.Host("a", "127.0.0.1:1001", "active", 5000));
       ups("a b");
-      assertEquals(5000, view.get("a").server().startedAt());
+      assertEquals(5000, view.get("a").server().startedAtMs());
     }
   }
 }
--- a/src/test/java/edgenode/node/HealthTest.java
+++ b/src/test/java/edgenode/node/HealthTest.java
@@ -5,7 +5,7 @@
 
 import edgenode.emulator.Agent;
 import edgenode.membership.Membership;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointState;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,7 @@
 @Timeout(60)
 class HealthTest {
   private static boolean up(Rig rig, String id) {
-    return rig.view.get(id) == Gateway.State.UP;
+    return rig.view.get(id) == EndpointState.UP;
   }
 
   private static Membership.Figures figures(Rig rig) {
--- a/src/test/java/edgenode/node/NodeFixture.java
+++ b/src/test/java/edgenode/node/NodeFixture.java
@@ -9,7 +9,11 @@
 import edgenode.eventloop.Clock;
 import edgenode.eventloop.LoopThread;
 import edgenode.eventloop.Transport;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEvents;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -33,8 +37,8 @@
   static final String CUSTOMER = "00000000b4d65521";
 
   /** Notes what it is told and acts by the class of a request: most go to server s0. */
-  final class Script implements Gateway.Events {
-    Gateway.Actions act;
+  final class Script implements PolicyEvents {
+    PolicyActions act;
 
     /** Requests that are sent once more when their first attempt has ended. */
     private final Set<Long> again = new HashSet<>();
@@ -43,7 +47,7 @@
     private final Set<Long> later = new HashSet<>();
 
     @Override
-    public void servers(double now, List<Gateway.Server> list, boolean whole) {
+    public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {
       StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
       list.forEach(s -> text.append(' ').append(s.id()).append(' ').append(s.state()));
       told.add(text.toString());
@@ -55,34 +59,34 @@
     }
 
     @Override
-    public void arrived(double now, Gateway.Request r) {
-      patience = r.patience();
+    public void requestArrived(double now, IncomingRequest r) {
+      patience = r.remainingMs();
       told.add(
           "arrived "
               + r.id()
               + " "
-              + r.type()
+              + r.className()
               + " "
-              + r.plan()
+              + r.planName()
               + " "
-              + r.customer()
+              + r.customerName()
               + " "
               + r.units()
               + " "
-              + r.spread()
+              + r.nodeSpread()
               + " "
-              + r.first()
+              + r.firstNode()
               + " "
-              + r.again());
-      switch (r.type()) {
-        case "refuse" -> act.refuse(r.id(), 1500);
+              + r.isClientRetry());
+      switch (r.className()) {
+        case "refuse" -> act.reject(r.id(), 1500);
         case "fail" -> act.fail(r.id());
         case "throw" -> throw new IllegalStateException("on purpose");
         case "hold" -> {}
         case "stall" -> await(stall);
         case "later" -> {
           later.add(r.id());
-          act.timer(100, r.id());
+          act.setTimer(100, r.id());
         }
         case "again" -> {
           again.add(r.id());
@@ -93,27 +97,27 @@
           act.fail(r.id());
         }
         case "count" -> {
-          act.count(77, -2.5, 4000);
-          act.count(77, 1, 4000);
+          act.addToCounter(77, -2.5, 4000);
+          act.addToCounter(77, 1, 4000);
         }
-        case "probe" -> act.probe("s0");
+        case "probe" -> act.checkHealth("s0");
         case "cancel" -> {
           act.send(r.id(), "s0", 0);
-          act.timer(300, r.id());
+          act.setTimer(300, r.id());
         }
         default -> act.send(r.id(), "s0", 0);
       }
     }
 
     @Override
-    public void firstAnswer(double now, long id, int attempt) {}
+    public void responseStarted(double now, long id, int attempt) {}
 
     @Override
-    public void ended(
+    public void attemptEnded(
         double now,
         long id,
         int attempt,
-        Gateway.Outcome outcome,
+        CallOutcome outcome,
         double took,
         boolean over,
         int trueUnits,
@@ -127,12 +131,12 @@
     }
 
     @Override
-    public void gone(double now, long id) {
+    public void clientDisconnected(double now, long id) {
       told.add("gone " + id);
     }
 
     @Override
-    public void timer(double now, long token) {
+    public void timerFired(double now, long token) {
       if (failTimers-- > 0) {
         throw new IllegalStateException("timer on purpose");
       }
@@ -145,13 +149,14 @@
     }
 
     @Override
-    public void probed(
-        double now, String server, Gateway.Outcome outcome, double took, double[] load) {
+    public void healthCheckEnded(
+        double now, String server, CallOutcome outcome, double took, double[] load) {
       told.add("probed " + server + " " + outcome + " " + java.util.Arrays.toString(load));
     }
 
     @Override
-    public void counted(double now, long name, Gateway.Outcome outcome, double took, double total) {
+    public void counterCallEnded(
+        double now, long name, CallOutcome outcome, double took, double total) {
       told.add("counted " + name + " " + outcome + " " + total);
     }
   }
@@ -297,8 +302,8 @@
             config,
             (settings, seed, now, actions) -> {
               script.act = actions;
-              assertEquals(4, settings.nodes());
-              assertEquals(List.of("utilization", "outstanding"), settings.loadFields());
+              assertEquals(4, settings.nodeCount());
+              assertEquals(List.of("utilization", "outstanding"), settings.loadReportFields());
               return script;
             },
             own == null ? null : settings(own),
--- a/src/test/java/edgenode/node/QuietEvents.java
+++ b/src/test/java/edgenode/node/QuietEvents.java
@@ -1,40 +1,43 @@
 package edgenode.node;
 
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.PolicyEvents;
 import java.util.List;
 
 /** A module for tests that does nothing of itself: each test says what it is about. */
-public abstract class QuietEvents implements Gateway.Events {
+public abstract class QuietEvents implements PolicyEvents {
   @Override
-  public void servers(double now, List<Gateway.Server> list, boolean whole) {}
+  public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {}
 
   @Override
   public void discoveryFailed(double now) {}
 
   @Override
-  public void firstAnswer(double now, long id, int attempt) {}
+  public void responseStarted(double now, long id, int attempt) {}
 
   @Override
-  public void ended(
+  public void attemptEnded(
       double now,
       long id,
       int attempt,
-      Gateway.Outcome outcome,
+      CallOutcome outcome,
       double took,
       boolean over,
       int trueUnits,
       double[] load) {}
 
   @Override
-  public void gone(double now, long id) {}
+  public void clientDisconnected(double now, long id) {}
 
   @Override
-  public void timer(double now, long token) {}
+  public void timerFired(double now, long token) {}
 
   @Override
-  public void probed(
-      double now, String server, Gateway.Outcome outcome, double took, double[] load) {}
+  public void healthCheckEnded(
+      double now, String server, CallOutcome outcome, double took, double[] load) {}
 
   @Override
-  public void counted(double now, long name, Gateway.Outcome outcome, double took, double total) {}
+  public void counterCallEnded(
+      double now, long name, CallOutcome outcome, double took, double total) {}
 }
--- a/src/test/java/edgenode/node/Rig.java
+++ b/src/test/java/edgenode/node/Rig.java
@@ -4,7 +4,11 @@
 import edgenode.config.Json;
 import edgenode.emulator.Agent;
 import edgenode.emulator.AppServer;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Arrays;
@@ -27,7 +31,7 @@
   final AtomicLong last;
   final AtomicLong sends;
   final AppServer app;
-  final Map<String, Gateway.State> view = new ConcurrentHashMap<>();
+  final Map<String, EndpointState> view = new ConcurrentHashMap<>();
   final Map<String, Double> born = new ConcurrentHashMap<>();
   private final boolean shares;
   volatile String target = "none";
@@ -124,7 +128,7 @@
   void serves(String id) throws InterruptedException {
     target = id;
     long before = sends.get();
-    await("a request at " + id, () -> view.get(id) == Gateway.State.UP && sends.get() > before + 2);
+    await("a request at " + id, () -> view.get(id) == EndpointState.UP && sends.get() > before + 2);
   }
 
   /**
@@ -132,7 +136,7 @@
    * server.
    */
   double drained(String id, long told) throws InterruptedException {
-    await("the drain of " + id, () -> view.get(id) != Gateway.State.UP);
+    await("the drain of " + id, () -> view.get(id) != EndpointState.UP);
     Thread.sleep(15); // what was written before is read by then
     return Math.max(0, last.get() - told) / 1e6;
   }
@@ -149,35 +153,35 @@
   }
 
   private final class Pulse extends QuietEvents {
-    private final Gateway.Actions act;
+    private final PolicyActions act;
 
-    Pulse(Gateway.Actions act) {
+    Pulse(PolicyActions act) {
       this.act = act;
     }
 
     @Override
-    public void servers(double now, List<Gateway.Server> list, boolean whole) {
-      for (Gateway.Server s : list) {
-        born.put(s.id(), s.startedAt());
+    public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {
+      for (EndpointInfo s : list) {
+        born.put(s.id(), s.startedAtMs());
         view.put(s.id(), s.state());
       }
     }
 
     @Override
-    public void arrived(double now, Gateway.Request r) {
-      if (view.get(target) == Gateway.State.UP) {
+    public void requestArrived(double now, IncomingRequest r) {
+      if (view.get(target) == EndpointState.UP) {
         act.send(r.id(), target, 0);
       } else {
-        act.refuse(r.id(), 0);
+        act.reject(r.id(), 0);
       }
     }
 
     @Override
-    public void ended(
+    public void attemptEnded(
         double now,
         long id,
         int attempt,
-        Gateway.Outcome outcome,
+        CallOutcome outcome,
         double took,
         boolean over,
         int trueUnits,
--- a/src/test/java/edgenode/node/StallTest.java
+++ b/src/test/java/edgenode/node/StallTest.java
@@ -259,7 +259,7 @@
         rig.agent.set(rig.host("b" + i, "active"));
       }
       Thread.sleep(3000);
-      assertTrue(rig.view.get("a3") == edgenode.policy.Gateway.State.UP, "nothing was told yet");
+      assertTrue(rig.view.get("a3") == edgenode.policy.EndpointState.UP, "nothing was told yet");
       long told = System.nanoTime();
       rig.agent.silent(false);
       double ms = rig.drained("a3", told);
--- a/src/test/java/edgenode/node/UpgradeTest.java
+++ b/src/test/java/edgenode/node/UpgradeTest.java
@@ -6,7 +6,8 @@
 
 import edgenode.config.Config;
 import edgenode.config.Json;
-import edgenode.policy.Gateway;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -144,18 +145,18 @@
   }
 
   private static final class Refusing extends QuietEvents {
-    private final Gateway.Actions act;
+    private final PolicyActions act;
     private final AtomicInteger taken;
 
-    Refusing(Gateway.Actions act, AtomicInteger taken) {
+    Refusing(PolicyActions act, AtomicInteger taken) {
       this.act = act;
       this.taken = taken;
     }
 
     @Override
-    public void arrived(double now, Gateway.Request r) {
+    public void requestArrived(double now, IncomingRequest r) {
       taken.incrementAndGet();
-      act.refuse(r.id(), 0);
+      act.reject(r.id(), 0);
     }
   }
 }
--- a/src/test/java/edgenode/node/WarmupTest.java
+++ b/src/test/java/edgenode/node/WarmupTest.java
@@ -5,7 +5,9 @@
 
 import edgenode.config.Config;
 import edgenode.config.Json;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyEvents;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
@@ -32,17 +34,17 @@
     Warmup.run(
         config.settings(),
         (settings, seed, now, act) ->
-            (Gateway.Events)
+            (PolicyEvents)
                 java.lang.reflect.Proxy.newProxyInstance(
                     getClass().getClassLoader(),
-                    new Class<?>[] {Gateway.Events.class},
+                    new Class<?>[] {PolicyEvents.class},
                     (self, method, args) -> {
                       if (method.getName().equals("arrived")) {
-                        Gateway.Request r = (Gateway.Request) args[1];
-                        seen.add(r.type() + " " + r.plan());
+                        IncomingRequest r = (IncomingRequest) args[1];
+                        seen.add(r.className() + " " + r.planName());
                         act.send(r.id(), "w0", 0);
                       } else if (method.getName().equals("ended")) {
-                        assertEquals(Gateway.Outcome.OK, args[3]);
+                        assertEquals(CallOutcome.OK, args[3]);
                         ended[0]++;
                       }
                       return null;
--- a/src/test/java/edgenode/policy/Bench.java
+++ b/src/test/java/edgenode/policy/Bench.java
@@ -9,7 +9,7 @@
  * A host for tests: one instance, a fake clock, every action recorded as a line; timers fire on
  * demand.
  */
-final class Bench implements Gateway.Actions {
+final class Bench implements PolicyActions {
   final List<String> log = new ArrayList<>();
   final List<double[]> timers = new ArrayList<>();
   final List<long[]> calls = new ArrayList<>();
@@ -26,25 +26,33 @@
   private double otherUnits;
   private double othersAt;
   double now;
-  Decide module;
-  List<Gateway.RequestClass> classes =
+  PolicyEngine module;
+  List<RequestClass> classes =
       List.of(
-          new Gateway.RequestClass(
-              "read", Gateway.Effect.SAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false),
-          new Gateway.RequestClass(
-              "all", Gateway.Effect.KEYED, Gateway.Group.ALL, 600, 2000, 1, 0, 400, false),
-          new Gateway.RequestClass(
-              "zone", Gateway.Effect.KEYED, Gateway.Group.ZONE, 600, 2000, 1, 0, 5000, false),
-          new Gateway.RequestClass(
-              "cell", Gateway.Effect.KEYED, Gateway.Group.CELL, 600, 2000, 1, 0, 5000, false),
-          new Gateway.RequestClass(
-              "once", Gateway.Effect.UNSAFE, Gateway.Group.CELL, 600, 2000, 1, 0, 0, false));
-  List<Gateway.Plan> plans =
+          new RequestClass(
+              "read", Idempotency.IDEMPOTENT, IdempotencyGroup.CELL, 600, 2000, 1, 0, 0, false),
+          new RequestClass(
+              "all", Idempotency.KEYED, IdempotencyGroup.ALL, 600, 2000, 1, 0, 400, false),
+          new RequestClass(
+              "zone", Idempotency.KEYED, IdempotencyGroup.ZONE, 600, 2000, 1, 0, 5000, false),
+          new RequestClass(
+              "cell", Idempotency.KEYED, IdempotencyGroup.CELL, 600, 2000, 1, 0, 5000, false),
+          new RequestClass(
+              "once",
+              Idempotency.NOT_IDEMPOTENT,
+              IdempotencyGroup.CELL,
+              600,
+              2000,
+              1,
+              0,
+              0,
+              false));
+  List<QuotaPlan> plans =
       List.of(
-          new Gateway.Plan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
-          new Gateway.Plan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
-          new Gateway.Plan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
-          new Gateway.Plan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
+          new QuotaPlan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
+          new QuotaPlan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
+          new QuotaPlan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
+          new QuotaPlan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
   boolean copies = true;
   boolean counter = true;
   boolean settled;
@@ -65,13 +73,13 @@
   Bench start() {
     module =
         bound == 0
-            ? new Decide(settings(), seed, now, this)
-            : new Decide(settings(), seed, now, this, bound);
+            ? new PolicyEngine(settings(), seed, now, this)
+            : new PolicyEngine(settings(), seed, now, this, bound);
     return this;
   }
 
-  Gateway.Settings settings() {
-    return new Gateway.Settings(
+  PolicySettings settings() {
+    return new PolicySettings(
         me,
         nodes,
         "a",
@@ -82,23 +90,23 @@
         List.of(),
         classes,
         plans,
-        new Gateway.Allowed(true, true, copies, true, false, counter, 5, 2000, 50, keepAlive),
-        new Gateway.Rules(16, 250, 0.2, 15000, 2, 2000),
-        new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03));
+        new Capabilities(true, true, copies, true, false, counter, 5, 2000, 50, keepAlive),
+        new RuleLimits(16, 250, 0.2, 15000, 2, 2000),
+        new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
   /** Servers s0..s(n-1), two a cell, cells in turn over zones a and b. */
   Bench servers(int n) {
-    List<Gateway.Server> list = new ArrayList<>();
+    List<EndpointInfo> list = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      list.add(server(i, Gateway.State.UP, 0));
+      list.add(server(i, EndpointState.UP, 0));
     }
-    module.servers(now, list, true);
+    module.endpointsChanged(now, list, true);
     return this;
   }
 
-  static Gateway.Server server(int i, Gateway.State state, double startedAt) {
-    return new Gateway.Server("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1);
+  static EndpointInfo server(int i, EndpointState state, double startedAt) {
+    return new EndpointInfo("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1);
   }
 
   /** Other gateways add to every name, at this rate since the last time. */
@@ -109,9 +117,9 @@
   }
 
   /** Answers the calls made so far, with the totals that stood when they were made. */
-  void answerCounter(Gateway.Outcome outcome) {
+  void answerCounter(CallOutcome outcome) {
     for (int n = calls.size(); n > 0; n--) {
-      module.counted(now, calls.remove(0)[0], outcome, 2, totals.remove(0));
+      module.counterCallEnded(now, calls.remove(0)[0], outcome, 2, totals.remove(0));
     }
   }
 
@@ -120,12 +128,12 @@
   }
 
   void arrive(long id, String type, String plan, String customer, int units, int spread) {
-    module.arrived(
-        now, new Gateway.Request(id, type, plan, customer, 2000, units, spread, 0, false));
+    module.requestArrived(
+        now, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
   }
 
-  void end(long id, int attempt, Gateway.Outcome outcome) {
-    module.ended(now, id, attempt, outcome, 20, outcome == Gateway.Outcome.OK, 0, new double[0]);
+  void end(long id, int attempt, CallOutcome outcome) {
+    module.attemptEnded(now, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
   }
 
   /** Advances the clock, firing the timers that fall due. */
@@ -142,7 +150,7 @@
       }
       timers.remove(next);
       now = Math.max(now, next[0]);
-      module.timer(now, (long) next[1]);
+      module.timerFired(now, (long) next[1]);
     }
     now = time;
   }
@@ -173,7 +181,7 @@
   }
 
   @Override
-  public void refuse(long id, double retryAfter) {
+  public void reject(long id, double retryAfter) {
     log.add("refuse " + id);
   }
 
@@ -183,19 +191,19 @@
   }
 
   @Override
-  public void timer(double delay, long token) {
+  public void setTimer(double delay, long token) {
     this.delay = delay;
     // a nanosecond late, as no timer is early: rounding down left the clock standing for ever
     timers.add(new double[] {now + delay + 1e-6, token});
   }
 
   @Override
-  public void probe(String server) {
+  public void checkHealth(String server) {
     log.add("probe " + server);
   }
 
   @Override
-  public void count(long name, double amount, double keepFor) {
+  public void addToCounter(long name, double amount, double keepFor) {
     log.add("count " + amount);
     calls.add(new long[] {name});
     totals.add(sums.merge(name, amount, Double::sum));
--- a/src/test/java/edgenode/policy/ColdFleetTest.java
+++ b/src/test/java/edgenode/policy/ColdFleetTest.java
@@ -33,8 +33,7 @@
   private static final double WARM = 15_000;
 
   /** Quotas are no matter here: far more than is asked. */
-  private static final Gateway.Plan PLAN =
-      new Gateway.Plan("big", 100_000, 100_000, 0, 1, 0, 1, 0, 0, 0);
+  private static final QuotaPlan PLAN = new QuotaPlan("big", 100_000, 100_000, 0, 1, 0, 1, 0, 0, 0);
 
   private record Due(double at, long serial, Runnable what) {}
 
@@ -88,12 +87,12 @@
     private final PriorityQueue<Due> queue =
         new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::serial));
     private final Server[] servers;
-    private final Decide[] nodes;
+    private final PolicyEngine[] nodes;
     private final Map<Long, Double> totals = new HashMap<>();
     private final Random random;
     private final Traffic traffic;
     private final double perNode;
-    private final Gateway.Rules rules;
+    private final RuleLimits rules;
     private final double warmSpeed;
     private final int restarts;
     private final double patience;
@@ -109,22 +108,22 @@
       random = new Random(seed);
       // as the settings and Bench have them: 0.2 of a warm one at first, warm after 15 s, a fall
       // within 2 s
-      rules = new Gateway.Rules(16, 250, 0.2, WARM, of.factor, 2000);
+      rules = new RuleLimits(16, 250, 0.2, WARM, of.factor, 2000);
       this.traffic = traffic;
       restarts = Math.max(1, (int) (of.part * servers));
       warmSpeed = 2 * perNode * size / servers / 1000; // half used by the mean load: requests a ms
       this.servers = new Server[servers];
       Arrays.setAll(this.servers, i -> new Server());
       double aim = 40 / warmSpeed; // waiting behind a cold one is no matter here either
-      Gateway.RequestClass read =
-          new Gateway.RequestClass(
-              "read", Gateway.Effect.SAFE, Gateway.Group.CELL, aim, 4 * aim, 1, 0, 0, false);
+      RequestClass read =
+          new RequestClass(
+              "read", Idempotency.IDEMPOTENT, IdempotencyGroup.CELL, aim, 4 * aim, 1, 0, 0, false);
       patience = 4 * aim;
-      nodes = new Decide[size];
+      nodes = new PolicyEngine[size];
       for (int i = 0; i < size; i++) {
         nodes[i] =
-            new Decide(
-                new Gateway.Settings(
+            new PolicyEngine(
+                new PolicySettings(
                     i,
                     size,
                     "a",
@@ -135,10 +134,10 @@
                     List.of(),
                     List.of(read),
                     List.of(PLAN),
-                    new Gateway.Allowed(
+                    new Capabilities(
                         false, false, false, true, false, true, 3, 2000, 50, keepAlive),
                     rules,
-                    new Gateway.Prices(0.05, 0.01, 0.02, 0, 0.03)),
+                    new Prices(0.05, 0.01, 0.02, 0, 0.03)),
                 seed * 1000 + i,
                 0,
                 new Host(i));
@@ -150,7 +149,7 @@
     }
 
     /** The module's host at one node. */
-    private final class Host implements Gateway.Actions {
+    private final class Host implements PolicyActions {
       private final int me;
       private final Map<Long, Integer> attempts = new HashMap<>();
 
@@ -165,33 +164,33 @@
         at(
             came(servers[Integer.parseInt(name.substring(1))]),
             () ->
-                nodes[me].ended(
-                    now, id, number, Gateway.Outcome.OK, now - sent, true, 0, new double[0]));
+                nodes[me].attemptEnded(
+                    now, id, number, CallOutcome.OK, now - sent, true, 0, new double[0]));
       }
 
       @Override
       public void cancel(long id, int attempt) {}
 
       @Override
-      public void refuse(long id, double retryAfter) {}
+      public void reject(long id, double retryAfter) {}
 
       @Override
       public void fail(long id) {}
 
       @Override
-      public void timer(double delay, long token) {
+      public void setTimer(double delay, long token) {
         // late, as hosts are: on the very instant of an edge rounding may name that edge again, for
         // ever
-        at(now + delay + 0.1, () -> nodes[me].timer(now, token));
+        at(now + delay + 0.1, () -> nodes[me].timerFired(now, token));
       }
 
       @Override
-      public void probe(String server) {}
+      public void checkHealth(String server) {}
 
       @Override
-      public void count(long name, double amount, double keepFor) {
+      public void addToCounter(long name, double amount, double keepFor) {
         double total = totals.merge(name, amount, Double::sum);
-        at(now + 1, () -> nodes[me].counted(now, name, Gateway.Outcome.OK, 1, total));
+        at(now + 1, () -> nodes[me].counterCallEnded(now, name, CallOutcome.OK, 1, total));
       }
 
       @Override
@@ -200,21 +199,23 @@
 
     private double share(double age) {
       return Math.min(
-          1, rules.coldShare() + (1 - rules.coldShare()) * Math.max(0, age) / rules.warmAfter());
+          1,
+          rules.coldCapacityShare()
+              + (1 - rules.coldCapacityShare()) * Math.max(0, age) / rules.warmUpMs());
     }
 
     /** Counts a request against the term; tells when its answer is ready: one after the other. */
     private double came(Server s) {
       double age = now - s.startedAt;
-      if (age < rules.warmAfter()) {
+      if (age < rules.warmUpMs()) {
         s.got++;
         s.came.add(now);
-        while (s.came.peek() <= now - rules.overloadFor()) {
+        while (s.came.peek() <= now - rules.overloadWindowMs()) {
           s.came.poll();
         }
         // a whole span, so that a burst right after the start is held against all of it
-        double middle = Math.max(0, age - rules.overloadFor()) + rules.overloadFor() / 2;
-        double n = rules.overloadFactor() * warmSpeed * rules.overloadFor() * share(middle);
+        double middle = Math.max(0, age - rules.overloadWindowMs()) + rules.overloadWindowMs() / 2;
+        double n = rules.overloadFactor() * warmSpeed * rules.overloadWindowMs() * share(middle);
         double ratio = s.came.size() / (n + 2 * Math.sqrt(n) + 2);
         if (ratio > worst) {
           worst = ratio;
@@ -225,26 +226,26 @@
       return s.free;
     }
 
-    private void tell(int server, Gateway.State state) {
-      Gateway.Server told =
-          new Gateway.Server(
+    private void tell(int server, EndpointState state) {
+      EndpointInfo told =
+          new EndpointInfo(
               "s" + server, 0, "a", state, "k", Math.max(0, servers[server].startedAt), 1);
-      for (Decide node : nodes) {
-        node.servers(now, List.of(told), false);
+      for (PolicyEngine node : nodes) {
+        node.endpointsChanged(now, List.of(told), false);
       }
     }
 
     private void start(int server) {
       servers[server].startedAt = now;
-      tell(server, Gateway.State.UP);
+      tell(server, EndpointState.UP);
     }
 
     private void arrive(int node, long count) {
       double load = traffic.load(now);
       if (load > 0) {
-        nodes[node].arrived(
+        nodes[node].requestArrived(
             now,
-            new Gateway.Request(
+            new IncomingRequest(
                 count * nodes.length + node,
                 "read",
                 "big",
@@ -264,7 +265,7 @@
 
     Fleet play() {
       for (int i = 0; i < servers.length - 1; i++) {
-        tell(i, Gateway.State.UP);
+        tell(i, EndpointState.UP);
       }
       for (int i = 0; i < nodes.length; i++) {
         int node = i;
@@ -272,7 +273,7 @@
       }
       for (int i = 0; i < restarts; i++) {
         int server = i;
-        at(RESTART - 1000, () -> tell(server, Gateway.State.GONE));
+        at(RESTART - 1000, () -> tell(server, EndpointState.REMOVED));
         at(RESTART, () -> start(server));
       }
       at(JOIN, () -> start(servers.length - 1));
--- a/src/test/java/edgenode/policy/Days.java
+++ b/src/test/java/edgenode/policy/Days.java
@@ -11,24 +11,24 @@
 final class Days {
   private Days() {}
 
-  private static Gateway.Server server(Random random, int i, double now) {
+  private static EndpointInfo server(Random random, int i, double now) {
     double started = random.nextInt(3) == 0 ? Math.max(0, now - random.nextInt(20_000)) : 0;
     int of = random.nextInt(40) == 0 ? i + 2 : i; // now and then one moves to another cell and zone
-    Gateway.Server s =
-        Bench.server(of, Gateway.State.values()[Math.max(0, random.nextInt(6) - 3)], started);
-    return new Gateway.Server(
-        "s" + i, s.cell(), s.zone(), s.state(), s.kind(), s.startedAt(), s.weight());
+    EndpointInfo s =
+        Bench.server(of, EndpointState.values()[Math.max(0, random.nextInt(6) - 3)], started);
+    return new EndpointInfo(
+        "s" + i, s.cell(), s.zone(), s.state(), s.kind(), s.startedAtMs(), s.weight());
   }
 
   private static void list(Bench b, Random random, int servers) {
-    List<Gateway.Server> list = new ArrayList<>();
+    List<EndpointInfo> list = new ArrayList<>();
     boolean whole = random.nextInt(6) == 0;
     for (int n = whole ? random.nextInt(servers) + servers / 2 : 1 + random.nextInt(4);
         n > 0;
         n--) {
       list.add(server(random, random.nextInt(servers), b.now)); // names twice in a list too
     }
-    b.module.servers(b.now, list, whole);
+    b.module.endpointsChanged(b.now, list, whole);
   }
 
   /** Plays so many steps of a day; what the instance did stands in the log. */
@@ -36,7 +36,7 @@
     Random random = new Random(seed);
     String[] types = {"read", "all", "zone", "cell", "once"};
     String[] plans = {"rate", "open", "big", "big", "ceiling"};
-    Gateway.Outcome[] outcomes = Gateway.Outcome.values();
+    CallOutcome[] outcomes = CallOutcome.values();
     b.start().servers(servers);
     boolean calm = true;
     for (int i = 0; i < steps; i++) {
@@ -44,25 +44,25 @@
       calm = random.nextInt(100) == 0 ? !calm : calm;
       switch (random.nextInt(40)) {
         case 0 -> list(b, random, servers);
-        case 1 -> b.module.gone(b.now, Math.max(0, i - random.nextInt(20)));
-        case 2 -> b.answerCounter(Gateway.Outcome.TIMEOUT);
-        default -> b.answerCounter(Gateway.Outcome.OK);
+        case 1 -> b.module.clientDisconnected(b.now, Math.max(0, i - random.nextInt(20)));
+        case 2 -> b.answerCounter(CallOutcome.TIMEOUT);
+        default -> b.answerCounter(CallOutcome.OK);
       }
       int type = random.nextInt(types.length);
       b.arrive(i, types[type], plans[random.nextInt(plans.length)], "c" + random.nextInt(9));
       for (int k = 0; k < 6; k++) {
         long id = Math.max(0, i - random.nextInt(30));
-        Gateway.Outcome outcome =
+        CallOutcome outcome =
             calm || random.nextBoolean()
-                ? Gateway.Outcome.OK
+                ? CallOutcome.OK
                 : outcomes[random.nextInt(outcomes.length)];
-        b.module.ended(
+        b.module.attemptEnded(
             b.now,
             id,
             (int) Math.max(0, b.count("send " + id + " ") - 1),
             outcome,
             10 + random.nextInt(random.nextInt(8) == 0 ? 590 : 60),
-            outcome == Gateway.Outcome.OK,
+            outcome == CallOutcome.OK,
             0,
             new double[0]);
       }
--- a/src/test/java/edgenode/policy/FleetTest.java
+++ b/src/test/java/edgenode/policy/FleetTest.java
@@ -31,20 +31,20 @@
     for (int i = 0; i < 200; i++) {
       b.to(i * 50);
       b.arrive(i, "read", "big", "c");
-      b.answerCounter(Gateway.Outcome.OK);
-      b.module.ended(b.now, i, 0, Gateway.Outcome.OK, 590, true, 0, new double[0]);
+      b.answerCounter(CallOutcome.OK);
+      b.module.attemptEnded(b.now, i, 0, CallOutcome.OK, 590, true, 0, new double[0]);
     }
     b.arrive(1000, "read", "rate", "d");
     b.to(b.now + 10);
     assertEquals(0, b.count("refuse 1000"));
-    b.answerCounter(Gateway.Outcome.OK);
+    b.answerCounter(CallOutcome.OK);
     assertEquals(1, b.count("send 1000"));
   }
 
   @Test
   void waitingForTheCounterEndsBeforeTheClientsWait() {
     Bench b = one(new Bench());
-    b.module.arrived(0, new Gateway.Request(1, "read", "rate", "c", 20, 1, 2, 0, false));
+    b.module.requestArrived(0, new IncomingRequest(1, "read", "rate", "c", 20, 1, 2, 0, false));
     b.to(18);
     assertEquals(1, b.count("refuse 1"), "the counter has 50 ms, this client 20");
   }
@@ -56,16 +56,16 @@
   @Test
   void coldServersAreGivenTheirPartOfWhatWarmOnesBear() {
     Bench b = Bench.plain().start().servers(20);
-    List<Gateway.Server> cold = new ArrayList<>();
+    List<EndpointInfo> cold = new ArrayList<>();
     for (int i = 0; i < 18; i++) {
-      cold.add(Bench.server(i, Gateway.State.UP, 1));
+      cold.add(Bench.server(i, EndpointState.UP, 1));
     }
-    b.module.servers(b.now, cold, false);
+    b.module.endpointsChanged(b.now, cold, false);
     for (int i = 0; i < 150; i++) {
       b.to(i * 20);
       b.arrive(i, "read", "big", "c");
       if (i >= 10) {
-        b.end(i - 10, 0, Gateway.Outcome.OK);
+        b.end(i - 10, 0, CallOutcome.OK);
       }
     }
     long toCold =
@@ -86,8 +86,8 @@
     b.start().servers(2000);
     for (int i = 0; i < 12; i++) {
       b.arrive(i, "read", "rate", "c" + i, 1, 20);
-      b.answerCounter(Gateway.Outcome.OK);
-      b.end(i, 0, Gateway.Outcome.OK);
+      b.answerCounter(CallOutcome.OK);
+      b.end(i, 0, CallOutcome.OK);
     }
     long told = b.count("count");
     b.to(260); // a call more
@@ -114,7 +114,7 @@
     Bench b = one(new Bench());
     b.arrive(1, "read", "rate", "c");
     assertEquals(0, b.count("send 1"));
-    b.answerCounter(Gateway.Outcome.TIMEOUT);
+    b.answerCounter(CallOutcome.TIMEOUT);
     assertEquals(1, b.count("send 1"), "nothing speaks against it");
   }
 
@@ -139,14 +139,14 @@
         boolean late = room-- <= 0;
         calls += i < 1000 ? 0 : 1;
         unanswered += i < 1000 || !late ? 0 : 1;
-        b.module.counted(
+        b.module.counterCallEnded(
             b.now,
             b.calls.remove(0)[0],
-            late ? Gateway.Outcome.TIMEOUT : Gateway.Outcome.OK,
+            late ? CallOutcome.TIMEOUT : CallOutcome.OK,
             2,
             b.totals.remove(0));
       }
-      b.end(i, 0, Gateway.Outcome.OK);
+      b.end(i, 0, CallOutcome.OK);
     }
     assertTrue(calls >= 80, "half of what there is at least: " + calls);
     assertTrue(unanswered * 8 < calls, unanswered + " of " + calls + " unanswered");
@@ -164,11 +164,11 @@
       b.start().servers(2000);
       for (int i = 0; i < w[0]; i++) {
         b.arrive(i, "read", "rate", "c" + i);
-        b.answerCounter(Gateway.Outcome.OK);
+        b.answerCounter(CallOutcome.OK);
       }
       b.arrive(9, "read", "rate", "d", 1, w[1]);
-      b.module.counted(
-          b.now, b.calls.remove(0)[0], Gateway.Outcome.OK, 2, 12 + 1); // others took more than all
+      b.module.counterCallEnded(
+          b.now, b.calls.remove(0)[0], CallOutcome.OK, 2, 12 + 1); // others took more than all
       assertEquals(0, b.count("send 9"));
       assertEquals(
           w[2], b.count("count -1.0"), "after " + w[0] + " calls, of " + w[1] + " gateways");
@@ -188,8 +188,8 @@
     for (int i = 0; i < 100; i++) {
       b.to(i * 100);
       b.arrive(i, "read", "big", "c");
-      b.module.ended(
-          b.now, i, 0, Gateway.Outcome.OK, 75, true, 0, new double[0]); // as long as all take
+      b.module.attemptEnded(
+          b.now, i, 0, CallOutcome.OK, 75, true, 0, new double[0]); // as long as all take
       used.add(b.sentTo(i));
     }
     assertTrue(used.size() <= 3, "one request at a time: " + used);
@@ -214,7 +214,7 @@
       slow = slow == null ? b.sentTo(i) : slow;
       kept += b.sentTo(i).equals(slow) ? 1 : 0;
       double took = b.sentTo(i).equals(slow) ? 145 : 75;
-      b.module.ended(b.now, i, 0, Gateway.Outcome.OK, took, true, 0, new double[0]);
+      b.module.attemptEnded(b.now, i, 0, CallOutcome.OK, took, true, 0, new double[0]);
     }
     assertTrue(kept < 30, "one in four at most: " + kept);
   }
@@ -231,7 +231,7 @@
       if (i % 10 == 9) {
         b.to(b.now + 40);
         for (int k = i - 9; k <= i; k++) {
-          b.end(k, 0, Gateway.Outcome.OK);
+          b.end(k, 0, CallOutcome.OK);
         }
         assertEquals(i + 1, b.count("send"), "all of round " + i / 10);
       }
@@ -249,9 +249,9 @@
     for (int i = 0; i < 100; i++) {
       b.to(i * 250);
       b.arrive(i, "read", "rate", "c" + i);
-      b.answerCounter(Gateway.Outcome.TIMEOUT);
+      b.answerCounter(CallOutcome.TIMEOUT);
       if (i != 90) {
-        b.end(i, 0, Gateway.Outcome.OK);
+        b.end(i, 0, CallOutcome.OK);
       }
     }
     assertEquals(
@@ -274,11 +274,12 @@
     for (int i = 0; i < 160; i++) { // 20 a second, one at a time: five for each
       b.to(i * 50);
       if (i == 60) {
-        b.module.servers(b.now, List.of(Bench.server(0, Gateway.State.UP, b.now - 100)), false);
+        b.module.endpointsChanged(
+            b.now, List.of(Bench.server(0, EndpointState.UP, b.now - 100)), false);
       }
       b.arrive(i, "read", "big", "c");
       toCold += i >= 60 && "s0".equals(b.sentTo(i)) ? 1 : 0;
-      b.module.ended(b.now, i, 0, Gateway.Outcome.OK, 75, true, 0, new double[0]);
+      b.module.attemptEnded(b.now, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
     }
     assertTrue(
         toCold >= 3 && toCold <= 10, "a fifth to a half of five a second in 5 s is 8: " + toCold);
