--- a/src/test/java/edgenode/policy/QuotaTest.java
+++ b/src/test/java/edgenode/policy/QuotaTest.java
@@ -11,12 +11,12 @@
 
 /** The plan "rate": 8 units a second, burst 8, so D = 2 a subperiod. */
 class QuotaTest {
-  private static final Gateway.Outcome OK = Gateway.Outcome.OK;
+  private static final CallOutcome OK = CallOutcome.OK;
 
   /**
    * Sends a second in the last 4 s of 12 s of far too many requests; others add as told in between.
    */
-  private static double rate(Bench b, Gateway.Outcome outcome, double othersPerSecond) {
+  private static double rate(Bench b, CallOutcome outcome, double othersPerSecond) {
     b.start().servers(8);
     long before = 0;
     for (int i = 0; i < 600; i++) {
@@ -74,7 +74,7 @@
 
   @Test
   void aCounterThatNeverAnswersMeansNoMoreThanTheEvenPart() {
-    double rate = rate(new Bench(), Gateway.Outcome.NO_CONNECTION, 0);
+    double rate = rate(new Bench(), CallOutcome.NO_CONNECTION, 0);
     assertTrue(rate > 2 && rate < 5, "even part 4: " + rate);
   }
 
@@ -88,7 +88,7 @@
     for (int i = 0; i < 200; i++) {
       b.to(i * 250);
       b.arrive(2 * i, "read", "rate", "x" + i);
-      b.answerCounter(Gateway.Outcome.RESET);
+      b.answerCounter(CallOutcome.RESET);
       b.arrive(2 * i + 1, "read", "rate", "y" + i);
       b.answerCounter(OK);
     }
@@ -106,7 +106,7 @@
   @Test
   void aGiveBackThatWasTurnedAwayIsMadeUp() {
     double[] given = afterGiveBack(OK);
-    for (Gateway.Outcome outcome : List.of(Gateway.Outcome.FULL, Gateway.Outcome.RESET)) {
+    for (CallOutcome outcome : List.of(CallOutcome.FULL, CallOutcome.RESET)) {
       double[] turned = afterGiveBack(outcome);
       assertEquals(given[0], turned[0]);
       assertEquals(given[1] + given[0], turned[1], "the next call takes it off too");
@@ -116,7 +116,7 @@
   /**
    * What was given back of a claim past the store, and the next amount added once that had ended.
    */
-  private static double[] afterGiveBack(Gateway.Outcome outcome) {
+  private static double[] afterGiveBack(CallOutcome outcome) {
     Bench b = new Bench().start().servers(8);
     for (int i = 0; i < 20; i++) {
       b.arrive(i, "read", "rate", "c");
@@ -155,7 +155,7 @@
     Bench b = new Bench().start().servers(8);
     for (int i = 0; i < 20; i++) {
       b.arrive(i, "read", "rate", "x" + i);
-      b.answerCounter(Gateway.Outcome.RESET);
+      b.answerCounter(CallOutcome.RESET);
     }
     b.arrive(20, "read", "rate", "y");
     assertEquals(21, b.count("count 1.0"), "the counter is still asked");
@@ -164,7 +164,7 @@
   @Test
   void aRefusingCounterIsNotFlooded() {
     Bench b = new Bench();
-    rate(b, Gateway.Outcome.FULL, 0);
+    rate(b, CallOutcome.FULL, 0);
     assertTrue(b.count("count") < 12 * 4 * 2, "calls: " + b.count("count"));
   }
 
@@ -185,7 +185,8 @@
         b.to(t);
       }
       Bench b = all.get(t % 160 == 0 ? 7 : (int) (id % 50)); // gateway 7 has a quarter and more
-      b.module.arrived(t, new Gateway.Request(id, "read", "rate", "c", 2000, 1, 100, 0, false));
+      b.module.requestArrived(
+          t, new IncomingRequest(id, "read", "rate", "c", 2000, 1, 100, 0, false));
       b.answerCounter(OK);
       b.end(id++, 0, OK);
     }
@@ -205,7 +206,8 @@
       b.nodes = 300;
       b.sums = counter;
       b.start().servers(8);
-      b.module.arrived(0, new Gateway.Request(n, "read", "rate", "c", 2000, 1, 300, 0, false));
+      b.module.requestArrived(
+          0, new IncomingRequest(n, "read", "rate", "c", 2000, 1, 300, 0, false));
       b.answerCounter(OK);
       sent += b.count("send");
     }
@@ -233,7 +235,7 @@
   void aLateCallIsMadeUpForByTheNextAdd() {
     Bench b = new Bench().start().servers(8);
     b.arrive(1, "read", "rate", "c");
-    b.answerCounter(Gateway.Outcome.TIMEOUT);
+    b.answerCounter(CallOutcome.TIMEOUT);
     assertEquals(1, b.count("send 1"), "by belief");
     b.to(300);
     b.arrive(2, "read", "rate", "c");
@@ -250,10 +252,11 @@
   void theTotalOfALateAnswerIsTaken() {
     Bench b = new Bench().start().servers(8);
     b.arrive(1, "read", "rate", "c");
-    b.module.counted(b.now, b.calls.get(0)[0], Gateway.Outcome.OVERDUE, 50, 0);
+    b.module.counterCallEnded(b.now, b.calls.get(0)[0], CallOutcome.OVERDUE, 50, 0);
     assertEquals(1, b.count("send 1"), "by belief: it waits no longer");
     b.to(30);
-    b.module.counted(b.now, b.calls.remove(0)[0], OK, 80, 1 + 20); // others took more than all
+    b.module.counterCallEnded(
+        b.now, b.calls.remove(0)[0], OK, 80, 1 + 20); // others took more than all
     b.arrive(2, "read", "rate", "c");
     assertEquals(0, b.count("send 2"), "the late total says that nothing is left");
   }
@@ -263,7 +266,7 @@
     Bench b = new Bench().start().servers(8);
     b.arrive(1, "read", "rate", "c");
     b.arrive(2, "read", "rate", "c");
-    b.module.counted(b.now, b.calls.get(0)[0], Gateway.Outcome.OVERDUE, 50, 0);
+    b.module.counterCallEnded(b.now, b.calls.get(0)[0], CallOutcome.OVERDUE, 50, 0);
     assertEquals(2, b.count("send"), "both by belief");
     b.to(30);
     b.answerCounter(OK); // to the one unit of the first
@@ -294,7 +297,7 @@
     b.start().servers(8);
     b.arrive(1, "read", "rate", "c", 1, 2);
     b.answerCounter(OK);
-    b.module.ended(0, 1, 0, OK, 20, true, 4, new double[0]);
+    b.module.attemptEnded(0, 1, 0, OK, 20, true, 4, new double[0]);
     b.arrive(2, "read", "rate", "c", 1, 2);
     assertEquals(1, b.count("count 4.0"), "the 3 more of the first request and the 1 of this one");
   }
@@ -308,7 +311,7 @@
     assertEquals(1, b.count("send 1"));
     b.arrive(2, "read", "open", "c");
     long name = b.calls.remove(0)[0];
-    b.module.counted(0, name, OK, 2, 4);
+    b.module.counterCallEnded(0, name, OK, 2, 4);
     assertEquals(0, b.count("send 2"), "the fourth slot of three");
     assertEquals(1, b.count("count -1.0"), "given back");
     b.end(1, 0, OK);
@@ -320,7 +323,7 @@
     Bench b = new Bench().start().servers(8);
     for (int i = 0; i < 20; i++) { // the counter is away
       b.arrive(100 + i, "read", "open", "d" + i, 1, 100);
-      b.answerCounter(Gateway.Outcome.NO_CONNECTION);
+      b.answerCounter(CallOutcome.NO_CONNECTION);
       b.end(100 + i, 0, OK);
     }
     b.log.clear();
@@ -340,9 +343,11 @@
     b.answerCounter(OK);
     b.to(600);
     assertTrue(b.count("refuse") > 0);
-    b.module.arrived(b.now, new Gateway.Request(99, "read", "rate", "c", 1500, 1, 2, 0, true));
+    b.module.requestArrived(
+        b.now, new IncomingRequest(99, "read", "rate", "c", 1500, 1, 2, 0, true));
     assertEquals(1, b.count("refuse 99"));
-    b.module.arrived(b.now, new Gateway.Request(98, "read", "rate", "c", 1500, 1, 2, 0, false));
+    b.module.requestArrived(
+        b.now, new IncomingRequest(98, "read", "rate", "c", 1500, 1, 2, 0, false));
     assertEquals(0, b.count("refuse 98"));
   }
 
--- a/src/test/java/edgenode/policy/RulesTest.java
+++ b/src/test/java/edgenode/policy/RulesTest.java
@@ -20,10 +20,10 @@
   void serversThatLeftAreForgotten() throws ReflectiveOperationException {
     Bench b = Bench.plain().start().servers(2);
     for (int i = 10; i < 60; i++) {
-      b.module.servers(b.now, List.of(Bench.server(i, Gateway.State.UP, 0)), false);
-      b.module.servers(b.now, List.of(Bench.server(i, Gateway.State.GONE, 0)), false);
+      b.module.endpointsChanged(b.now, List.of(Bench.server(i, EndpointState.UP, 0)), false);
+      b.module.endpointsChanged(b.now, List.of(Bench.server(i, EndpointState.REMOVED, 0)), false);
     }
-    java.lang.reflect.Field hosts = Decide.class.getDeclaredField("hosts");
+    java.lang.reflect.Field hosts = PolicyEngine.class.getDeclaredField("hosts");
     hosts.setAccessible(true);
     assertEquals(2, ((java.util.Map<?, ?>) hosts.get(b.module)).size());
   }
@@ -34,7 +34,7 @@
     b.arrive(1, "once", "big", "c");
     b.to(2015);
     assertEquals(1, b.count("fail 1"), "sent, never answered: failed at the deadline");
-    b.end(1, 0, Gateway.Outcome.CANCELLED);
+    b.end(1, 0, CallOutcome.CANCELLED);
     b.to(4000);
     assertEquals(1, b.count("fail 1") + b.count("refuse 1"));
   }
@@ -52,9 +52,9 @@
   void unsafeIsRepeatedOnlyWhenItNeverRan() {
     Bench b = Bench.plain().start().servers(4);
     b.arrive(1, "once", "big", "c");
-    b.end(1, 0, Gateway.Outcome.FULL);
+    b.end(1, 0, CallOutcome.FULL);
     assertEquals(2, b.count("send 1"));
-    b.end(1, 1, Gateway.Outcome.ERROR);
+    b.end(1, 1, CallOutcome.ERROR);
     assertEquals(2, b.count("send 1"));
     assertEquals(1, b.count("fail 1"));
     assertEquals(0, b.count("refuse 1"));
@@ -65,7 +65,7 @@
     Bench b = Bench.plain().start().servers(6);
     b.arrive(1, "cell", "big", "c");
     int first = Integer.parseInt(b.sentTo(1).substring(1));
-    b.end(1, 0, Gateway.Outcome.ERROR);
+    b.end(1, 0, CallOutcome.ERROR);
     int second = Integer.parseInt(b.sentTo(1).substring(1));
     assertEquals(first / 2, second / 2);
     assertNotEquals(first, second);
@@ -79,7 +79,7 @@
     Bench b = Bench.plain().start().servers(4);
     b.arrive(1, "zone", "big", "c");
     int first = Integer.parseInt(b.sentTo(1).substring(1));
-    b.end(1, 0, Gateway.Outcome.ERROR);
+    b.end(1, 0, CallOutcome.ERROR);
     assertEquals(first / 2 % 2, Integer.parseInt(b.sentTo(1).substring(1)) / 2 % 2);
   }
 
@@ -91,7 +91,7 @@
     long before = b.count("send 1");
     b.to(399);
     before = b.count("send 1");
-    b.end(1, 0, Gateway.Outcome.ERROR);
+    b.end(1, 0, CallOutcome.ERROR);
     b.to(600);
     assertEquals(before, b.count("send 1"), "the window of 400 ms has passed");
   }
@@ -109,7 +109,7 @@
   @Test
   void drainingServerGetsNothing() {
     Bench b = Bench.plain().start().servers(2);
-    b.module.servers(b.now, List.of(Bench.server(0, Gateway.State.DRAINING, 0)), false);
+    b.module.endpointsChanged(b.now, List.of(Bench.server(0, EndpointState.DRAINING, 0)), false);
     for (int i = 1; i <= 4; i++) {
       b.arrive(i, "read", "big", "c");
     }
@@ -122,12 +122,12 @@
   void coldServerKeepsItsBudgetInEveryWindow() {
     Bench b = Bench.plain().start().servers(2);
     b.now = 1000;
-    b.module.servers(b.now, List.of(Bench.server(0, Gateway.State.UP, 900)), false);
+    b.module.endpointsChanged(b.now, List.of(Bench.server(0, EndpointState.UP, 900)), false);
     for (int i = 0; i < 200; i++) {
       b.to(1000 + i * 5);
       b.arrive(i, "read", "big", "c");
       if (i >= 40) {
-        b.end(i - 40, 0, Gateway.Outcome.OK);
+        b.end(i - 40, 0, CallOutcome.OK);
       }
     }
     long toCold = b.log.stream().filter(l -> l.startsWith("send") && l.endsWith(" s0")).count();
@@ -145,7 +145,7 @@
       for (int t = 0; t < 4000; t += 400) { // 20 a second at each gateway, 500 at a server
         b.to(t);
         if (t == 2000) {
-          b.module.servers(t, List.of(Bench.server(0, Gateway.State.UP, 1900)), false);
+          b.module.endpointsChanged(t, List.of(Bench.server(0, EndpointState.UP, 1900)), false);
         }
         for (int k = 0; k < 8; k++) { // all at once, so that the cold server looks idle
           b.arrive(++id, "read", "big", "c");
@@ -153,7 +153,7 @@
         }
         b.to(t + 75);
         for (int k = 0; k < 8; k++) {
-          b.module.ended(b.now, id - k, 0, Gateway.Outcome.OK, 75, true, 0, new double[0]);
+          b.module.attemptEnded(b.now, id - k, 0, CallOutcome.OK, 75, true, 0, new double[0]);
         }
       }
     }
@@ -170,19 +170,19 @@
       for (int k = 0;
           k < 5 && b.sentTo(i).equals("s0") && b.count("send " + i + " ") == k + 1;
           k++) {
-        b.end(i, k, Gateway.Outcome.ERROR);
+        b.end(i, k, CallOutcome.ERROR);
       }
-      b.module.ended(
+      b.module.attemptEnded(
           b.now,
           i,
           (int) b.count("send " + i + " ") - 1,
-          Gateway.Outcome.OK,
+          CallOutcome.OK,
           75,
           true,
           0,
           new double[0]);
       b.arrive(100 + i, "once", "big", "c");
-      b.module.ended(b.now, 100 + i, 0, Gateway.Outcome.OK, 75, true, 0, new double[0]);
+      b.module.attemptEnded(b.now, 100 + i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
     }
     long failed = b.log.stream().filter(l -> l.matches("send \\d\\d? s0")).count();
     long others = b.log.stream().filter(l -> l.matches("send 1\\d\\d s0")).count();
@@ -197,10 +197,10 @@
       b.to(i * 100);
       b.arrive(i, "read", "big", "c");
       String first = b.sentTo(i);
-      b.end(i, 0, Gateway.Outcome.ERROR);
+      b.end(i, 0, CallOutcome.ERROR);
       b.to(i * 100 + 30);
       assertNotEquals(first, b.sentTo(i), "request " + i);
-      b.end(i, 1, Gateway.Outcome.OK);
+      b.end(i, 1, CallOutcome.OK);
     }
   }
 
@@ -214,7 +214,7 @@
       b.arrive(i, "read", "big", "c");
       boolean late = i < 300;
       for (int k = Math.max(0, i - 20); k <= i; k++) {
-        b.module.ended(b.now, k, 0, Gateway.Outcome.OK, late ? 500 : 20, true, 0, new double[0]);
+        b.module.attemptEnded(b.now, k, 0, CallOutcome.OK, late ? 500 : 20, true, 0, new double[0]);
       }
       if (i == 299) {
         assertTrue(b.count("send") - sent < 60, "of 100: " + (b.count("send") - sent));
@@ -250,15 +250,15 @@
   private static long repeatedOnceThereIsAServer(boolean leaves) {
     Bench b = Bench.plain().start().servers(1);
     b.arrive(1, "read", "big", "c");
-    b.module.servers(b.now, List.of(Bench.server(0, Gateway.State.DRAINING, 0)), false);
-    b.end(1, 0, Gateway.Outcome.FULL);
+    b.module.endpointsChanged(b.now, List.of(Bench.server(0, EndpointState.DRAINING, 0)), false);
+    b.end(1, 0, CallOutcome.FULL);
     return sentOnceServersCome(b, leaves) - 1;
   }
 
   private static long sentOnceServersCome(Bench b, boolean leaves) {
     b.to(10);
     if (leaves) {
-      b.module.gone(b.now, 1);
+      b.module.clientDisconnected(b.now, 1);
     }
     b.servers(4);
     b.to(500);
@@ -270,10 +270,10 @@
     Bench b = new Bench().start().servers(4);
     b.arrive(1, "read", "rate", "c");
     if (leaves) {
-      b.module.gone(b.now, 1);
+      b.module.clientDisconnected(b.now, 1);
     }
     b.to(5);
-    b.answerCounter(Gateway.Outcome.OK);
+    b.answerCounter(CallOutcome.OK);
     b.to(500);
     return b.count("send 1 ");
   }
@@ -295,13 +295,13 @@
   @Test
   void oddEventsDoNoHarm() {
     Bench b = Bench.plain().start();
-    b.module.servers(0, List.of(), true);
-    b.module.gone(0, 99);
-    b.module.ended(0, 99, 0, Gateway.Outcome.OK, 1, true, 0, new double[0]);
-    b.module.timer(0, 12345);
-    b.module.probed(0, "s9", Gateway.Outcome.OK, 1, new double[0]);
-    b.module.counted(0, 5, Gateway.Outcome.OK, 1, 3);
-    b.module.firstAnswer(0, 99, 0);
+    b.module.endpointsChanged(0, List.of(), true);
+    b.module.clientDisconnected(0, 99);
+    b.module.attemptEnded(0, 99, 0, CallOutcome.OK, 1, true, 0, new double[0]);
+    b.module.timerFired(0, 12345);
+    b.module.healthCheckEnded(0, "s9", CallOutcome.OK, 1, new double[0]);
+    b.module.counterCallEnded(0, 5, CallOutcome.OK, 1, 3);
+    b.module.responseStarted(0, 99, 0);
     assertEquals(0, b.count("send"));
     assertNull(b.sentTo(99));
   }
@@ -309,13 +309,13 @@
   /** One failed connect, or reset, is no restart: warm servers were sent as little as cold ones. */
   @Test
   void oneFailedConnectDoesNotMakeAServerCold() {
-    for (Gateway.Outcome chance : List.of(Gateway.Outcome.NO_CONNECTION, Gateway.Outcome.RESET)) {
+    for (CallOutcome chance : List.of(CallOutcome.NO_CONNECTION, CallOutcome.RESET)) {
       Bench b = Bench.plain();
       b.nodes = 1; // or the first pace is the bound
       b.start().servers(1);
       b.arrive(1, "read", "big", "c");
       b.end(1, 0, chance);
-      b.end(1, 1, Gateway.Outcome.OK);
+      b.end(1, 1, CallOutcome.OK);
       long before = b.count("send");
       for (int i = 10; i < 20; i++) {
         b.arrive(i, "read", "big", "c");
@@ -341,7 +341,7 @@
               b.start();
               for (int edges = 0; edges < 200; edges++) {
                 b.now += b.delay;
-                b.module.timer(b.now, 0);
+                b.module.timerFired(b.now, 0);
                 assertTrue(b.delay > 0, "no time to the next");
               }
               assertTrue(b.now < 201 * 250 + 1, "one each 250 ms: " + b.now);
--- a/src/test/java/edgenode/policy/SubsetChoiceTest.java
+++ b/src/test/java/edgenode/policy/SubsetChoiceTest.java
@@ -27,7 +27,7 @@
   }
 
   private static int records(Bench b) throws ReflectiveOperationException {
-    Field hosts = Decide.class.getDeclaredField("hosts");
+    Field hosts = PolicyEngine.class.getDeclaredField("hosts");
     hosts.setAccessible(true);
     return ((Map<?, ?>) hosts.get(b.module)).size();
   }
@@ -39,7 +39,7 @@
       b.arrive(i, "read", "big", "c");
       if (b.sentTo(i) != null) {
         used.add(b.sentTo(i));
-        b.module.ended(b.now, i, 0, Gateway.Outcome.OK, 75, true, 0, new double[0]);
+        b.module.attemptEnded(b.now, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
       }
     }
     return used;
@@ -75,8 +75,8 @@
     serve(b, 0, 300, 5);
     assertTrue(records(b) > 250 && records(b) < 400, "320 on average: " + records(b));
     for (int i = 0; i < 200; i++) {
-      b.module.servers(b.now, List.of(Bench.server(5000 + i, Gateway.State.UP, 0)), false);
-      b.module.servers(b.now, List.of(Bench.server(i, Gateway.State.GONE, 0)), false);
+      b.module.endpointsChanged(b.now, List.of(Bench.server(5000 + i, EndpointState.UP, 0)), false);
+      b.module.endpointsChanged(b.now, List.of(Bench.server(i, EndpointState.REMOVED, 0)), false);
     }
     serve(b, 1000, 100, 5);
     assertTrue(records(b) > 250 && records(b) < 400, "new ones for old: " + records(b));
@@ -93,12 +93,12 @@
       b.to(b.now + 20);
       b.arrive(i, "cell", "big", "c");
       int first = Integer.parseInt(b.sentTo(i).substring(1));
-      b.end(i, 0, Gateway.Outcome.ERROR);
+      b.end(i, 0, CallOutcome.ERROR);
       b.to(b.now + 60);
       int second = Integer.parseInt(b.sentTo(i).substring(1));
       assertEquals(first / 2, second / 2);
       alone += first == second ? 1 : 0;
-      b.end(i, 1, Gateway.Outcome.OK);
+      b.end(i, 1, CallOutcome.OK);
     }
     assertEquals(0, alone, "two in a cell: the other one each time");
   }
@@ -107,24 +107,24 @@
   @Test
   void aSubsetWidensWhereNothingOfItIsUp() throws Exception {
     Bench b = large();
-    Field view = Decide.class.getDeclaredField("view");
+    Field view = PolicyEngine.class.getDeclaredField("view");
     view.setAccessible(true);
-    List<Gateway.Server> drained = new ArrayList<>();
+    List<EndpointInfo> drained = new ArrayList<>();
     Field id = Class.forName("edgenode.policy.Decide$Host").getDeclaredField("id");
     id.setAccessible(true);
     for (Object h : (List<?>) view.get(b.module)) {
       drained.add(
           Bench.server(
-              Integer.parseInt(((String) id.get(h)).substring(1)), Gateway.State.DRAINING, 0));
+              Integer.parseInt(((String) id.get(h)).substring(1)), EndpointState.DRAINING, 0));
     }
-    b.module.servers(b.now, drained, false);
+    b.module.endpointsChanged(b.now, drained, false);
     b.to(300);
     assertTrue(records(b) > 500, "before anybody asked: " + records(b));
     assertTrue(serve(b, 1, 100, 5).size() > 20);
     assertTrue(records(b) > 500, "twice or four times as wide: " + records(b));
     drained.replaceAll(
-        s -> Bench.server(Integer.parseInt(s.id().substring(1)), Gateway.State.UP, 0));
-    b.module.servers(b.now, drained, false);
+        s -> Bench.server(Integer.parseInt(s.id().substring(1)), EndpointState.UP, 0));
+    b.module.endpointsChanged(b.now, drained, false);
     b.to(b.now + 2000);
     assertTrue(records(b) > 450, "narrower slowly: " + records(b));
     b.to(b.now + 60_000);
@@ -192,11 +192,12 @@
       holders++;
       for (int i = 0; i < 3000; i++) { // 500 a second at each
         if (i == 1000) {
-          b.module.servers(b.now, List.of(Bench.server(0, Gateway.State.UP, b.now - 100)), false);
+          b.module.endpointsChanged(
+              b.now, List.of(Bench.server(0, EndpointState.UP, b.now - 100)), false);
         }
         b.to(b.now + 2);
         b.arrive(i, "read", "big", "c");
-        b.module.ended(b.now, i, 0, Gateway.Outcome.OK, 75, true, 0, new double[0]);
+        b.module.attemptEnded(b.now, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
         if (i == 999) {
           b.log.clear();
         }
--- a/src/test/java/edgenode/simulation/Crossings.java
+++ b/src/test/java/edgenode/simulation/Crossings.java
@@ -11,7 +11,7 @@
 import edgenode.eventloop.Transport;
 import edgenode.net.resp.Resp;
 import edgenode.node.Node;
-import edgenode.policy.Decide;
+import edgenode.policy.PolicyEngine;
 import edgenode.simulation.invariants.AnswersOnce;
 import edgenode.simulation.invariants.Breach;
 import edgenode.simulation.invariants.Drains;
@@ -196,7 +196,8 @@
       see(new Event.Born(0, "s" + i, i % 2, SIZE, false));
       discovery.set(servers.get(i).entry("active"));
     }
-    node = new Node(told, Decide::new, null, new LoopThread(loop, new Late(), loop, line -> {}));
+    node =
+        new Node(told, PolicyEngine::new, null, new LoopThread(loop, new Late(), loop, line -> {}));
   }
 
   private Config configuration() throws IOException {
--- a/src/test/java/edgenode/simulation/DiscoveryTermTest.java
+++ b/src/test/java/edgenode/simulation/DiscoveryTermTest.java
@@ -8,7 +8,7 @@
 import edgenode.membership.Limits;
 import edgenode.net.discovery.Members;
 import edgenode.net.discovery.MembersJson;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointState;
 import edgenode.simulation.FaultyAgent.Fault;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -131,7 +131,7 @@
     @Override
     public void listed(List<Entry> entries, boolean whole) {
       for (Entry e : entries) {
-        if (e.server().id().equals("s0") && e.server().state() != Gateway.State.UP) {
+        if (e.server().id().equals("s0") && e.server().state() != EndpointState.UP) {
           knownAt = Math.min(knownAt, loop.now());
         }
       }
--- a/src/test/java/edgenode/simulation/FleetStartTest.java
+++ b/src/test/java/edgenode/simulation/FleetStartTest.java
@@ -16,8 +16,9 @@
 import edgenode.membership.Health;
 import edgenode.net.upstream.ServerPool;
 import edgenode.node.Node;
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.PolicyEngine;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -64,7 +65,8 @@
         World.CONFIG.formatted("n0", "10.3.0.1:7000", "10.1.0.1:7000", "10.1.0.2:7000", 1L, 0, 14);
     Config config =
         Config.of(Json.read(told.replaceFirst("\\{", "{\"known\":" + list + ",")), Map.of());
-    Node node = new Node(config, Decide::new, null, new ProcessLoop(loop, transport, log::add));
+    Node node =
+        new Node(config, PolicyEngine::new, null, new ProcessLoop(loop, transport, log::add));
     CompletableFuture<Void> up = node.begin(part -> {});
     double at = 0;
     while (!up.isDone() && at < 10_000) {
@@ -140,7 +142,7 @@
     pool.listed(
         List.of(
             new Entry(
-                new Gateway.Server("s0", 0, "a", Gateway.State.UP, "k", 0, 1),
+                new EndpointInfo("s0", 0, "a", EndpointState.UP, "k", 0, 1),
                 server.entry("active").dial())));
     loop.runUntil(1000);
     assertTrue(pool.ready().isDone());
--- a/src/test/java/edgenode/simulation/RehearsalTest.java
+++ b/src/test/java/edgenode/simulation/RehearsalTest.java
@@ -9,8 +9,12 @@
 import com.fasterxml.jackson.core.JsonParser;
 import edgenode.node.Node;
 import edgenode.node.QuietEvents;
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEngine;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.QuotaPlan;
 import edgenode.simulation.invariants.Event;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
@@ -40,10 +44,10 @@
   private static final int SEEDS = 20;
 
   /** A module that does as the real one, but for what a test changes. */
-  private static class Crooked implements Gateway.Actions {
-    protected final Gateway.Actions act;
+  private static class Crooked implements PolicyActions {
+    protected final PolicyActions act;
 
-    Crooked(Gateway.Actions act) {
+    Crooked(PolicyActions act) {
       this.act = act;
     }
 
@@ -58,8 +62,8 @@
     }
 
     @Override
-    public void refuse(long id, double retryAfter) {
-      act.refuse(id, retryAfter);
+    public void reject(long id, double retryAfter) {
+      act.reject(id, retryAfter);
     }
 
     @Override
@@ -68,18 +72,18 @@
     }
 
     @Override
-    public void timer(double delay, long token) {
-      act.timer(delay, token);
+    public void setTimer(double delay, long token) {
+      act.setTimer(delay, token);
     }
 
     @Override
-    public void probe(String server) {
-      act.probe(server);
+    public void checkHealth(String server) {
+      act.checkHealth(server);
     }
 
     @Override
-    public void count(long name, double amount, double keepFor) {
-      act.count(name, amount, keepFor);
+    public void addToCounter(long name, double amount, double keepFor) {
+      act.addToCounter(name, amount, keepFor);
     }
 
     @Override
@@ -90,25 +94,25 @@
 
   /** A module of a few lines: all goes to one server, and what fails there to another. */
   private static final class Reckless extends QuietEvents {
-    private final Gateway.Actions act;
+    private final PolicyActions act;
     private final String then;
 
-    Reckless(Gateway.Actions act, String then) {
+    Reckless(PolicyActions act, String then) {
       this.act = act;
       this.then = then;
     }
 
     @Override
-    public void arrived(double now, Gateway.Request request) {
+    public void requestArrived(double now, IncomingRequest request) {
       act.send(request.id(), "s0", 0);
     }
 
     @Override
-    public void ended(
+    public void attemptEnded(
         double now,
         long id,
         int attempt,
-        Gateway.Outcome outcome,
+        CallOutcome outcome,
         double took,
         boolean over,
         int trueUnits,
@@ -121,20 +125,20 @@
     }
   }
 
-  private static Gateway.Settings plans(
-      Gateway.Settings s, java.util.function.UnaryOperator<Gateway.Plan> change) {
-    return new Gateway.Settings(
-        s.me(),
-        s.nodes(),
+  private static PolicySettings plans(
+      PolicySettings s, java.util.function.UnaryOperator<QuotaPlan> change) {
+    return new PolicySettings(
+        s.nodeIndex(),
+        s.nodeCount(),
         s.zone(),
-        s.tick(),
-        s.mustAsk(),
-        s.settled(),
-        s.mostUnits(),
-        s.loadFields(),
-        s.classes(),
+        s.tickMs(),
+        s.mustPollDiscovery(),
+        s.settlesUnits(),
+        s.maxRequestUnits(),
+        s.loadReportFields(),
+        s.requestClasses(),
         s.plans().stream().map(change).toList(),
-        s.allowed(),
+        s.capabilities(),
         s.rules(),
         s.prices());
   }
@@ -208,7 +212,7 @@
   void aModuleThatSendsToDrainingServersIsHeldByThePool() throws Exception {
     Node.Maker crooked =
         (settings, seed, now, act) ->
-            new Decide(
+            new PolicyEngine(
                 settings,
                 seed,
                 now,
@@ -269,18 +273,18 @@
   void aModuleThatKnowsNoCeilingIsFound() throws Exception {
     Node.Maker crooked =
         (settings, seed, now, act) ->
-            new Decide(
+            new PolicyEngine(
                 plans(
                     settings,
                     p ->
-                        new Gateway.Plan(
+                        new QuotaPlan(
                             p.name(),
-                            2 * p.rate(),
-                            2 * p.burst(),
-                            p.open(),
-                            p.price(),
-                            p.overWorth(),
-                            p.overCost(),
+                            2 * p.ratePerSecond(),
+                            2 * p.burstUnits(),
+                            p.maxOpenRequests(),
+                            p.priceWeight(),
+                            p.overQuotaWeight(),
+                            p.overQuotaCost(),
                             0,
                             0,
                             0)),
@@ -317,14 +321,14 @@
   void aModuleThatRefusesWhatMayHaveRunIsFound() throws Exception {
     Node.Maker crooked =
         (settings, seed, now, act) ->
-            new Decide(
+            new PolicyEngine(
                 settings,
                 seed,
                 now,
                 new Crooked(act) {
                   @Override
                   public void fail(long id) {
-                    act.refuse(id, 0);
+                    act.reject(id, 0);
                   }
                 });
     broken(Rehearsal.play(day(FAILING), 4, crooked), "no-second-effect");
@@ -335,14 +339,14 @@
   void aDayOnWhichNobodyIsServedIsNoCleanOne() throws Exception {
     Node.Maker mute =
         (settings, seed, now, act) ->
-            new Decide(
+            new PolicyEngine(
                 settings,
                 seed,
                 now,
                 new Crooked(act) {
                   @Override
                   public void send(long id, String server, double until) {
-                    act.refuse(id, 0);
+                    act.reject(id, 0);
                   }
                 });
     broken(Rehearsal.play(day(BUSY), 3, mute), "evidence");
--- a/src/test/java/edgenode/simulation/StandstillTest.java
+++ b/src/test/java/edgenode/simulation/StandstillTest.java
@@ -8,7 +8,7 @@
 import edgenode.emulator.Counter;
 import edgenode.eventloop.LoopThread;
 import edgenode.net.counter.CounterClient;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
 import java.io.ByteArrayOutputStream;
@@ -34,7 +34,7 @@
   private final List<String> log = new ArrayList<>();
   private final LoopThread world = new LoopThread(loop, transport, loop, log::add);
   private final ProcessLoop node = new ProcessLoop(loop, transport, log::add);
-  private final List<Gateway.Outcome> outcomes = new ArrayList<>();
+  private final List<CallOutcome> outcomes = new ArrayList<>();
 
   private CounterClient client() {
     CounterClient client =
@@ -84,7 +84,7 @@
     loop.runUntil(1001);
     callOnEach(client);
     loop.runUntil(1100);
-    assertEquals(List.of(), outcomes.stream().filter(o -> o != Gateway.Outcome.OK).toList());
+    assertEquals(List.of(), outcomes.stream().filter(o -> o != CallOutcome.OK).toList());
     assertEquals(2 * LINES, outcomes.size());
   }
 
@@ -145,7 +145,7 @@
             day.load(),
             List.of());
     List<Double> reached = new ArrayList<>();
-    Rehearsal heard = Rehearsal.play(shorter, 7, edgenode.policy.Decide::new, reached::add);
+    Rehearsal heard = Rehearsal.play(shorter, 7, edgenode.policy.PolicyEngine::new, reached::add);
     assertEquals(Rehearsal.play(shorter, 7).sha256(), heard.sha256());
     assertEquals(reached.stream().sorted().toList(), reached, "never back");
     assertEquals(0, reached.get(0));
--- a/src/test/java/edgenode/simulation/fleet/Crooked.java
+++ b/src/test/java/edgenode/simulation/fleet/Crooked.java
@@ -1,12 +1,18 @@
 package edgenode.simulation.fleet;
 
-import edgenode.policy.Decide;
-import edgenode.policy.Gateway;
+import edgenode.policy.CallOutcome;
+import edgenode.policy.EndpointInfo;
+import edgenode.policy.EndpointState;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import edgenode.policy.PolicyEngine;
+import edgenode.policy.PolicyEvents;
+import edgenode.policy.PolicySettings;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The decision module with one fault planted in it, for the judges to find. */
-final class Crooked implements Gateway.Events {
+final class Crooked implements PolicyEvents {
   enum Fault {
     NEVER_ANSWERS,
     ANSWERS_TWICE,
@@ -21,19 +27,19 @@
   private static final int CALLS = 6;
 
   private final Fault fault;
-  private final Gateway.Actions host;
-  private final Gateway.Events module;
+  private final PolicyActions host;
+  private final PolicyEvents module;
   private int turn;
   private double now;
   private String gone;
   private String last = "s0";
-  private final List<Gateway.Server> cold = new ArrayList<>();
+  private final List<EndpointInfo> cold = new ArrayList<>();
 
-  Crooked(Fault fault, Gateway.Settings settings, long seed, double now, Gateway.Actions host) {
+  Crooked(Fault fault, PolicySettings settings, long seed, double now, PolicyActions host) {
     this.fault = fault;
     this.host = host;
     this.now = now;
-    module = new Decide(settings, seed, now, new Out());
+    module = new PolicyEngine(settings, seed, now, new Out());
   }
 
   private boolean turn(Fault of) {
@@ -41,18 +47,18 @@
   }
 
   @Override
-  public void servers(double time, List<Gateway.Server> list, boolean whole) {
-    for (Gateway.Server s : list) {
+  public void endpointsChanged(double time, List<EndpointInfo> list, boolean whole) {
+    for (EndpointInfo s : list) {
       cold.removeIf(c -> c.id().equals(s.id()));
-      if (s.state() != Gateway.State.UP) {
+      if (s.state() != EndpointState.UP) {
         gone = s.id();
-      } else if (s.startedAt() > 0) {
+      } else if (s.startedAtMs() > 0) {
         cold.add(s);
         gone = s.id().equals(gone) ? null : gone;
       }
     }
     now = time;
-    module.servers(time, list, whole);
+    module.endpointsChanged(time, list, whole);
   }
 
   @Override
@@ -61,65 +67,66 @@
   }
 
   @Override
-  public void arrived(double time, Gateway.Request request) {
+  public void requestArrived(double time, IncomingRequest request) {
     now = time;
     if (fault == Fault.REFUSES_ALL) {
-      host.refuse(request.id(), 0);
+      host.reject(request.id(), 0);
     } else {
-      module.arrived(time, request);
+      module.requestArrived(time, request);
     }
   }
 
   @Override
-  public void firstAnswer(double time, long id, int attempt) {
-    module.firstAnswer(time, id, attempt);
+  public void responseStarted(double time, long id, int attempt) {
+    module.responseStarted(time, id, attempt);
   }
 
   @Override
-  public void ended(
+  public void attemptEnded(
       double time,
       long id,
       int attempt,
-      Gateway.Outcome outcome,
+      CallOutcome outcome,
       double took,
       boolean over,
       int trueUnits,
       double[] load) {
     now = time;
-    module.ended(time, id, attempt, outcome, took, over, trueUnits, load);
+    module.attemptEnded(time, id, attempt, outcome, took, over, trueUnits, load);
     if (over && turn(Fault.SENDS_AFTER_END)) {
       host.send(id, last, 0);
     }
   }
 
   @Override
-  public void gone(double time, long id) {
-    module.gone(time, id);
+  public void clientDisconnected(double time, long id) {
+    module.clientDisconnected(time, id);
   }
 
   @Override
-  public void timer(double time, long token) {
+  public void timerFired(double time, long token) {
     now = time;
-    module.timer(time, token);
+    module.timerFired(time, token);
   }
 
   @Override
-  public void probed(
-      double time, String server, Gateway.Outcome outcome, double took, double[] load) {
-    module.probed(time, server, outcome, took, load);
+  public void healthCheckEnded(
+      double time, String server, CallOutcome outcome, double took, double[] load) {
+    module.healthCheckEnded(time, server, outcome, took, load);
   }
 
   @Override
-  public void counted(double time, long name, Gateway.Outcome outcome, double took, double total) {
-    module.counted(time, name, outcome, took, total);
+  public void counterCallEnded(
+      double time, long name, CallOutcome outcome, double took, double total) {
+    module.counterCallEnded(time, name, outcome, took, total);
   }
 
   /** What it asks of its host. */
-  private final class Out implements Gateway.Actions {
+  private final class Out implements PolicyActions {
     @Override
     public void send(long id, String server, double until) {
       last = server;
-      cold.removeIf(c -> now - c.startedAt() > Assumed.WARM_MS);
+      cold.removeIf(c -> now - c.startedAtMs() > Assumed.WARM_MS);
       String to =
           fault == Fault.RUSHES_COLD && !cold.isEmpty()
               ? cold.get(0).id()
@@ -133,12 +140,12 @@
     }
 
     @Override
-    public void refuse(long id, double retryAfter) {
+    public void reject(long id, double retryAfter) {
       if (fault != Fault.NEVER_ANSWERS) {
-        host.refuse(id, retryAfter);
+        host.reject(id, retryAfter);
       }
       if (turn(Fault.ANSWERS_TWICE)) {
-        host.refuse(id, retryAfter);
+        host.reject(id, retryAfter);
       }
     }
 
@@ -148,20 +155,20 @@
     }
 
     @Override
-    public void timer(double delay, long token) {
-      host.timer(delay, token);
+    public void setTimer(double delay, long token) {
+      host.setTimer(delay, token);
     }
 
     @Override
-    public void probe(String server) {
-      host.probe(server);
+    public void checkHealth(String server) {
+      host.checkHealth(server);
     }
 
     @Override
-    public void count(long name, double amount, double keepFor) {
-      host.count(name, amount, keepFor);
+    public void addToCounter(long name, double amount, double keepFor) {
+      host.addToCounter(name, amount, keepFor);
       for (int i = 1; fault == Fault.CALLS_AGAIN && i < CALLS; i++) {
-        host.count(
+        host.addToCounter(
             ~name & Long.MAX_VALUE, 0, keepFor); // under a name that the module does not wait for
       }
     }
--- a/src/test/java/edgenode/simulation/fleet/ScaleTest.java
+++ b/src/test/java/edgenode/simulation/fleet/ScaleTest.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import edgenode.policy.Decide;
+import edgenode.policy.PolicyEngine;
 import edgenode.simulation.Kit;
 import java.util.ArrayList;
 import java.util.List;
@@ -42,7 +42,7 @@
   }
 
   private static Verdicts.Run run(Shape shape) {
-    return new Verdicts.Run(shape, new Fleet(shape, Decide::new).run(share -> {}, false), 0);
+    return new Verdicts.Run(shape, new Fleet(shape, PolicyEngine::new).run(share -> {}, false), 0);
   }
 
   private static Map<String, Verdicts.Word> words(List<Verdicts.Verdict> all) {
@@ -123,7 +123,7 @@
   })
   void aFaultPlantedInDiscoveryIsFound(DiscoveryModel.Fault fault, String verdict) {
     assertEquals("", broken(Verdicts.of(CALM)), "its honest twin");
-    Fleet fleet = new Fleet(CALM.shape(), Decide::new);
+    Fleet fleet = new Fleet(CALM.shape(), PolicyEngine::new);
     for (int i = 0; i < CALM.shape().lists(); i++) {
       fleet.list(i).plant(fault);
     }
--- a/src/test/java/edgenode/simulation/invariants/JudgeTest.java
+++ b/src/test/java/edgenode/simulation/invariants/JudgeTest.java
@@ -5,7 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgenode.emulator.Capacity;
-import edgenode.policy.Gateway;
+import edgenode.policy.Capabilities;
+import edgenode.policy.Idempotency;
+import edgenode.policy.IdempotencyGroup;
+import edgenode.policy.PolicySettings;
+import edgenode.policy.Prices;
+import edgenode.policy.QuotaPlan;
+import edgenode.policy.RequestClass;
+import edgenode.policy.RuleLimits;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,8 +22,8 @@
   private static final String CUSTOMER = "0000000100000001";
   private static final Capacity.Size SIZE = new Capacity.Size(2, 16, 32, 10, 0.25, 8000);
 
-  private static Gateway.Settings settings(int nodes) {
-    return new Gateway.Settings(
+  private static PolicySettings settings(int nodes) {
+    return new PolicySettings(
         0,
         nodes,
         "",
@@ -26,18 +33,26 @@
         1,
         List.of(),
         List.of(
-            new Gateway.RequestClass(
-                "look", Gateway.Effect.SAFE, Gateway.Group.CELL, 300, 900, 1, 0, 0, false),
-            new Gateway.RequestClass(
-                "enrol", Gateway.Effect.KEYED, Gateway.Group.CELL, 600, 1500, 2, 0, 7500, false),
-            new Gateway.RequestClass(
-                "drop", Gateway.Effect.UNSAFE, Gateway.Group.CELL, 600, 1500, 2, 0, 0, false)),
+            new RequestClass(
+                "look", Idempotency.IDEMPOTENT, IdempotencyGroup.CELL, 300, 900, 1, 0, 0, false),
+            new RequestClass(
+                "enrol", Idempotency.KEYED, IdempotencyGroup.CELL, 600, 1500, 2, 0, 7500, false),
+            new RequestClass(
+                "drop",
+                Idempotency.NOT_IDEMPOTENT,
+                IdempotencyGroup.CELL,
+                600,
+                1500,
+                2,
+                0,
+                0,
+                false)),
         List.of(
-            new Gateway.Plan("p", 10, 20, 0, 1, 0, 0, 0, 0, 0),
-            new Gateway.Plan("capped", 0, 0, 0, 1, 0, 0, 5, 10, 2)),
-        new Gateway.Allowed(true, true, true, true, false, true, 5, 2000, 80, 0),
-        new Gateway.Rules(0, 250, 0.25, 8000, 3, 2000),
-        new Gateway.Prices(0, 0, 0, 0, 0));
+            new QuotaPlan("p", 10, 20, 0, 1, 0, 0, 0, 0, 0),
+            new QuotaPlan("capped", 0, 0, 0, 1, 0, 0, 5, 10, 2)),
+        new Capabilities(true, true, true, true, false, true, 5, 2000, 80, 0),
+        new RuleLimits(0, 250, 0.25, 8000, 3, 2000),
+        new Prices(0, 0, 0, 0, 0));
   }
 
   private final Terms terms = new Terms(settings(2));
