--- a/src/main/java/edgenode/Main.java
+++ b/src/main/java/edgenode/Main.java
@@ -1,203 +1,86 @@
 package edgenode;
 
-import edgenode.config.Config;
-import edgenode.config.ConfigFile;
-import edgenode.config.EdgeSettings;
-import edgenode.config.SettingsReader;
-import edgenode.eventloop.LoopThread;
-import edgenode.node.Node;
-import edgenode.node.Prime;
-import edgenode.node.StartLog;
-import edgenode.node.Warmup;
-import edgenode.policy.PolicyEngine;
-import edgenode.simhost.Wire;
-import edgenode.simulation.Kit;
+import edgenode.cli.CheckSettingsCommand;
+import edgenode.cli.CreateCdsArchiveCommand;
+import edgenode.cli.ServeCommand;
+import edgenode.cli.SimhostCommand;
+import edgenode.simulation.SimulationCommands;
 import edgenode.store.StoreCommand;
-import io.netty.util.internal.logging.InternalLoggerFactory;
-import io.netty.util.internal.logging.JdkLoggerFactory;
-import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
-import java.io.PrintStream;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.InvalidPathException;
-import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.atomic.AtomicBoolean;
-import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The command line: {@code try} is for a first look, {@code drill} speaks the simulator's wire,
- * {@code serve} is a real edge node, and {@code prime} starts one at build time for the archive of
- * classes.
+ * The entry point of all commands. Each command has a class of its own, which is loaded only when
+ * the command is called: {@code serve} must not pay for the others at its start.
  */
 public final class Main {
-  private static final AtomicReference<Node> RUNNING = new AtomicReference<>();
-  private static final AtomicBoolean HUNG_UP = new AtomicBoolean();
-  private static final AtomicReference<ConfigFile> FILE = new AtomicReference<>();
+  private static final int EXIT_USAGE = 2;
 
   private static final String USAGE =
       """
-        usage: edge-node COMMAND
-          try                       one edge node and its world on loopback, for a first look; try --help
-          rehearse [SCENARIO]       a day of edge nodes and their world in virtual time, judged; rehearse --help
-          scale                     a large fleet of hollow edge nodes in virtual time, judged; scale --help
-          slopes                    what one edge node costs against the size of what it holds; slopes --help
-          serve [--settings FILE]   one edge node, until SIGTERM; EDGE_CONFIG names the platform's configuration,
-                                    FILE the operators' own settings (deploy/edge.toml shows them all)
-          check-settings FILE       what serve would say of the settings in FILE; exit 2 where it would refuse them
-          drill                     the decisions on the simulator's wire, standard input to standard output
-          store check|stats|dump|compact|repair DIR   the folder of a store (store --help)
-          prime                     one start and end at build time, for the archive of classes
-          --help                    this page""";
+      usage: edge-node COMMAND
+        demo                      one edge node with emulated services on loopback, for a first look; demo --help
+        simulate [SCENARIO]       edge nodes and emulated services in virtual time, with invariant checks;
+                                  simulate --help
+        simulate-fleet            a large fleet of model nodes in virtual time, with checks; simulate-fleet --help
+        benchmark-scaling         the cost of one edge node against the size of its state; benchmark-scaling --help
+        serve [--settings FILE]   one edge node, until SIGTERM; EDGE_CONFIG names the platform's configuration,
+                                  FILE the operators' own settings (deploy/edge.toml shows them all)
+        check-settings FILE       reports what serve would report of the settings in FILE; exit code 2 if it
+                                  would reject them
+        simhost                   the policy on the simulator's text protocol, standard input to standard output
+        store check|stats|dump|compact|repair DIR   inspects or repairs the folder of a store (store --help)
+        create-cds-archive        one start and shutdown at build time, for the class data sharing archive
+        --help                    this page""";
 
-  private static final List<String> COMMANDS =
-      List.of("--help", "serve", "check-settings", "drill", "prime");
-
-  /** Commands of the kit, which is loaded for these alone. */
-  private static final List<String> KIT = List.of("try", "rehearse", "scale", "slopes");
+  /** Commands without a help page of their own. */
+  private static final List<String> PLAIN_COMMANDS =
+      List.of(
+          "--help", "serve", "check-settings", "simhost", "create-cds-archive", "drill", "prime");
 
   private Main() {}
 
-  /** Runs the command and exits non-zero with one plain line where the input is malformed. */
+  /**
+   * Runs the command that {@code args} name. Wrong usage prints the usage on standard error and
+   * exits with code 2.
+   */
   public static void main(String[] args) throws IOException {
-    if (args.length > 0
-        && args[0].equals("serve")
-        && (args.length == 1 || args.length == 3 && args[1].equals("--settings"))) {
-      boolean told =
-          Hangup.caught(Main::reload); // before all else: until then SIGHUP ends the process
-      serve(told, args.length == 3 ? args[2] : null);
-      return;
-    }
-    if (args.length == 2 && args[0].equals("check-settings") && !args[1].startsWith("-")) {
-      settings(args[1], 0);
-      System.out.println(args[1] + ": good");
-      return;
-    }
-    if (args.length > 0 && KIT.contains(args[0])) {
-      System.exit(Kit.run(args));
-    }
-    if (args.length > 0 && args[0].equals("store")) {
+    String command = args.length == 0 ? "" : args[0];
+    if (command.equals("serve") && isServeCall(args)) {
+      new ServeCommand().run(args.length == 3 ? args[2] : null);
+    } else if (command.equals("check-settings") && args.length == 2 && !args[1].startsWith("-")) {
+      CheckSettingsCommand.run(args[1]);
+    } else if (SimulationCommands.NAMES.contains(command)) {
+      System.exit(SimulationCommands.run(args));
+    } else if (command.equals("store")) {
       System.exit(StoreCommand.run(Arrays.copyOfRange(args, 1, args.length)));
-    }
-    if (args.length == 0
-        || COMMANDS.contains(args[0]) && List.of(args).contains("--help")
-        || args[0].equals("help")) {
-      (args.length == 0 ? System.err : System.out).println(USAGE);
-      System.exit(args.length == 0 ? 2 : 0);
-    }
-    if (args.length == 1 && args[0].equals("prime")) {
-      prime();
-      return;
-    }
-    if (args.length != 1 || !args[0].equals("drill")) {
+    } else if (isHelpCall(args)) {
+      System.out.println(USAGE);
+    } else if (args.length == 1 && isName(command, "create-cds-archive", "prime")) {
+      CreateCdsArchiveCommand.run();
+    } else if (args.length == 1 && isName(command, "simhost", "drill")) {
+      SimhostCommand.run();
+    } else {
       System.err.println(USAGE);
-      System.exit(2);
-    }
-    BufferedReader in =
-        new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
-    PrintStream out =
-        new PrintStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), false);
-    try {
-      new Wire().run(in, out);
-    } catch (Wire.Malformed bad) {
-      System.err.println(bad.getMessage());
-      System.exit(1);
+      System.exit(EXIT_USAGE);
     }
-    out.flush();
   }
 
-  private static void serve(boolean told, String settings) throws IOException {
-    StartLog.ended("JVM");
-    begin(System.getenv(), settings);
-    if (!told) {
-      System.err.println(
-          "SIGHUP is ignored by what started this process and cannot be had: the"
-              + " configuration's file is looked at instead");
-      FILE.get().watch();
-    }
+  /** Whether a command is called by its name or by the name that it had before. */
+  private static boolean isName(String command, String name, String formerName) {
+    return command.equals(name) || command.equals(formerName);
   }
 
-  /** The same start among stand-ins, and the same end. */
-  private static void prime() throws IOException {
-    try (Prime stage = new Prime()) {
-      Hangup.caught(Main::reload);
-      StartLog.ended("JVM");
-      begin(stage.environment(), null);
-      stage.ask(RUNNING.get());
-      System.exit(0); // the archive is written at the exit, after the drain
-    }
-  }
-
-  /** The settings, or the end: what is wrong with them is told, each fault on a line. */
-  private static EdgeSettings settings(String file, double warm) {
-    InternalLoggerFactory.setDefaultFactory(
-        JdkLoggerFactory.INSTANCE); // Netty checks the addresses
-    try {
-      return EdgeSettings.read(Path.of(file), warm);
-    } catch (EdgeSettings.Refused refused) {
-      refused.faults().forEach(System.err::println);
-    } catch (IOException | InvalidPathException e) {
-      System.err.println(file + ": cannot be read: " + e.getMessage());
-    }
-    System.exit(2);
-    return null;
-  }
-
-  private static void begin(Map<String, String> environment, String settings) throws IOException {
-    // at once: else Netty looks through all jars for three other loggers that are not there
-    InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-    Config config;
-    try {
-      config = Config.fromEnvironment(environment);
-    } catch (IllegalArgumentException | SettingsReader.Bad bad) {
-      System.err.println("configuration: " + bad.getMessage());
-      System.exit(2);
-      return;
-    }
-    StartLog.ended("configuration");
-    EdgeSettings own =
-        settings == null ? null : settings(settings, config.settings().rules().warmUpMs());
-    Node.Maker maker =
-        own == null
-            ? PolicyEngine::new
-            : (told, seed, now, actions) ->
-                new PolicyEngine(told, seed, now, actions, own.subset());
-    Node node = new Node(config, maker, own, LoopThread.real());
-    try {
-      node.answerOperators();
-    } catch (IOException bad) {
-      System.err.println("start: " + bad.getMessage());
-      Runtime.getRuntime().halt(1);
-    }
-    Warmup.run(config.settings(), PolicyEngine::new);
-    StartLog.ended("warm-up");
-    ConfigFile file = new ConfigFile(environment, node::reload, System.err::println);
-    node.whenLost(file::suspect);
-    Runtime.getRuntime()
-        .addShutdownHook(new Thread(node::drain, "drain")); // SIGTERM may cross the bind
-    try {
-      node.start();
-    } catch (IOException bad) {
-      System.err.println("start: " + bad.getMessage());
-      Runtime.getRuntime().halt(1); // nothing was taken: there is nothing to drain
-    }
-    StartLog.tell("bind");
-    RUNNING.set(node);
-    FILE.set(file);
-    if (HUNG_UP.get()) { // while it came up: the file may be newer than what was read of it
-      file.read();
-    }
+  private static boolean isServeCall(String[] args) {
+    return args.length == 1 || args.length == 3 && args[1].equals("--settings");
   }
 
-  /** Before the node is up there is nothing to move: it reads the file once more when it is. */
-  private static void reload() {
-    HUNG_UP.set(true);
-    ConfigFile file = FILE.get();
-    if (file != null) {
-      file.read();
+  private static boolean isHelpCall(String[] args) {
+    if (args.length == 0) {
+      return false;
     }
+    return args[0].equals("help")
+        || PLAIN_COMMANDS.contains(args[0]) && List.of(args).contains("--help");
   }
 }
--- a/src/main/java/edgenode/admin/AdminListener.java
+++ b/src/main/java/edgenode/admin/AdminHttpServer.java
@@ -1,6 +1,6 @@
 package edgenode.admin;
 
-import edgenode.eventloop.Loop;
+import edgenode.eventloop.EdgeEventLoop;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -35,81 +35,82 @@
  * no. Callers that do not finish their call hold a place for a while and keep nobody waiting: at
  * the bound the oldest of them goes.
  */
-public final class AdminListener {
-  private static final int LINE = 1024;
-  private static final int HEADERS = 8192;
-  private static final int CHUNK = 4096;
+public final class AdminHttpServer {
+  private static final int MAX_REQUEST_LINE_BYTES = 1024;
+  private static final int MAX_HEADER_BYTES = 8192;
+  private static final int MAX_CHUNK_BYTES = 4096;
 
   /** A call has no use for a body; one of up to so many bytes is read over. */
-  private static final int BODY = 64 << 10;
+  private static final int MAX_BODY_BYTES = 64 << 10;
 
   /**
    * A queue that a burst of callers fills makes the next one try again after a second: too late.
    */
-  private static final int BACKLOG = 1024;
+  private static final int ACCEPT_BACKLOG = 1024;
 
   /**
    * Campuses in one answer, where nothing is asked, and at most: a page is some 300 bytes for each.
    */
-  private static final int PAGE = 100;
+  private static final int DEFAULT_PAGE_CUSTOMERS = 100;
 
-  private static final int MOST_CAMPUSES = 1000;
+  private static final int MAX_PAGE_CUSTOMERS = 1000;
 
   /** A caller that has not made a whole call after this (ms) is ended. */
-  private static final long PATIENCE = 10_000;
+  private static final long CALL_TIMEOUT_MS = 10_000;
 
   /** Our side has ended: so long (ms) the caller may take to end its own. */
-  private static final long LINGER = 500;
+  private static final long CLOSE_GRACE_MS = 500;
 
-  private final Loop loop;
-  private final Operations operations;
-  private final int most;
-  private final Set<Channel> callers = new LinkedHashSet<>();
-  private Channel listener;
+  private final EdgeEventLoop eventLoop;
+  private final AdminOperations operations;
+  private final int maxConnections;
+  private final Set<Channel> connections = new LinkedHashSet<>();
+  private Channel serverChannel;
 
   /**
    * @param most connections that are held at once
    */
-  public AdminListener(Loop loop, Operations operations, int most) {
-    this.loop = loop;
+  public AdminHttpServer(EdgeEventLoop loop, AdminOperations operations, int most) {
+    this.eventLoop = loop;
     this.operations = operations;
-    this.most = most;
+    this.maxConnections = most;
   }
 
   /** Binds; the future fails where the address cannot be had. */
   public ChannelFuture bind(InetSocketAddress address) {
     ChannelFuture bound =
-        loop.transport()
-            .accepting(loop.group(), BACKLOG)
+        eventLoop
+            .transport()
+            .newServerBootstrap(eventLoop.group(), ACCEPT_BACKLOG)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    room();
-                    callers.add(channel);
-                    channel.closeFuture().addListener(f -> callers.remove(channel));
+                    closeOldestAtLimit();
+                    connections.add(channel);
+                    channel.closeFuture().addListener(f -> connections.remove(channel));
                     channel
                         .pipeline()
                         .addLast(
                             new HttpServerCodec(
                                 new HttpDecoderConfig()
-                                    .setMaxInitialLineLength(LINE)
-                                    .setMaxHeaderSize(HEADERS)
-                                    .setMaxChunkSize(CHUNK)),
-                            new Call());
+                                    .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                                    .setMaxHeaderSize(MAX_HEADER_BYTES)
+                                    .setMaxChunkSize(MAX_CHUNK_BYTES)),
+                            new AdminCallHandler());
                     channel
                         .eventLoop()
-                        .schedule(() -> channel.close(), PATIENCE, TimeUnit.MILLISECONDS);
+                        .schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                   }
                 })
-            .bind(loop.transport().at(address));
-    listener = bound.channel();
+            .bind(eventLoop.transport().toSocketAddress(address));
+    serverChannel = bound.channel();
     return bound;
   }
 
-  private void room() {
-    Iterator<Channel> oldest = callers.iterator();
-    while (callers.size() >= most && oldest.hasNext()) {
+  private void closeOldestAtLimit() {
+    Iterator<Channel> oldest = connections.iterator();
+    while (connections.size() >= maxConnections && oldest.hasNext()) {
       Channel goes = oldest.next();
       oldest.remove();
       goes.close();
@@ -118,51 +119,52 @@
 
   /** No further calls; those that came are answered. */
   public void close() {
-    if (listener != null) {
-      listener.close();
+    if (serverChannel != null) {
+      serverChannel.close();
     }
   }
 
-  private final class Call extends SimpleChannelInboundHandler<HttpObject> {
-    private HttpRequest head;
-    private long body;
-    private boolean answered;
+  private final class AdminCallHandler extends SimpleChannelInboundHandler<HttpObject> {
+    private HttpRequest request;
+    private long bodyBytes;
+    private boolean isAnswered;
 
     /** The method that this call has, where it was made with another. */
-    private HttpMethod allow;
+    private HttpMethod allowedMethod;
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-      if (answered) {
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+      if (isAnswered) {
         return; // one call a connection
       }
-      if (part.decoderResult().isFailure()) {
-        answer(ctx, HttpResponseStatus.BAD_REQUEST, error("not HTTP"));
+      if (message.decoderResult().isFailure()) {
+        answer(ctx, HttpResponseStatus.BAD_REQUEST, errorJson("not HTTP"));
         return;
       }
-      if (part instanceof HttpRequest request) {
-        head = request;
+      if (message instanceof HttpRequest httpRequest) {
+        request = httpRequest;
       }
-      if (part instanceof HttpContent content) {
-        body += content.content().readableBytes();
-        if (body > BODY) {
-          answer(ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, error("a call needs no body"));
-        } else if (part instanceof LastHttpContent) {
-          call(ctx);
+      if (message instanceof HttpContent content) {
+        bodyBytes += content.content().readableBytes();
+        if (bodyBytes > MAX_BODY_BYTES) {
+          answer(
+              ctx, HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, errorJson("a call needs no body"));
+        } else if (message instanceof LastHttpContent) {
+          dispatch(ctx);
         }
       }
     }
 
-    private void call(ChannelHandlerContext ctx) {
-      String uri = head.uri();
+    private void dispatch(ChannelHandlerContext ctx) {
+      String uri = request.uri();
       int query = uri.indexOf('?');
       switch (query < 0 ? uri : uri.substring(0, query)) {
         case "/api/ready" ->
-            only(
+            requireMethod(
                 ctx,
                 HttpMethod.GET,
                 () -> {
-                  String not = operations.notReady();
+                  String not = operations.notReadyReason();
                   answer(
                       ctx,
                       not == null ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -171,56 +173,62 @@
                           : "{\"ready\":false,\"why\":\"" + not + "\"}");
                 });
         case "/api/telemetry" ->
-            only(
+            requireMethod(
                 ctx,
                 HttpMethod.GET,
-                () -> answer(ctx, HttpResponseStatus.OK, operations.figures()));
-        case "/api/campuses" -> only(ctx, HttpMethod.GET, () -> campuses(ctx));
-        case "/api/evacuate" -> only(ctx, HttpMethod.PUT, () -> done(ctx, operations::evacuate));
-        case "/api/rejoin" -> only(ctx, HttpMethod.PUT, () -> done(ctx, operations::rejoin));
-        default -> answer(ctx, HttpResponseStatus.NOT_FOUND, error("no such call"));
+                () -> answer(ctx, HttpResponseStatus.OK, operations.telemetryJson()));
+        case "/api/campuses" -> requireMethod(ctx, HttpMethod.GET, () -> answerCustomers(ctx));
+        case "/api/evacuate" ->
+            requireMethod(ctx, HttpMethod.PUT, () -> answerCommand(ctx, operations::startDrain));
+        case "/api/rejoin" ->
+            requireMethod(ctx, HttpMethod.PUT, () -> answerCommand(ctx, operations::cancelDrain));
+        default -> answer(ctx, HttpResponseStatus.NOT_FOUND, errorJson("no such call"));
       }
     }
 
-    private void campuses(ChannelHandlerContext ctx) {
-      Map<String, List<String>> asked = new QueryStringDecoder(head.uri()).parameters();
-      int limit = PAGE;
+    private void answerCustomers(ChannelHandlerContext ctx) {
+      Map<String, List<String>> asked = new QueryStringDecoder(request.uri()).parameters();
+      int limit = DEFAULT_PAGE_CUSTOMERS;
       try {
         limit =
-            Integer.parseInt(asked.getOrDefault("limit", List.of(Integer.toString(PAGE))).get(0));
+            Integer.parseInt(
+                asked
+                    .getOrDefault("limit", List.of(Integer.toString(DEFAULT_PAGE_CUSTOMERS)))
+                    .get(0));
       } catch (NumberFormatException e) {
         limit = 0;
       }
-      if (limit < 1 || limit > MOST_CAMPUSES) {
-        answer(ctx, HttpResponseStatus.BAD_REQUEST, error("limit: 1 to " + MOST_CAMPUSES));
+      if (limit < 1 || limit > MAX_PAGE_CUSTOMERS) {
+        answer(ctx, HttpResponseStatus.BAD_REQUEST, errorJson("limit: 1 to " + MAX_PAGE_CUSTOMERS));
         return;
       }
-      String page = operations.campuses(asked.getOrDefault("after", List.of("")).get(0), limit);
+      String page =
+          operations.customersJson(asked.getOrDefault("after", List.of("")).get(0), limit);
       answer(
           ctx,
           page == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK,
-          page == null ? error("figures.campuses is 0 in the settings") : page);
+          page == null ? errorJson("figures.campuses is 0 in the settings") : page);
     }
 
-    private void only(ChannelHandlerContext ctx, HttpMethod method, Runnable call) {
-      if (head.method().equals(method)) {
+    private void requireMethod(ChannelHandlerContext ctx, HttpMethod method, Runnable call) {
+      if (request.method().equals(method)) {
         call.run();
       } else {
-        allow = method;
-        answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, error("this call is a " + method));
+        allowedMethod = method;
+        answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, errorJson("this call is a " + method));
       }
     }
 
-    private void done(ChannelHandlerContext ctx, Supplier<String> what) {
-      String not = what.get();
+    private void answerCommand(ChannelHandlerContext ctx, Supplier<String> command) {
+      String refusal = command.get();
       answer(
           ctx,
-          not == null ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT,
-          not == null ? "{\"done\":true}" : error(not));
+          refusal == null ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT,
+          refusal == null ? "{\"done\":true}" : errorJson(refusal));
     }
 
     private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
-      answered = true;
+      isAnswered = true;
       DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, status, ByteBufUtil.writeUtf8(ctx.alloc(), text + "\n"));
@@ -229,10 +237,10 @@
           .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
           .setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
           .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-      if (allow != null) {
-        response.headers().set(HttpHeaderNames.ALLOW, allow.name());
+      if (allowedMethod != null) {
+        response.headers().set(HttpHeaderNames.ALLOW, allowedMethod.name());
       }
-      callers.remove(ctx.channel()); // it has been served: no stalled caller, and soon gone
+      connections.remove(ctx.channel()); // it has been served: no stalled caller, and soon gone
       ctx.writeAndFlush(response)
           .addListener(
               (ChannelFutureListener)
@@ -243,18 +251,18 @@
                     }
                     f.channel()
                         .eventLoop()
-                        .schedule(() -> f.channel().close(), LINGER, TimeUnit.MILLISECONDS);
+                        .schedule(() -> f.channel().close(), CLOSE_GRACE_MS, TimeUnit.MILLISECONDS);
                   });
     }
 
-    private static String error(String what) {
-      return "{\"error\":\"" + what + "\"}";
+    private static String errorJson(String message) {
+      return "{\"error\":\"" + message + "\"}";
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (!(cause instanceof java.io.IOException)) {
-        loop.log("operators' call", cause);
+        eventLoop.logFailure("operators' call", cause);
       }
       ctx.close();
     }
--- a/src/main/java/edgenode/benchmark/SlopesCommand.java
+++ b/src/main/java/edgenode/benchmark/BenchmarkScalingCommand.java
@@ -20,7 +20,7 @@
 
 /** {@code slopes}: what one edge node costs, against the size of what it holds. */
 @Command(
-    name = "slopes",
+    name = "benchmark-scaling",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
@@ -29,7 +29,7 @@
       "Times are the CPU of the thread that does the work; each is the median of up to seven repeats.",
       "Exit code: 0 all measured, 1 some not (the table tells which and why), 2 wrong input."
     })
-public final class SlopesCommand implements Callable<Integer> {
+public final class BenchmarkScalingCommand implements Callable<Integer> {
   private static final int MOST = 1_000_000;
 
   /** A part of the whole that can be run alone. */
@@ -160,7 +160,7 @@
         write(run.slopes(), report.resolve("slopes.json"));
       }
     } catch (IOException e) {
-      System.err.println("slopes: " + e.getMessage());
+      System.err.println("benchmark-scaling: " + e.getMessage());
       return 2;
     }
     return run.slopes().stream().allMatch(s -> s.missing().isEmpty()) ? 0 : 1;
--- a/src/main/java/edgenode/benchmark/Cores.java
+++ b/src/main/java/edgenode/benchmark/Cores.java
@@ -1,10 +1,10 @@
 package edgenode.benchmark;
 
-import edgenode.emulator.Agent;
-import edgenode.membership.Entry;
-import edgenode.membership.Limits;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.Membership;
-import edgenode.net.discovery.MembersJson;
+import edgenode.membership.MembershipLimits;
+import edgenode.net.discovery.EndpointListJson;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import java.io.IOException;
@@ -249,23 +249,23 @@
 
   // ---- Membership ----
 
-  static Entry entry(int i, EndpointState state) {
-    return new Entry(
+  static DiscoveredEndpoint entry(int i, EndpointState state) {
+    return new DiscoveredEndpoint(
         Instance.server(i, state),
         "10." + (i >> 16) + "." + (i >> 8 & 255) + "." + (i & 255) + ":6379");
   }
 
-  private static List<Entry> entries(int n) {
-    List<Entry> all = new ArrayList<>(n);
+  private static List<DiscoveredEndpoint> entries(int n) {
+    List<DiscoveredEndpoint> all = new ArrayList<>(n);
     for (int i = 0; i < n; i++) {
       all.add(entry(i, EndpointState.UP));
     }
     return all;
   }
 
-  private static Membership told(List<Entry> all) {
-    Membership core = new Membership(Limits.defaults(WARM), "a");
-    core.told(Instance.START, "a", 1, true, all);
+  private static Membership told(List<DiscoveredEndpoint> all) {
+    Membership core = new Membership(MembershipLimits.defaults(WARM), "a");
+    core.endpointsReceived(Instance.START, "a", 1, true, all);
     return core;
   }
 
@@ -288,7 +288,7 @@
                     public void run(int times) {
                       for (int k = 0; k < times; k++) {
                         int at = (int) (seq / 2 % n);
-                        core.told(
+                        core.endpointsReceived(
                             Instance.START + 200 * seq,
                             "a",
                             ++seq,
@@ -306,7 +306,7 @@
         "servers",
         sizes,
         n -> {
-          List<Entry> all = entries(n);
+          List<DiscoveredEndpoint> all = entries(n);
           Membership core = told(all);
           return run.meter()
               .time(
@@ -321,7 +321,7 @@
                         all.set(
                             at,
                             entry(at, seq % 2 == 1 ? EndpointState.DRAINING : EndpointState.UP));
-                        core.told(Instance.START + 200 * seq, "a", ++seq, true, all);
+                        core.endpointsReceived(Instance.START + 200 * seq, "a", ++seq, true, all);
                       }
                     }
                   });
@@ -341,18 +341,18 @@
   }
 
   /** As they come: strings of their own, not shared ones. */
-  private static List<Entry> parsed(int n) {
+  private static List<DiscoveredEndpoint> parsed(int n) {
     byte[] text = list(n, n, true).getBytes(StandardCharsets.US_ASCII);
     try {
-      return MembersJson.read(text, text.length, bad -> {}).entries();
+      return EndpointListJson.parse(text, text.length, bad -> {}).endpoints();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
   private static Meter.Work zone(int n) {
-    List<Entry> all = entries(n);
-    List<Entry> gone = new ArrayList<>();
+    List<DiscoveredEndpoint> all = entries(n);
+    List<DiscoveredEndpoint> gone = new ArrayList<>();
     for (int i = 0; i < n; i += ZONES) {
       gone.add(entry(i, EndpointState.REMOVED));
     }
@@ -364,13 +364,14 @@
       public void prepare() {
         core = told(all);
         module = new Instance(NODES, false, false);
-        module.servers(all.stream().map(Entry::server).toList(), true);
+        module.servers(all.stream().map(DiscoveredEndpoint::info).toList(), true);
       }
 
       @Override
       public void run(int times) {
-        List<Entry> changes = core.told(Instance.START + 1, "a", 2, false, gone).entries();
-        module.servers(changes.stream().map(Entry::server).toList(), false);
+        List<DiscoveredEndpoint> changes =
+            core.endpointsReceived(Instance.START + 1, "a", 2, false, gone).endpoints();
+        module.servers(changes.stream().map(DiscoveredEndpoint::info).toList(), false);
       }
 
       @Override
@@ -390,9 +391,9 @@
     return all.append("]}\n").toString();
   }
 
-  static Agent.Host host(int i) {
-    Entry e = entry(i, EndpointState.UP);
-    return new Agent.Host(
-        e.server().id(), e.dial(), "active", 0, e.server().zone(), e.server().cell());
+  static DiscoveryAgentEmulator.Host host(int i) {
+    DiscoveredEndpoint e = entry(i, EndpointState.UP);
+    return new DiscoveryAgentEmulator.Host(
+        e.info().id(), e.address(), "active", 0, e.info().zone(), e.info().cell());
   }
 }
--- a/src/main/java/edgenode/benchmark/Wires.java
+++ b/src/main/java/edgenode/benchmark/Wires.java
@@ -1,17 +1,17 @@
 package edgenode.benchmark;
 
-import edgenode.config.Config;
-import edgenode.config.ConfigFile;
-import edgenode.emulator.Agent;
-import edgenode.emulator.Counter;
-import edgenode.eventloop.LoopThread;
-import edgenode.membership.Entry;
-import edgenode.membership.Limits;
+import edgenode.config.ConfigFileWatcher;
+import edgenode.config.NodeConfig;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.eventloop.NettyEdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
+import edgenode.membership.MembershipLimits;
 import edgenode.net.counter.CounterClient;
-import edgenode.net.discovery.Members;
-import edgenode.net.discovery.MembersJson;
+import edgenode.net.discovery.EndpointListJson;
+import edgenode.net.discovery.MembershipService;
 import edgenode.net.downstream.ClientListener;
-import edgenode.net.resp.Resp;
+import edgenode.net.resp.RespCodec;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.PolicySettings;
 import io.netty.buffer.ByteBuf;
@@ -115,7 +115,7 @@
   /** Names are 63 bits, amounts small, totals those of some seconds at some requests a second. */
   private static int calls(int n, boolean answers) {
     EmbeddedChannel channel = new EmbeddedChannel();
-    Resp.codec(channel.pipeline(), 4);
+    RespCodec.addCodec(channel.pipeline(), 4);
     ByteBufAllocator alloc = channel.alloc();
     int bytes = 0;
     long name = 1;
@@ -123,8 +123,8 @@
       name = name * 6364136223846793005L + 1442695040888963407L; // Knuth's MMIX
       channel.writeOutbound(
           answers
-              ? Resp.bulk(alloc, Integer.toString(i % 900 + 100))
-              : Resp.command(
+              ? RespCodec.bulkString(alloc, Integer.toString(i % 900 + 100))
+              : RespCodec.command(
                   alloc,
                   "CNT.ADD",
                   Long.toString(name >>> 1),
@@ -164,7 +164,7 @@
 
   private static int parse(byte[] text) {
     try {
-      return MembersJson.read(text, text.length, bad -> {}).entries().size();
+      return EndpointListJson.parse(text, text.length, bad -> {}).endpoints().size();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -172,18 +172,18 @@
 
   // ---- discovery on loopback ----
 
-  private static final class Looked implements Members.View {
+  private static final class Looked implements MembershipService.MembershipListener {
     @Override
-    public void listed(List<Entry> entries, boolean whole) {}
+    public void endpointsChanged(List<DiscoveredEndpoint> entries, boolean whole) {}
 
     @Override
     public void discoveryFailed() {}
 
     @Override
-    public void discoveryRefuses() {}
+    public void discoveryRefused() {}
 
     @Override
-    public void tryOut(String id) {}
+    public void probeEndpoint(String id) {}
   }
 
   /** One node at an agent, from its start through some seconds in which nothing changes. */
@@ -238,10 +238,10 @@
     return all.get(IntStream.range(0, at.length).filter(i -> at[i] == n).findFirst().orElseThrow());
   }
 
-  private static long thread(LoopThread loop) throws InterruptedException {
+  private static long thread(NettyEdgeEventLoop loop) throws InterruptedException {
     AtomicLong id = new AtomicLong();
     CountDownLatch told = new CountDownLatch(1);
-    loop.later(
+    loop.execute(
         () -> {
           id.set(Thread.currentThread().getId());
           told.countDown();
@@ -255,25 +255,25 @@
   }
 
   private static Quiet quiet(int n) throws IOException, InterruptedException {
-    List<Agent.Host> hosts = IntStream.range(0, n).mapToObj(Cores::host).toList();
-    LoopThread loop = LoopThread.real();
-    try (Agent agent = new Agent(1)) {
+    List<DiscoveryAgentEmulator.Host> hosts = IntStream.range(0, n).mapToObj(Cores::host).toList();
+    NettyEdgeEventLoop loop = NettyEdgeEventLoop.create();
+    try (DiscoveryAgentEmulator agent = new DiscoveryAgentEmulator(1)) {
       agent.restart(1, hosts);
       long thread = thread(loop);
       double from = cpuMs(thread);
       long began = System.nanoTime();
       String[] at = agent.address().split(":");
-      Members members =
-          new Members(
+      MembershipService members =
+          new MembershipService(
               loop,
               new Looked(),
-              Limits.defaults(WARM),
+              MembershipLimits.defaults(WARM),
               List.of(
-                  Members.agent(
+                  MembershipService.agentSource(
                       new InetSocketAddress(
                           InetAddress.getByName(at[0]), Integer.parseInt(at[1])))),
               1e9);
-      loop.later(() -> members.start(null));
+      loop.execute(() -> members.start(null));
       try {
         members.ready().get(START, TimeUnit.SECONDS);
       } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
@@ -347,14 +347,14 @@
 
   /** Nodes that each keep some calls out; the second half of the time counts. */
   private static Calls counted(int nodes) throws InterruptedException {
-    LoopThread served = LoopThread.real();
-    LoopThread calling = LoopThread.real();
+    NettyEdgeEventLoop served = NettyEdgeEventLoop.create();
+    NettyEdgeEventLoop calling = NettyEdgeEventLoop.create();
     try {
       AtomicLong answered = new AtomicLong();
       AtomicLong failed = new AtomicLong();
-      Counter.Size endless = new Counter.Size(UNBOUNDED, 1 << 20, 1 << 16);
-      Counter counter =
-          new Counter(served, endless, (now, name, amount, sum) -> {})
+      CounterEmulator.Size endless = new CounterEmulator.Size(UNBOUNDED, 1 << 20, 1 << 16);
+      CounterEmulator counter =
+          new CounterEmulator(served, endless, (now, name, amount, sum) -> {})
               .start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       CounterClient[] clients = new CounterClient[nodes];
       for (int i = 0; i < nodes; i++) {
@@ -370,22 +370,22 @@
                   } else { // a line that has ended fails them at once: again at once would be very
                     // quick calls
                     failed.incrementAndGet();
-                    calling.after(RECONNECT_MS, () -> clients[me].add(next, 1, 60_000));
+                    calling.schedule(RECONNECT_MS, () -> clients[me].add(next, 1, 60_000));
                   }
                 },
                 counter.address(),
                 5000);
       }
-      calling.later(
+      calling.execute(
           () -> {
             for (CounterClient c : clients) {
               c.start();
             }
           });
       for (CounterClient c : clients) {
-        c.ready().join();
+        c.whenReady().join();
       }
-      calling.later(
+      calling.execute(
           () -> {
             for (int i = 0; i < nodes; i++) {
               for (int k = 0; k < OUT / nodes; k++) {
@@ -416,9 +416,10 @@
   // ---- clients' front on loopback ----
 
   /** Takes nothing: only PINGs come. */
-  private static final class Refusing implements ClientListener.Requests {
+  private static final class Refusing implements ClientListener.RequestHandler {
     @Override
-    public String take(ClientListener.Slot slot, ArrayRedisMessage command, boolean crowded) {
+    public String requestReceived(
+        ClientListener.ResponseSlot slot, ArrayRedisMessage command, boolean crowded) {
       return "not here";
     }
   }
@@ -452,7 +453,7 @@
   /** Each connection asks in turn; the second half of the rounds counts. */
   private static double pings(int connections, List<Double> heaps)
       throws IOException, InterruptedException {
-    LoopThread loop = LoopThread.real();
+    NettyEdgeEventLoop loop = NettyEdgeEventLoop.create();
     List<SocketChannel> open = new ArrayList<>();
     try {
       ClientListener clients = new ClientListener(loop, new Refusing(), 2 * connections, false);
@@ -515,8 +516,8 @@
           Path file = Files.writeString(Files.createTempFile("slopes", ".json"), configuration(n));
           try {
             int[] taken = new int[1];
-            ConfigFile config =
-                new ConfigFile(
+            ConfigFileWatcher config =
+                new ConfigFileWatcher(
                     Map.of("EDGE_CONFIG", file.toString()),
                     c -> taken[0] = c.settings().plans().size(),
                     line -> {});
@@ -526,7 +527,7 @@
                         n,
                         times -> {
                           for (int k = 0; k < times; k++) {
-                            config.read();
+                            config.reload();
                           }
                         });
             if (taken[0] != n) {
@@ -550,7 +551,7 @@
 
   private static PolicySettings settings(byte[] text) {
     try {
-      return Config.again(text, Map.of()).settings();
+      return NodeConfig.reload(text, Map.of()).settings();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
--- a/src/main/java/edgenode/config/TomlReader.java
+++ b/src/main/java/edgenode/config/TomlReader.java
@@ -26,8 +26,8 @@
   /** Of a table in an array: its name and number, before each key. */
   private final String prefix;
 
-  private final List<TomlReader> inner = new ArrayList<>();
-  private final Set<String> read = new HashSet<>();
+  private final List<TomlReader> nestedReaders = new ArrayList<>();
+  private final Set<String> readKeys = new HashSet<>();
   private final List<String> faults = new ArrayList<>();
 
   TomlReader(Path path) throws IOException {
@@ -54,144 +54,155 @@
    * The tables of an array, in order; none where it is absent. What is wrong in them is among this
    * reader's faults.
    *
-   * @param most how many there may be
+   * @param maxCount how many there may be
    */
-  public List<TomlReader> tables(String key, int most) {
+  public List<TomlReader> tables(String key, int maxCount) {
     Object value = get(key);
     if (value == null) {
       return List.of();
     }
-    String allowed = "an array of at most " + most + " tables, [[" + key + "]]";
-    if (!(value instanceof TomlArray array) || array.size() > most) {
+    String allowed = "an array of at most " + maxCount + " tables, [[" + key + "]]";
+    if (!(value instanceof TomlArray array) || array.size() > maxCount) {
       fault(key, value, allowed);
       return List.of();
     }
-    List<TomlReader> all = new ArrayList<>();
+    List<TomlReader> readers = new ArrayList<>();
     for (int i = 0; i < array.size(); i++) {
       if (array.get(i) instanceof TomlTable table) {
-        all.add(new TomlReader(file, table, key + "[" + i + "]."));
+        readers.add(new TomlReader(file, table, key + "[" + i + "]."));
       } else {
         faultAt(array.inputPositionOf(i), key, array.get(i), allowed);
       }
     }
-    inner.addAll(all);
-    return all;
+    nestedReaders.addAll(readers);
+    return readers;
   }
 
   /** Whether the file has the table or key at all. */
-  public boolean has(String key) {
+  public boolean contains(String key) {
     return toml.contains(key);
   }
 
-  public String text(String key, String other, String allowed) {
+  public String text(String key, String defaultValue, String allowed) {
     Object value = get(key);
     if (value == null) {
-      return other;
+      return defaultValue;
     }
     if (value instanceof String text && !text.isBlank()) {
       return text;
     }
     fault(key, value, allowed);
-    return other;
+    return defaultValue;
   }
 
-  public long whole(String key, long other, long least, long most) {
+  public long integer(String key, long defaultValue, long min, long max) {
     Object value = get(key);
     if (value == null) {
-      return other;
+      return defaultValue;
     }
-    if (value instanceof Long number && number >= least && number <= most) {
+    if (value instanceof Long number && number >= min && number <= max) {
       return number;
     }
-    fault(key, value, "a whole number from " + least + " to " + most);
-    return other;
+    fault(key, value, "a whole number from " + min + " to " + max);
+    return defaultValue;
   }
 
   /** A number, with or without a fraction. */
-  public double number(String key, double other, double least, double most) {
+  public double number(String key, double defaultValue, double min, double max) {
     Object value = get(key);
     if (value == null) {
-      return other;
+      return defaultValue;
     }
     if (value instanceof Number number
-        && number.doubleValue() >= least
-        && number.doubleValue() <= most) {
+        && number.doubleValue() >= min
+        && number.doubleValue() <= max) {
       return number.doubleValue();
     }
-    fault(key, value, "a number from " + least + " to " + most);
-    return other;
+    fault(key, value, "a number from " + min + " to " + max);
+    return defaultValue;
   }
 
-  public boolean flag(String key, boolean other) {
+  public boolean bool(String key, boolean defaultValue) {
     Object value = get(key);
     if (value == null) {
-      return other;
+      return defaultValue;
     }
     if (value instanceof Boolean flag) {
       return flag;
     }
     fault(key, value, "true or false");
-    return other;
+    return defaultValue;
   }
 
-  public String choice(String key, String other, List<String> allowed) {
+  public String choice(String key, String defaultValue, List<String> allowed) {
     Object value = get(key);
     if (value == null) {
-      return other;
+      return defaultValue;
     }
     if (value instanceof String text && allowed.contains(text)) {
       return text;
     }
     fault(key, value, "one of " + String.join(", ", allowed));
-    return other;
+    return defaultValue;
   }
 
-  double share(String key, double other) {
+  double fraction(String key, double defaultValue) {
     Object value = get(key);
     if (value == null) {
-      return other;
+      return defaultValue;
     }
     if (value instanceof Number number && number.doubleValue() >= 0 && number.doubleValue() <= 1) {
       return number.doubleValue();
     }
     fault(key, value, "a number from 0 to 1");
-    return other;
+    return defaultValue;
   }
 
   /**
    * A list of texts, each of which the check takes or throws {@link IllegalArgumentException} for.
    */
-  List<String> texts(
-      String key, List<String> other, String allowed, java.util.function.Consumer<String> check) {
+  List<String> textList(
+      String key,
+      List<String> defaultValue,
+      String allowed,
+      java.util.function.Consumer<String> check) {
     Object value = get(key);
     if (value == null) {
-      return other;
+      return defaultValue;
     }
-    List<String> all = new ArrayList<>();
+    List<String> values = new ArrayList<>();
     if (value instanceof TomlArray array && !array.isEmpty()) {
-      for (int i = 0; i < array.size(); i++) {
+      for (int index = 0; index < array.size(); index++) {
         try {
-          String text = (String) array.get(i);
+          String text = (String) array.get(index);
           check.accept(text);
-          all.add(text);
+          values.add(text);
         } catch (ClassCastException | IllegalArgumentException e) {
-          faultAt(array.inputPositionOf(i), key, array.get(i), allowed);
+          faultAt(array.inputPositionOf(index), key, array.get(index), allowed);
         }
       }
-      return all;
+      return values;
     }
     fault(key, value, allowed);
-    return other;
+    return defaultValue;
   }
 
   /** Where a key cannot be as it is beside others. */
-  public void contradiction(String key, String what) {
-    TomlPosition at = toml.inputPositionOf(key);
-    faults.add(file + ":" + (at == null ? "" : at.line() + ":") + " " + prefix + key + ": " + what);
+  public void contradiction(String key, String problem) {
+    TomlPosition position = toml.inputPositionOf(key);
+    faults.add(
+        file
+            + ":"
+            + (position == null ? "" : position.line() + ":")
+            + " "
+            + prefix
+            + key
+            + ": "
+            + problem);
   }
 
   private Object get(String key) {
-    read.add(key);
+    readKeys.add(key);
     try {
       return toml.get(key);
     } catch (IllegalArgumentException
@@ -205,26 +216,27 @@
     faultAt(toml.inputPositionOf(key), key, found, allowed);
   }
 
-  private void faultAt(TomlPosition at, String key, Object found, String allowed) {
-    faultAt(at, key, found, allowed, faults);
+  private void faultAt(TomlPosition position, String key, Object found, String allowed) {
+    faultAt(position, key, found, allowed, faults);
   }
 
-  private void faultAt(TomlPosition at, String key, Object found, String allowed, List<String> to) {
-    String what =
+  private void faultAt(
+      TomlPosition position, String key, Object found, String allowed, List<String> collected) {
+    String description =
         found instanceof TomlTable
             ? "a table"
             : found instanceof TomlArray
                 ? "an array"
                 : found instanceof String text ? "'" + text + "'" : String.valueOf(found);
-    to.add(
+    collected.add(
         file
             + ":"
-            + (at == null ? "" : at.line() + ":")
+            + (position == null ? "" : position.line() + ":")
             + " "
             + prefix
             + key
             + ": found "
-            + what
+            + description
             + ", allowed is "
             + allowed);
   }
@@ -232,44 +244,48 @@
   /** All that is wrong, with the keys that nobody knows; empty where nothing is. */
   public List<String> faults() {
     List<String> all = new ArrayList<>(faults);
-    inner.forEach(table -> all.addAll(table.faults()));
+    nestedReaders.forEach(table -> all.addAll(table.faults()));
     for (String key : new TreeSet<>(toml.dottedKeySet())) {
-      if (read.stream().anyMatch(k -> k.startsWith(key + "."))) {
+      if (readKeys.stream().anyMatch(k -> k.startsWith(key + "."))) {
         faultAt(toml.inputPositionOf(key), key, toml.get(key), "a table", all);
-      } else if (!read.contains(key)) {
-        TomlPosition at = toml.inputPositionOf(key);
-        String near =
-            read.stream().filter(k -> distance(k, key) <= 2).sorted().findFirst().orElse(null);
+      } else if (!readKeys.contains(key)) {
+        TomlPosition position = toml.inputPositionOf(key);
+        String suggestion =
+            readKeys.stream()
+                .filter(k -> editDistance(k, key) <= 2)
+                .sorted()
+                .findFirst()
+                .orElse(null);
         all.add(
             file
                 + ":"
-                + (at == null ? "" : at.line() + ":")
+                + (position == null ? "" : position.line() + ":")
                 + " "
                 + prefix
                 + key
                 + ": unknown key"
-                + (near == null ? "" : ", '" + near + "' perhaps"));
+                + (suggestion == null ? "" : ", '" + suggestion + "' perhaps"));
       }
     }
     return all;
   }
 
   /** Levenshtein's distance, for a hint. */
-  private static int distance(String a, String b) {
-    int[] row = new int[b.length() + 1];
-    for (int j = 0; j <= b.length(); j++) {
+  private static int editDistance(String first, String second) {
+    int[] row = new int[second.length() + 1];
+    for (int j = 0; j <= second.length(); j++) {
       row[j] = j;
     }
-    for (int i = 1; i <= a.length(); i++) {
-      int corner = row[0];
+    for (int i = 1; i <= first.length(); i++) {
+      int diagonal = row[0];
       row[0] = i;
-      for (int j = 1; j <= b.length(); j++) {
+      for (int j = 1; j <= second.length(); j++) {
         int above = row[j];
-        int swap = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-        row[j] = Math.min(Math.min(above, row[j - 1]) + 1, swap);
-        corner = above;
+        int substitution = diagonal + (first.charAt(i - 1) == second.charAt(j - 1) ? 0 : 1);
+        row[j] = Math.min(Math.min(above, row[j - 1]) + 1, substitution);
+        diagonal = above;
       }
     }
-    return row[b.length()];
+    return row[second.length()];
   }
 }
--- a/src/main/java/edgenode/emulator/EnrolmentServer.java
+++ b/src/main/java/edgenode/emulator/AppServerEmulator.java
@@ -1,7 +1,7 @@
 package edgenode.emulator;
 
-import edgenode.eventloop.Loop;
-import edgenode.net.resp.Resp;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.net.resp.RespCodec;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -26,11 +26,12 @@
 
 /**
  * A stand-in for an app server, from the protocol page, on an event loop that is given: its {@link
- * * Capacity}, repeats dropped in its {@link Rack}, load reports that are late and noisy, a bound
- * of connections and idle ones closed. It can die and come back cold, vanish, stall, lose cores,
- * answer with noise, stop reading and fall silent. All methods are for the loop's thread.
+ * * * Capacity}, repeats dropped in its {@link IdempotencyGroupModel}, load reports that are late
+ * and noisy, a bound of connections and idle ones closed. It can die and come back cold, vanish,
+ * stall, lose cores, answer with noise, stop reading and fall silent. All methods are for the
+ * loop's thread.
  */
-public final class EnrolmentServer {
+public final class AppServerEmulator {
   /** How it answers from now on. */
   public enum Mood {
     /** As it should. */
@@ -61,17 +62,17 @@
   private static final int BACKLOG = 256;
   private static final double SWEEP = 500;
 
-  private final Loop loop;
+  private final EdgeEventLoop loop;
   private final String id;
-  private final Rack rack;
-  private final Capacity.Size size;
+  private final IdempotencyGroupModel rack;
+  private final CapacityModel.Size size;
   private final Habits habits;
   private final Effects effects;
   private final Random random;
   private final Set<Peer> peers = new LinkedHashSet<>();
   private InetSocketAddress address;
   private Channel listener;
-  private Capacity capacity;
+  private CapacityModel capacity;
   private Mood mood = Mood.WELL;
   private double bornAt;
   private Future<?> timer;
@@ -80,11 +81,11 @@
   private double reportedAt = Double.NEGATIVE_INFINITY;
   private long lives;
 
-  public EnrolmentServer(
-      Loop loop,
+  public AppServerEmulator(
+      EdgeEventLoop loop,
       String id,
-      Rack rack,
-      Capacity.Size size,
+      IdempotencyGroupModel rack,
+      CapacityModel.Size size,
       Habits habits,
       Effects effects,
       long seed) {
@@ -98,32 +99,32 @@
   }
 
   /** Starts long warm and listens there; port 0 for any, where the kind of channel has such. */
-  public EnrolmentServer start(InetSocketAddress at) throws InterruptedException {
-    capacity = new Capacity(size, random.nextLong(), loop.now(), Double.NEGATIVE_INFINITY);
+  public AppServerEmulator start(InetSocketAddress at) throws InterruptedException {
+    capacity = new CapacityModel(size, random.nextLong(), loop.nowMs(), Double.NEGATIVE_INFINITY);
     address = at;
     ChannelFuture bound = bind(at);
     if (at.getPort() == 0) {
       address = (InetSocketAddress) bound.sync().channel().localAddress();
     }
     listener = bound.channel();
-    loop.later(() -> loop.after(SWEEP, this::sweep));
+    loop.execute(() -> loop.schedule(SWEEP, this::sweep));
     return this;
   }
 
   private ChannelFuture bind(InetSocketAddress at) {
     return loop.transport()
-        .accepting(loop.group(), BACKLOG)
+        .newServerBootstrap(loop.group(), BACKLOG)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
                 Peer peer = new Peer(channel);
                 channel.pipeline().addLast(peer.first);
-                Resp.codec(channel.pipeline(), WORDS);
+                RespCodec.addCodec(channel.pipeline(), WORDS);
                 channel.pipeline().addLast(peer);
               }
             })
-        .bind(loop.transport().at(at));
+        .bind(loop.transport().toSocketAddress(at));
   }
 
   public String id() {
@@ -135,8 +136,8 @@
   }
 
   /** As a list names it, with this health. */
-  public Agent.Host entry(String health) {
-    return new Agent.Host(
+  public DiscoveryAgentEmulator.Host entry(String health) {
+    return new DiscoveryAgentEmulator.Host(
         id,
         address.getAddress().getHostAddress() + ":" + address.getPort(),
         health,
@@ -145,7 +146,7 @@
         rack.block());
   }
 
-  public Rack rack() {
+  public IdempotencyGroupModel rack() {
     return rack;
   }
 
@@ -160,7 +161,7 @@
 
   /** A neighbour takes this share of its cores, 0 to below 1. */
   public void neighbour(double share) {
-    capacity.neighbour(loop.now(), share);
+    capacity.neighbour(loop.nowMs(), share);
     arm();
   }
 
@@ -175,15 +176,15 @@
       peer.channel.config().setOption(ChannelOption.SO_LINGER, 0);
       peer.channel.close();
     }
-    capacity = new Capacity(size, random.nextLong(), loop.now(), loop.now());
+    capacity = new CapacityModel(size, random.nextLong(), loop.nowMs(), loop.nowMs());
     timerAt = Double.POSITIVE_INFINITY;
   }
 
   /** It starts again, cold, at its address or another. */
   public void back(InetSocketAddress at) {
-    bornAt = loop.now();
+    bornAt = loop.nowMs();
     mood = Mood.WELL;
-    capacity = new Capacity(size, random.nextLong(), bornAt, bornAt);
+    capacity = new CapacityModel(size, random.nextLong(), bornAt, bornAt);
     address = at;
     bind(at)
         .addListener(
@@ -191,7 +192,7 @@
               if (f.isSuccess()) {
                 listener = f.channel();
               } else {
-                loop.say(
+                loop.logLine(
                     "stand-in " + id + " cannot listen at " + at + ": " + f.cause().getMessage());
               }
             });
@@ -200,9 +201,9 @@
   // ---- work ----
 
   private void sweep() {
-    loop.after(SWEEP, this::sweep);
+    loop.schedule(SWEEP, this::sweep);
     for (Peer peer : peers.toArray(new Peer[0])) {
-      if (peer.open.isEmpty() && loop.now() - peer.usedAt > habits.idleMs) {
+      if (peer.open.isEmpty() && loop.nowMs() - peer.usedAt > habits.idleMs) {
         peer.channel.close();
       }
     }
@@ -220,8 +221,8 @@
     timerAt = at;
     long life = lives;
     timer =
-        loop.after(
-            Math.max(0, at - loop.now()),
+        loop.schedule(
+            Math.max(0, at - loop.nowMs()),
             () -> {
               if (life == lives) {
                 timerAt = Double.POSITIVE_INFINITY;
@@ -231,7 +232,7 @@
   }
 
   private void finish() {
-    for (Capacity.Job job : capacity.done(loop.now())) {
+    for (CapacityModel.Job job : capacity.done(loop.nowMs())) {
       Ask ask = (Ask) job.what;
       if (mood == Mood.FAILING) {
         ask.answer("ERR", new ErrorRedisMessage("ERR failed"));
@@ -245,16 +246,16 @@
   private RedisMessage value(Ask ask) {
     List<RedisMessage> parts = new ArrayList<>(3);
     Channel channel = ask.peer.channel;
-    parts.add(Resp.bulk(channel.alloc(), "ok " + ask.requestId + " by " + id));
+    parts.add(RespCodec.bulkString(channel.alloc(), "ok " + ask.requestId + " by " + id));
     parts.add(FullBulkStringRedisMessage.NULL_INSTANCE);
-    parts.add(Resp.bulk(channel.alloc(), report()));
+    parts.add(RespCodec.bulkString(channel.alloc(), report()));
     return new ArrayRedisMessage(parts);
   }
 
   /** Late and noisy, as real ones. */
   private String report() {
-    if (loop.now() - reportedAt >= habits.reportEveryMs) {
-      reportedAt = loop.now();
+    if (loop.nowMs() - reportedAt >= habits.reportEveryMs) {
+      reportedAt = loop.nowMs();
       report =
           "inflight="
               + noisy(capacity.running())
@@ -288,7 +289,7 @@
         return;
       }
       if (requestId != null) {
-        effects.answered(loop.now(), id, requestId, kind);
+        effects.answered(loop.nowMs(), id, requestId, kind);
       }
       message = with;
       peer.drain();
@@ -299,7 +300,7 @@
     private final Channel channel;
     private final ArrayDeque<Ask> open = new ArrayDeque<>();
     private final First first = new First();
-    private double usedAt = loop.now();
+    private double usedAt = loop.nowMs();
 
     Peer(Channel channel) {
       this.channel = channel;
@@ -313,7 +314,7 @@
       public void channelRead(ChannelHandlerContext ctx, Object msg) {
         if (!begun && ((ByteBuf) msg).isReadable()) {
           begun = true;
-          effects.began(loop.now(), id);
+          effects.began(loop.nowMs(), id);
         }
         ctx.fireChannelRead(msg);
       }
@@ -339,16 +340,16 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
       first.begun = false;
-      usedAt = loop.now();
+      usedAt = loop.nowMs();
       try {
         if (msg instanceof ArrayRedisMessage command
             && !command.isNull()
             && !command.children().isEmpty()) {
           List<String> words = new ArrayList<>();
-          command.children().forEach(part -> words.add(String.valueOf(Resp.text(part))));
+          command.children().forEach(part -> words.add(String.valueOf(RespCodec.textOf(part))));
           command(words);
         } else {
-          effects.malformed(loop.now(), id, "no command");
+          effects.malformed(loop.nowMs(), id, "no command");
           ctx.close();
         }
       } finally {
@@ -360,7 +361,7 @@
       String verb = words.get(0);
       if (mood == Mood.NOISE) {
         channel
-            .writeAndFlush(Resp.bulk(channel.alloc(), "\u0001noise"))
+            .writeAndFlush(RespCodec.bulkString(channel.alloc(), "\u0001noise"))
             .addListener(f -> channel.close());
         return;
       }
@@ -372,7 +373,7 @@
       open.add(ask);
       switch (verb) {
         case "PING" -> ask.answer("", new SimpleStringRedisMessage("PONG"));
-        case "INFO" -> ask.answer("", Resp.bulk(channel.alloc(), report()));
+        case "INFO" -> ask.answer("", RespCodec.bulkString(channel.alloc(), report()));
         case "CLIENT", "SELECT" -> ask.answer("", new SimpleStringRedisMessage("OK"));
         default -> ask.answer("", new ErrorRedisMessage("ERR unknown command"));
       }
@@ -380,7 +381,7 @@
 
     private void call(List<String> words) {
       if (words.size() < 4 || words.size() > 5) {
-        effects.malformed(loop.now(), id, String.join(" ", words));
+        effects.malformed(loop.nowMs(), id, String.join(" ", words));
         Ask ask = new Ask(this, null);
         open.add(ask);
         ask.answer("", new ErrorRedisMessage("SYNTAX"));
@@ -391,10 +392,10 @@
       Ask ask = new Ask(this, words.get(2));
       open.add(ask);
       boolean full = mood == Mood.DRAINING;
-      Capacity.Job job = full ? null : capacity.offer(loop.now(), ask);
-      boolean repeat = job != null && key != null && rack.repeated(loop.now(), customer, key);
+      CapacityModel.Job job = full ? null : capacity.offer(loop.nowMs(), ask);
+      boolean repeat = job != null && key != null && rack.repeated(loop.nowMs(), customer, key);
       effects.came(
-          loop.now(),
+          loop.nowMs(),
           id,
           words.get(0),
           customer,
@@ -415,7 +416,7 @@
         wrote = true;
       }
       if (wrote) {
-        usedAt = loop.now();
+        usedAt = loop.nowMs();
         channel.flush();
       }
     }
@@ -423,7 +424,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (!(cause instanceof java.io.IOException)) {
-        effects.malformed(loop.now(), id, String.valueOf(cause.getMessage()));
+        effects.malformed(loop.nowMs(), id, String.valueOf(cause.getMessage()));
       }
       ctx.close();
     }
--- a/src/main/java/edgenode/emulator/Arrivals.java
+++ b/src/main/java/edgenode/emulator/ArrivalProcess.java
@@ -8,7 +8,7 @@
  * (thinning; Lewis and Shedler 1979). No arrival depends on what became of those before, so a slow
  * edge node is not spared. A pure core.
  */
-public final class Arrivals {
+public final class ArrivalProcess {
   /**
    * The rate at a time: requests a second at {@code at} ms from the start, never above {@code *
    * most}.
@@ -55,7 +55,8 @@
   /**
    * @param most the highest rate (a second) that the curve reaches
    */
-  public Arrivals(long seed, List<Campus> campuses, List<Kind> kinds, Rate rate, double most) {
+  public ArrivalProcess(
+      long seed, List<Campus> campuses, List<Kind> kinds, Rate rate, double most) {
     if (campuses.isEmpty() || kinds.isEmpty() || !(most > 0)) {
       throw new IllegalArgumentException("no campus, no class, or no rate");
     }
--- a/src/main/java/edgenode/emulator/Capacity.java
+++ b/src/main/java/edgenode/emulator/CapacityModel.java
@@ -17,7 +17,7 @@
  * evenly to all of it over {@code warmMs}. What a neighbour takes is taken from the cores. An event
  * costs O(running).
  */
-public final class Capacity {
+public final class CapacityModel {
   /** While the speed changes with time it is taken as steady for so long (ms). */
   private static final double STEP = 50;
 
@@ -89,7 +89,7 @@
   /**
    * @param startedAt when the server started; negative infinity for long ago
    */
-  public Capacity(Size size, long seed, double now, double startedAt) {
+  public CapacityModel(Size size, long seed, double now, double startedAt) {
     this.size = size;
     this.startedAt = startedAt;
     random = new Random(seed);
--- a/src/main/java/edgenode/emulator/Front.java
+++ b/src/main/java/edgenode/emulator/ClientLoadBalancer.java
@@ -10,7 +10,7 @@
  * as soon as that answers, and notices a death late: until then what it sends there is refused. A
  * pure core.
  */
-public final class Front {
+public final class ClientLoadBalancer {
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
   private final int nodes;
@@ -27,7 +27,7 @@
   /**
    * @param noticeMs how long it goes on sending to a node that has died
    */
-  public Front(int nodes, double noticeMs, long seed) {
+  public ClientLoadBalancer(int nodes, double noticeMs, long seed) {
     if (nodes < 1) {
       throw new IllegalArgumentException("a front of no edge nodes");
     }
--- a/src/main/java/edgenode/emulator/Consul.java
+++ b/src/main/java/edgenode/emulator/ConsulEmulator.java
@@ -6,7 +6,7 @@
 import java.util.StringJoiner;
 
 /** A stand-in for Consul's health of a service with blocking queries, from its public pages. */
-public final class Consul extends Http {
+public final class ConsulEmulator extends HttpEmulatorServer {
   /** An instance: its check is passing, warning, critical or maintenance. */
   public record Instance(
       String id, String address, int port, String status, int passing, int warning) {}
@@ -16,7 +16,7 @@
   private String token = "";
   private String lastPath = "";
 
-  public Consul() throws IOException {}
+  public ConsulEmulator() throws IOException {}
 
   public synchronized void set(Instance instance) {
     instances.put(instance.id(), instance);
--- a/src/main/java/edgenode/emulator/Counter.java
+++ b/src/main/java/edgenode/emulator/CounterEmulator.java
@@ -1,7 +1,7 @@
 package edgenode.emulator;
 
-import edgenode.eventloop.Loop;
-import edgenode.net.resp.Resp;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.net.resp.RespCodec;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -33,7 +33,7 @@
  * It can be full, fall silent, answer with noise, reset its connections, and start again empty. All
  * methods are for the loop's thread.
  */
-public final class Counter {
+public final class CounterEmulator {
   /** How it answers from now on. */
   public enum Mood {
     WELL,
@@ -87,7 +87,7 @@
 
   private record Turn(Call call, List<String> words) {}
 
-  private final Loop loop;
+  private final EdgeEventLoop loop;
   private final Size size;
   private final Calls calls;
   private final Map<String, Total> totals = new HashMap<>();
@@ -99,29 +99,29 @@
   private double freeAt;
   private boolean turning;
 
-  public Counter(Loop loop, Size size, Calls calls) {
+  public CounterEmulator(EdgeEventLoop loop, Size size, Calls calls) {
     this.loop = loop;
     this.size = size;
     this.calls = calls;
   }
 
   /** Listens there; port 0 for any, where the kind of channel has such. */
-  public Counter start(InetSocketAddress at) throws InterruptedException {
+  public CounterEmulator start(InetSocketAddress at) throws InterruptedException {
     ChannelFuture bound =
         loop.transport()
-            .accepting(loop.group(), BACKLOG)
+            .newServerBootstrap(loop.group(), BACKLOG)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    Resp.codec(channel.pipeline(), WORDS);
+                    RespCodec.addCodec(channel.pipeline(), WORDS);
                     channel.pipeline().addLast(new Peer(channel));
                   }
                 })
-            .bind(loop.transport().at(at));
+            .bind(loop.transport().toSocketAddress(at));
     address = at.getPort() == 0 ? (InetSocketAddress) bound.sync().channel().localAddress() : at;
     listener = bound.channel();
-    loop.later(() -> loop.after(SWEEP, this::sweep));
+    loop.execute(() -> loop.schedule(SWEEP, this::sweep));
     return this;
   }
 
@@ -159,8 +159,8 @@
   // ---- calls ----
 
   private void sweep() {
-    loop.after(SWEEP, this::sweep);
-    totals.values().removeIf(t -> t.until <= loop.now());
+    loop.schedule(SWEEP, this::sweep);
+    totals.values().removeIf(t -> t.until <= loop.nowMs());
   }
 
   /** One call in each 1/perSecond: the one that has waited longest. */
@@ -168,10 +168,10 @@
     if (turning || queue.isEmpty() || mood == Mood.SILENT) {
       return;
     }
-    double wait = freeAt - loop.now();
+    double wait = freeAt - loop.nowMs();
     if (wait > 0) {
       turning = true;
-      loop.after(
+      loop.schedule(
           wait,
           () -> {
             turning = false;
@@ -179,7 +179,7 @@
           });
       return;
     }
-    freeAt = Math.max(freeAt, loop.now() - 1000 / size.perSecond) + 1000 / size.perSecond;
+    freeAt = Math.max(freeAt, loop.nowMs() - 1000 / size.perSecond) + 1000 / size.perSecond;
     Turn turn = queue.poll();
     turn.call.answer(add(turn.words));
     turn();
@@ -190,16 +190,16 @@
     double amount = Double.parseDouble(words.get(2));
     long life = Math.min(LONGEST_LIFE, Long.parseLong(words.get(3)));
     Total total = totals.get(name);
-    if (total == null || total.until <= loop.now()) {
+    if (total == null || total.until <= loop.nowMs()) {
       total = new Total();
-      total.until = loop.now() + life;
+      total.until = loop.nowMs() + life;
       totals.put(name, total);
     }
     total.value += amount;
-    calls.added(loop.now(), name, amount, total.value);
+    calls.added(loop.nowMs(), name, amount, total.value);
     String text =
         new BigDecimal(total.value, new MathContext(12)).stripTrailingZeros().toPlainString();
-    return Resp.bulk(Unpooled.EMPTY_BUFFER.alloc(), text);
+    return RespCodec.bulkString(Unpooled.EMPTY_BUFFER.alloc(), text);
   }
 
   private static boolean wellFormed(List<String> words) {
@@ -262,7 +262,7 @@
       try {
         List<String> words = new ArrayList<>();
         if (msg instanceof ArrayRedisMessage command && !command.isNull()) {
-          command.children().forEach(part -> words.add(String.valueOf(Resp.text(part))));
+          command.children().forEach(part -> words.add(String.valueOf(RespCodec.textOf(part))));
         }
         command(call, words);
       } finally {
--- a/src/main/java/edgenode/emulator/CampusClients.java
+++ b/src/main/java/edgenode/emulator/CustomerClients.java
@@ -1,7 +1,7 @@
 package edgenode.emulator;
 
-import edgenode.eventloop.Loop;
-import edgenode.net.resp.Resp;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.net.resp.RespCodec;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -27,7 +27,7 @@
  * with a new id; a client whose patience is over closes its connection. All methods are for the
  * loop's thread.
  */
-public final class CampusClients {
+public final class CustomerClients {
   /** What became of a try. */
   public enum Fate {
     SERVED,
@@ -43,10 +43,11 @@
     /**
      * @param ms since it was due, for a retry since it was sent
      */
-    void ended(Arrivals.Arrival of, int retry, Fate fate, double ms);
+    void ended(ArrivalProcess.Arrival of, int retry, Fate fate, double ms);
 
     /** A request was written, with this id and this wait (ms). */
-    default void asked(double now, String id, Arrivals.Arrival of, Way way, double patience) {}
+    default void asked(
+        double now, String id, ArrivalProcess.Arrival of, Way way, double patience) {}
 
     /**
      * A message came; for the request that was written last on that connection, whether or not it
@@ -71,7 +72,7 @@
 
   /** Chooses the edge node of each try. */
   public interface Route {
-    Way way(Arrivals.Arrival of, double now);
+    Way way(ArrivalProcess.Arrival of, double now);
   }
 
   /**
@@ -93,8 +94,8 @@
    */
   private static final double AHEAD = 1;
 
-  private final Loop loop;
-  private final Arrivals arrivals;
+  private final EdgeEventLoop loop;
+  private final ArrivalProcess arrivals;
   private final Habits habits;
   private final Heard heard;
   private final Route route;
@@ -109,16 +110,26 @@
   /**
    * @param seed of ids and of the spread of retries
    */
-  public CampusClients(
-      Loop loop, Arrivals arrivals, Habits habits, InetSocketAddress node, Heard heard, long seed) {
+  public CustomerClients(
+      EdgeEventLoop loop,
+      ArrivalProcess arrivals,
+      Habits habits,
+      InetSocketAddress node,
+      Heard heard,
+      long seed) {
     this(loop, arrivals, habits, (of, now) -> new Way(node, 0, 1, 0), heard, seed);
   }
 
   /**
    * @param seed of the spread of retries
    */
-  public CampusClients(
-      Loop loop, Arrivals arrivals, Habits habits, Route route, Heard heard, long seed) {
+  public CustomerClients(
+      EdgeEventLoop loop,
+      ArrivalProcess arrivals,
+      Habits habits,
+      Route route,
+      Heard heard,
+      long seed) {
     this.loop = loop;
     this.arrivals = arrivals;
     this.habits = habits;
@@ -128,7 +139,7 @@
   }
 
   public void start() {
-    startedAt = loop.now();
+    startedAt = loop.nowMs();
     due(arrivals.next());
   }
 
@@ -150,20 +161,20 @@
     }
   }
 
-  private void due(Arrivals.Arrival next) {
-    Arrivals.Arrival a = next;
-    while (!ended && startedAt + a.at() <= loop.now() + AHEAD) {
+  private void due(ArrivalProcess.Arrival next) {
+    ArrivalProcess.Arrival a = next;
+    while (!ended && startedAt + a.at() <= loop.nowMs() + AHEAD) {
       ask(new Try(a, 0, startedAt + a.at()));
       a = arrivals.next();
     }
-    Arrivals.Arrival later = a;
+    ArrivalProcess.Arrival later = a;
     if (!ended) {
-      loop.after(Math.max(0, startedAt + a.at() - loop.now()), () -> due(later));
+      loop.schedule(Math.max(0, startedAt + a.at() - loop.nowMs()), () -> due(later));
     }
   }
 
   private final class Try {
-    private final Arrivals.Arrival of;
+    private final ArrivalProcess.Arrival of;
     private final int retry;
     private final double from;
     private Line line;
@@ -171,7 +182,7 @@
     private Future<?> patience;
     private boolean over;
 
-    Try(Arrivals.Arrival of, int retry, double from) {
+    Try(ArrivalProcess.Arrival of, int retry, double from) {
       this.of = of;
       this.retry = retry;
       this.from = from;
@@ -188,10 +199,10 @@
       over = true;
       open--;
       patience.cancel(false);
-      heard.ended(of, retry, fate, loop.now() - from);
+      heard.ended(of, retry, fate, loop.nowMs() - from);
       if (!ended && retry < habits.retries && again >= 0) {
         double wait = again * (0.75 + 0.5 * random.nextDouble());
-        loop.after(wait, () -> ask(new Try(of, retry + 1, loop.now())));
+        loop.schedule(wait, () -> ask(new Try(of, retry + 1, loop.nowMs())));
       }
     }
   }
@@ -202,17 +213,17 @@
     }
     open++;
     t.patience =
-        loop.after(
-            t.from + t.of.kind().patienceMs() - loop.now(),
+        loop.schedule(
+            t.from + t.of.kind().patienceMs() - loop.nowMs(),
             () -> {
               t.end(Fate.GIVEN_UP, -1);
               if (t.lingers()) {
-                loop.after(habits.lingerMs, () -> leave(t));
+                loop.schedule(habits.lingerMs, () -> leave(t));
               } else if (t.line != null) {
                 leave(t);
               }
             });
-    Way way = route.way(t.of, loop.now());
+    Way way = route.way(t.of, loop.nowMs());
     t.way = way;
     ArrayDeque<Line> idle = resting.computeIfAbsent(way.at, at -> new ArrayDeque<>());
     for (Line line = idle.pollLast(); line != null; line = idle.pollLast()) {
@@ -224,16 +235,16 @@
     Line line = new Line(idle);
     ChannelFuture connected =
         loop.transport()
-            .connecting(loop.group(), CONNECT)
+            .newClientBootstrap(loop.group(), CONNECT)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    Resp.codec(channel.pipeline(), ELEMENTS);
+                    RespCodec.addCodec(channel.pipeline(), ELEMENTS);
                     channel.pipeline().addLast(line);
                   }
                 })
-            .connect(loop.transport().at(way.at));
+            .connect(loop.transport().toSocketAddress(way.at));
     connected.addListener(
         f -> {
           if (f.isSuccess()) {
@@ -258,7 +269,7 @@
   /** The client of a try whose time is over goes away, where the answer has not come meanwhile. */
   private void leave(Try t) {
     if (t.line.current == t) {
-      heard.gaveUp(loop.now(), t.line.lastId);
+      heard.gaveUp(loop.nowMs(), t.line.lastId);
       ended(t.line);
     }
   }
@@ -278,8 +289,8 @@
     void write(Try t) {
       current = t;
       t.line = this;
-      Arrivals.Arrival a = t.of;
-      long left = Math.max(1, Math.round(t.from + a.kind().patienceMs() - loop.now()));
+      ArrivalProcess.Arrival a = t.of;
+      long left = Math.max(1, Math.round(t.from + a.kind().patienceMs() - loop.nowMs()));
       String list =
           "c="
               + a.kind().name()
@@ -295,11 +306,12 @@
               + (t.retry > 0 ? ",r=1" : "");
       String id = Long.toHexString(++ids);
       lastId = id;
-      heard.asked(loop.now(), id, a, t.way, left);
+      heard.asked(loop.nowMs(), id, a, t.way, left);
       ArrayRedisMessage command =
           a.key() == null
-              ? Resp.command(channel.alloc(), "CALL.GET", a.campus().customer(), id, list)
-              : Resp.command(channel.alloc(), "CALL.POST", a.campus().customer(), id, list, "body");
+              ? RespCodec.command(channel.alloc(), "CALL.GET", a.campus().customer(), id, list)
+              : RespCodec.command(
+                  channel.alloc(), "CALL.POST", a.campus().customer(), id, list, "body");
       channel.writeAndFlush(command);
     }
 
@@ -309,7 +321,7 @@
       current = null;
       try {
         RedisMessage message = (RedisMessage) msg;
-        heard.message(loop.now(), lastId, kind(message), words(message));
+        heard.message(loop.nowMs(), lastId, kind(message), words(message));
         if (t == null) {
           ctx.close(); // an answer to nothing
           return;
@@ -323,11 +335,11 @@
 
     private static Fate kind(RedisMessage msg) {
       boolean value =
-          Resp.isValue(msg)
+          RespCodec.isBulkString(msg)
               || msg instanceof ArrayRedisMessage array
                   && !array.isNull()
                   && !array.children().isEmpty()
-                  && Resp.isValue(array.children().get(0));
+                  && RespCodec.isBulkString(array.children().get(0));
       return value
           ? Fate.SERVED
           : msg instanceof ErrorRedisMessage error && error.content().startsWith("BUSY")
@@ -340,8 +352,8 @@
       return msg instanceof ErrorRedisMessage error
           ? error.content()
           : msg instanceof ArrayRedisMessage array && !array.isNull() && !array.children().isEmpty()
-              ? String.valueOf(Resp.text(array.children().get(0)))
-              : String.valueOf(Resp.text(msg));
+              ? String.valueOf(RespCodec.textOf(array.children().get(0)))
+              : String.valueOf(RespCodec.textOf(msg));
     }
 
     private void told(Try t, RedisMessage msg) {
@@ -368,7 +380,7 @@
       lines.remove(this);
       idle.remove(this);
       if (current != null) {
-        heard.cut(loop.now(), lastId);
+        heard.cut(loop.nowMs(), lastId);
         Try t = current;
         current = null;
         t.end(Fate.LOST, habits.retryAfterMs);
--- a/src/main/java/edgenode/emulator/Agent.java
+++ b/src/main/java/edgenode/emulator/DiscoveryAgentEmulator.java
@@ -22,7 +22,7 @@
  * some connections at an offset, to say nothing at all, to lag, to answer with given bytes. Each
  * connection has a thread of its own; for tests and rehearsals, not for load.
  */
-public final class Agent implements Closeable {
+public final class DiscoveryAgentEmulator implements Closeable {
   /** One server in the list; site and block tell its rack. */
   public record Host(String id, String dial, String health, double bornMs, String site, int block) {
     public Host(String id, String dial, String health, double bornMs) {
@@ -76,18 +76,18 @@
 
   private record Change(long seq, Host host) {}
 
-  public Agent(long seq) throws IOException {
+  public DiscoveryAgentEmulator(long seq) throws IOException {
     this("127.0.0.1", seq);
   }
 
-  public Agent(String address, long seq) throws IOException {
+  public DiscoveryAgentEmulator(String address, long seq) throws IOException {
     this(address, 0, seq);
   }
 
   /**
    * @param port 0 for any; one that was in use a moment ago is taken again, as by a restart
    */
-  public Agent(String address, int port, long seq) throws IOException {
+  public DiscoveryAgentEmulator(String address, int port, long seq) throws IOException {
     this.seq = seq;
     socket = new ServerSocket();
     socket.setReuseAddress(true);
@@ -270,7 +270,7 @@
       } catch (IOException | InterruptedException e) {
         // the other side has gone
       } finally {
-        synchronized (Agent.this) {
+        synchronized (DiscoveryAgentEmulator.this) {
           lines.remove(this);
         }
       }
@@ -278,7 +278,7 @@
 
     private void answer(String request) throws IOException, InterruptedException {
       int since = request.indexOf("since=");
-      synchronized (Agent.this) {
+      synchronized (DiscoveryAgentEmulator.this) {
         requests++;
         kind = request.contains("follow=1") ? Kind.WATCH : Kind.LIST;
         sent = 0;
@@ -310,12 +310,12 @@
       boolean first = true;
       int garbledBefore;
       long floods;
-      synchronized (Agent.this) {
+      synchronized (DiscoveryAgentEmulator.this) {
         garbledBefore = garbles;
         floods = flood;
         flood = 0;
       }
-      synchronized (Agent.this) {
+      synchronized (DiscoveryAgentEmulator.this) {
         watches++;
       }
       String some = "x".repeat(1 << 16);
@@ -324,14 +324,14 @@
       }
       while (true) {
         String text;
-        synchronized (Agent.this) {
+        synchronized (DiscoveryAgentEmulator.this) {
           long until = System.nanoTime() / 1_000_000 + BEAT;
           while (!first
               && !closed
               && seq == at
               && garbles == garbledBefore
               && System.nanoTime() / 1_000_000 < until) {
-            Agent.this.wait(Math.max(1, until - System.nanoTime() / 1_000_000));
+            DiscoveryAgentEmulator.this.wait(Math.max(1, until - System.nanoTime() / 1_000_000));
           }
           if (closed) {
             return;
@@ -367,9 +367,9 @@
     private void write(String text) throws IOException, InterruptedException {
       byte[] all = text.getBytes(StandardCharsets.US_ASCII);
       int n;
-      synchronized (Agent.this) {
+      synchronized (DiscoveryAgentEmulator.this) {
         while (silent && !closed) {
-          Agent.this.wait();
+          DiscoveryAgentEmulator.this.wait();
         }
         n = (int) Math.max(0, Math.min(all.length, limit - sent));
         sent += n;
--- a/src/main/java/edgenode/emulator/Discovery.java
+++ b/src/main/java/edgenode/emulator/DiscoveryEmulator.java
@@ -1,6 +1,6 @@
 package edgenode.emulator;
 
-import edgenode.eventloop.Loop;
+import edgenode.eventloop.EdgeEventLoop;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -38,10 +38,10 @@
  * silent, stall what is out at a byte, send an empty first list, and lose its state. All methods
  * are for the loop's thread.
  */
-public final class Discovery {
+public final class DiscoveryEmulator {
   /** What passes: a change that has been written to every watch that stands. */
   public interface Told {
-    void told(double now, Agent.Host host);
+    void told(double now, DiscoveryAgentEmulator.Host host);
   }
 
   private static final int BACKLOG = 128;
@@ -52,11 +52,11 @@
    */
   private static final int KEPT = 4096;
 
-  private record Change(long seq, Agent.Host host) {}
+  private record Change(long seq, DiscoveryAgentEmulator.Host host) {}
 
-  private final Loop loop;
+  private final EdgeEventLoop loop;
   private final Told told;
-  private final Map<String, Agent.Host> hosts = new LinkedHashMap<>();
+  private final Map<String, DiscoveryAgentEmulator.Host> hosts = new LinkedHashMap<>();
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
   private final Set<Line> lines = new LinkedHashSet<>();
   private Channel listener;
@@ -65,22 +65,22 @@
   private boolean silent;
 
   /** What changed while it was silent, and was told to nobody. */
-  private final List<Agent.Host> untold = new ArrayList<>();
+  private final List<DiscoveryAgentEmulator.Host> untold = new ArrayList<>();
 
   private int empties;
   private long stallAt = -1;
 
-  public Discovery(Loop loop, long seq, Told told) {
+  public DiscoveryEmulator(EdgeEventLoop loop, long seq, Told told) {
     this.loop = loop;
     this.seq = seq;
     this.told = told;
   }
 
   /** Listens there. */
-  public Discovery start(InetSocketAddress at) throws InterruptedException {
+  public DiscoveryEmulator start(InetSocketAddress at) throws InterruptedException {
     ServerBootstrap boot =
         loop.transport()
-            .accepting(loop.group(), BACKLOG)
+            .newServerBootstrap(loop.group(), BACKLOG)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -89,13 +89,13 @@
                     channel.pipeline().addLast(line.cut, new HttpServerCodec(), line);
                   }
                 });
-    boot.bind(loop.transport().at(at))
+    boot.bind(loop.transport().toSocketAddress(at))
         .addListener(
             (io.netty.channel.ChannelFuture f) -> {
               if (f.isSuccess()) {
                 listener = f.channel();
               } else {
-                loop.say(
+                loop.logLine(
                     "stand-in discovery cannot listen at " + at + ": " + f.cause().getMessage());
               }
             });
@@ -109,15 +109,15 @@
   // ---- the list ----
 
   /** Changes an entry; agents know it after the lag. Health: active, leaving or left. */
-  public void set(Agent.Host host) {
+  public void set(DiscoveryAgentEmulator.Host host) {
     if (lag > 0) {
-      loop.after(lag, () -> apply(host));
+      loop.schedule(lag, () -> apply(host));
     } else {
       apply(host);
     }
   }
 
-  private void apply(Agent.Host host) {
+  private void apply(DiscoveryAgentEmulator.Host host) {
     seq++;
     if (host.health().equals("left")) {
       hosts.remove(host.id());
@@ -132,7 +132,7 @@
     if (silent) {
       untold.add(host);
     } else {
-      told.told(loop.now(), host);
+      told.told(loop.nowMs(), host);
     }
   }
 
@@ -150,7 +150,7 @@
       for (Line line : lines.toArray(new Line[0])) {
         line.speak();
       }
-      untold.forEach(host -> told.told(loop.now(), host));
+      untold.forEach(host -> told.told(loop.nowMs(), host));
       untold.clear();
     }
   }
@@ -175,7 +175,7 @@
   }
 
   /** Its state is lost: versions start again from here, with this list. */
-  public void restart(long from, List<Agent.Host> list) {
+  public void restart(long from, List<DiscoveryAgentEmulator.Host> list) {
     seq = from;
     hosts.clear();
     changes.clear();
@@ -211,7 +211,7 @@
     if (version > seq || changes.isEmpty() || changes.peek().seq > version + 1) {
       return whole();
     }
-    Map<String, Agent.Host> last = new LinkedHashMap<>();
+    Map<String, DiscoveryAgentEmulator.Host> last = new LinkedHashMap<>();
     for (Change c : changes) {
       if (c.seq > version) {
         last.put(c.host.id(), c.host);
@@ -317,7 +317,7 @@
 
     private void beat() {
       long had = at;
-      loop.after(
+      loop.schedule(
           BEAT,
           () -> {
             if (channel.isActive()) {
--- a/src/main/java/edgenode/emulator/NameServer.java
+++ b/src/main/java/edgenode/emulator/DnsServerEmulator.java
@@ -16,7 +16,7 @@
 /**
  * A stand-in name server over UDP on loopback that knows SRV and A records (RFC 1035, RFC 2782).
  */
-public final class NameServer implements Closeable {
+public final class DnsServerEmulator implements Closeable {
   /** An SRV record's data; ttl in seconds. */
   public record Srv(int ttl, int priority, int weight, int port, String target) {}
 
@@ -34,7 +34,7 @@
   private boolean additional;
   private int questions;
 
-  public NameServer() throws IOException {
+  public DnsServerEmulator() throws IOException {
     Thread thread = new Thread(this::serve, "stand-in name server");
     thread.setDaemon(true);
     thread.start();
--- a/src/main/java/edgenode/emulator/Eds.java
+++ b/src/main/java/edgenode/emulator/EdsEmulator.java
@@ -8,14 +8,14 @@
  * A stand-in for an xDS management server that serves endpoints over REST, from Envoy's public
  * pages.
  */
-public final class Eds extends Http {
+public final class EdsEmulator extends HttpEmulatorServer {
   private String version = "";
   private String resources = "";
   private String type = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
   private long nonce;
   private final List<String> asked = new ArrayList<>();
 
-  public Eds() throws IOException {}
+  public EdsEmulator() throws IOException {}
 
   /** What is served from now on: the JSON of the resources, in an array. */
   public synchronized void set(String newVersion, String json) {
--- a/src/main/java/edgenode/emulator/Http.java
+++ b/src/main/java/edgenode/emulator/HttpEmulatorServer.java
@@ -19,7 +19,7 @@
  * A small HTTP/1.1 server on loopback whose answers can be spoilt. A thread a connection; for tests
  * and rehearsals.
  */
-public abstract class Http implements Closeable {
+public abstract class HttpEmulatorServer implements Closeable {
   /** What becomes of the next answer. */
   public enum Fault {
     /** As it should be. */
@@ -52,7 +52,7 @@
   private int faults;
   private int questions;
 
-  protected Http() throws IOException {
+  protected HttpEmulatorServer() throws IOException {
     socket = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
     thread(
         () -> {
--- a/src/main/java/edgenode/emulator/Rack.java
+++ b/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
@@ -9,7 +9,7 @@
  * the window has no second effect. Memory is bounded by what begins within a window. Not safe for
  * use by several threads.
  */
-public final class Rack {
+public final class IdempotencyGroupModel {
   private record Begun(String key, double at) {}
 
   private final String name;
@@ -23,7 +23,7 @@
    * @param block its number, as lists tell it
    * @param window for how long (ms) a repeat is known
    */
-  public Rack(String name, int block, double window) {
+  public IdempotencyGroupModel(String name, int block, double window) {
     this.name = name;
     this.block = block;
     this.window = window;
--- a/src/main/java/edgenode/emulator/AppServer.java
+++ b/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
@@ -21,7 +21,7 @@
  * and tells when one came. It can die, which resets its connections and refuses new ones, and come
  * back at the same address. A thread for each connection; for tests and rehearsals, not for load.
  */
-public final class AppServer implements Closeable {
+public final class ThreadedAppServerEmulator implements Closeable {
   private static final byte[] PONG = "+PONG\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] REPORT = "$9\r\nutil=0.10\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] VALUE =
@@ -41,7 +41,7 @@
    * @param came hears {@link System#nanoTime} for each command that has come whole, on the
    *     connection's thread
    */
-  public AppServer(Consumer<Long> came) throws IOException {
+  public ThreadedAppServerEmulator(Consumer<Long> came) throws IOException {
     this.came = came;
     ServerSocket first = listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
     socket = first;
--- a/src/main/java/edgenode/eventloop/Loop.java
+++ b/src/main/java/edgenode/eventloop/EdgeEventLoop.java
@@ -8,21 +8,21 @@
  * The event loop as those that live on it see it: one thread, one clock, and no exception that ends
  * it.
  */
-public interface Loop {
+public interface EdgeEventLoop {
   /** The clock: Unix time in ms that never goes back. */
-  double now();
+  double nowMs();
 
   /**
    * For how long (ms) what is handled now may have waited for the loop: bytes that have just been
    * read, or a timer. 0 on a loop that is never busy, as in virtual time.
    */
-  double delay();
+  double queueingDelayMs();
 
   /** Runs on the loop after a delay (ms); what it throws is logged and ends there. */
-  Future<?> after(double delay, Runnable what);
+  Future<?> schedule(double delayMs, Runnable task);
 
   /** Runs on the loop once what runs now has returned; may be called from any thread. */
-  void later(Runnable what);
+  void execute(Runnable task);
 
   EventLoopGroup group();
 
@@ -35,11 +35,11 @@
   void flushLater(Channel channel);
 
   /** Writes out what this round's events have left on connections. */
-  void flush();
+  void flushPending();
 
   /** An unexpected failure, for the log; so many at most. */
-  void log(String where, Throwable what);
+  void logFailure(String where, Throwable cause);
 
   /** A line for the log. */
-  void say(String line);
+  void logLine(String line);
 }
--- a/src/main/java/edgenode/eventloop/Transport.java
+++ b/src/main/java/edgenode/eventloop/Transport.java
@@ -33,19 +33,19 @@
    * Sockets of this machine: native epoll, measured to take a fifth less CPU than NIO; NIO where it
    * is not there.
    */
-  Transport SOCKETS = new Sockets();
+  Transport SOCKETS = new SocketTransport();
 
   /** What connects: a bootstrap without a handler. */
-  Bootstrap connecting(EventLoopGroup group, int withinMs);
+  Bootstrap newClientBootstrap(EventLoopGroup group, int connectTimeoutMs);
 
   /** What accepts connections: a bootstrap without handlers. */
-  ServerBootstrap accepting(EventLoopGroup group, int backlog);
+  ServerBootstrap newServerBootstrap(EventLoopGroup group, int backlog);
 
   /**
    * Lets another process of this user listen at the same address: a new version beside the old one.
    */
-  default ServerBootstrap shared(ServerBootstrap accepting) {
-    return accepting;
+  default ServerBootstrap withSharedPort(ServerBootstrap bootstrap) {
+    return bootstrap;
   }
 
   /**
@@ -55,7 +55,7 @@
    *
    * @return false where this cannot be had, and connections go on being dealt to both
    */
-  default boolean giveWay(Channel listener) {
+  default boolean yieldNewConnections(Channel listener) {
     return false;
   }
 
@@ -64,103 +64,103 @@
    * reading: behind bytes that are not read its end is seen by nobody. False also where this cannot
    * be had.
    */
-  default boolean ended(Channel connection) {
+  default boolean isClosedByPeer(Channel connection) {
     return false;
   }
 
   /** An address as these channels have it. */
-  SocketAddress at(InetSocketAddress address);
+  SocketAddress toSocketAddress(InetSocketAddress address);
 
   /** For questions to name servers: sockets, whatever the other channels are. */
-  default Class<? extends DatagramChannel> datagram() {
-    return Sockets.NATIVE ? EpollDatagramChannel.class : NioDatagramChannel.class;
+  default Class<? extends DatagramChannel> datagramChannelType() {
+    return SocketTransport.HAS_EPOLL ? EpollDatagramChannel.class : NioDatagramChannel.class;
   }
 
   /** For answers of name servers that are too long for a datagram. */
-  default Class<? extends SocketChannel> stream() {
-    return Sockets.NATIVE ? EpollSocketChannel.class : NioSocketChannel.class;
+  default Class<? extends SocketChannel> streamChannelType() {
+    return SocketTransport.HAS_EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
   }
 
   /** A thread of its own for {@link #SOCKETS}. */
-  static EventLoopGroup loop() {
+  static EventLoopGroup newEventLoopGroup() {
     return new MultiThreadIoEventLoopGroup(
-        1, Sockets.NATIVE ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
+        1, SocketTransport.HAS_EPOLL ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
   }
 
   /** The machine's own. */
-  final class Sockets implements Transport {
-    private static final boolean NATIVE = Epoll.isAvailable();
+  final class SocketTransport implements Transport {
+    private static final boolean HAS_EPOLL = Epoll.isAvailable();
 
     /**
      * States of a connection as Linux counts them (TCP_INFO in tcp(7), the states of RFC 9293
      * 3.3.2).
      */
-    private static final int CLOSED = 7;
+    private static final int TCP_CLOSED = 7;
 
-    private static final int CLOSE_WAIT = 8;
+    private static final int TCP_CLOSE_WAIT = 8;
 
     /**
      * Accepted in one pass of the loop at most: a burst of connects must not hold up what else is
      * ready.
      */
-    private static final int ACCEPTED_AT_ONCE = 16;
+    private static final int MAX_ACCEPTS_PER_PASS = 16;
 
-    private Sockets() {}
+    private SocketTransport() {}
 
-    private static Class<? extends Channel> socket() {
-      return NATIVE ? EpollSocketChannel.class : NioSocketChannel.class;
+    private static Class<? extends Channel> socketChannelType() {
+      return HAS_EPOLL ? EpollSocketChannel.class : NioSocketChannel.class;
     }
 
-    private static Class<? extends ServerChannel> listener() {
-      return NATIVE ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
+    private static Class<? extends ServerChannel> serverChannelType() {
+      return HAS_EPOLL ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
     }
 
     @Override
-    public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+    public Bootstrap newClientBootstrap(EventLoopGroup group, int connectTimeoutMs) {
       return new Bootstrap()
           .group(group)
-          .channel(socket())
-          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
+          .channel(socketChannelType())
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
     }
 
     @Override
-    public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+    public ServerBootstrap newServerBootstrap(EventLoopGroup group, int backlog) {
       return new ServerBootstrap()
           .group(group)
-          .channel(listener())
+          .channel(serverChannelType())
           .option(ChannelOption.SO_BACKLOG, backlog)
           .option(ChannelOption.SO_REUSEADDR, true)
-          .option(ChannelOption.RECVBUF_ALLOCATOR, untilNoneWaits());
+          .option(ChannelOption.RECVBUF_ALLOCATOR, newAcceptAllocator());
     }
 
     /**
      * Accepts until none waits. By default Netty's epoll channel compares the accepted descriptor
      * with 1 to tell whether more wait, and so accepts one connection in each pass of the loop.
      */
-    private static RecvByteBufAllocator untilNoneWaits() {
+    private static RecvByteBufAllocator newAcceptAllocator() {
       return new ServerChannelRecvByteBufAllocator()
           .respectMaybeMoreData(false)
-          .maxMessagesPerRead(ACCEPTED_AT_ONCE);
+          .maxMessagesPerRead(MAX_ACCEPTS_PER_PASS);
     }
 
     @Override
-    public ServerBootstrap shared(ServerBootstrap accepting) {
-      return NATIVE
-          ? accepting.option(UnixChannelOption.SO_REUSEPORT, true)
-          : accepting.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
+    public ServerBootstrap withSharedPort(ServerBootstrap bootstrap) {
+      return HAS_EPOLL
+          ? bootstrap.option(UnixChannelOption.SO_REUSEPORT, true)
+          : bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
 
     @Override
-    public boolean giveWay(Channel listener) {
-      return NATIVE && Reuseport.giveWay(listener);
+    public boolean yieldNewConnections(Channel listener) {
+      return HAS_EPOLL && ReusePortProgram.selectSecondSocket(listener);
     }
 
     @Override
-    public boolean ended(Channel connection) {
+    public boolean isClosedByPeer(Channel connection) {
       try {
         if (connection instanceof EpollSocketChannel socket && socket.isActive()) {
           int state = socket.tcpInfo().state();
-          return state == CLOSED || state == CLOSE_WAIT;
+          return state == TCP_CLOSED || state == TCP_CLOSE_WAIT;
         }
       } catch (ChannelException e) {
         // it has just been closed, or the system does not tell
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public SocketAddress at(InetSocketAddress address) {
+    public SocketAddress toSocketAddress(InetSocketAddress address) {
       return address;
     }
   }
--- a/src/main/java/edgenode/membership/Source.java
+++ b/src/main/java/edgenode/membership/EndpointSource.java
@@ -3,34 +3,35 @@
 import java.util.List;
 
 /** Where a list of servers comes from. Lives on the event loop; tells a {@link Sink}. */
-public interface Source {
+public interface EndpointSource {
   /** What a source tells; the space is the name that the source was given. */
-  interface Sink {
+  interface EndpointSourceListener {
     /** The version from which changes are wanted, -1 where the whole list is. */
-    long version(String space);
+    long resumeVersion(String sourceId);
 
-    /** See {@link Membership#told}. */
-    void told(String space, long seq, boolean whole, List<Entry> entries);
+    /** See {@link Membership#endpointsReceived}. */
+    void endpointsReceived(
+        String sourceId, long version, boolean isComplete, List<DiscoveredEndpoint> endpoints);
 
-    /** See {@link Membership#again}. */
-    boolean again(String space, long seq);
+    /** See {@link Membership#confirmUnchanged}. */
+    boolean confirmUnchanged(String sourceId, long version);
 
     /** Nothing has changed. */
-    void heard(String space);
+    void sourceConfirmed(String sourceId);
 
     /** A call failed; refused: nobody listens there. */
-    void failed(String space, boolean refused);
+    void requestFailed(String sourceId, boolean isRefused);
 
     /** The source was left and has closed its last connection. */
-    void ended(String space);
+    void sourceClosed(String sourceId);
   }
 
   /** Begins, once. */
   void start();
 
   /** What was told is in doubt: new connections, and the whole list. */
-  void askAnew();
+  void resync();
 
   /** Another source tells from now on: asks no more, and ends its connections within so many ms. */
-  void leave(double within);
+  void retire(double graceMs);
 }
--- a/src/main/java/edgenode/membership/Membership.java
+++ b/src/main/java/edgenode/membership/Membership.java
@@ -41,18 +41,29 @@
  */
 public final class Membership {
   /** What one call has changed, for the decision module and for the log. */
-  public record Changes(List<Entry> entries, boolean whole, List<String> notes, boolean askAnew) {
-    public static final Changes NONE = new Changes(List.of(), false, List.of(), false);
+  public record MembershipUpdate(
+      List<DiscoveredEndpoint> endpoints,
+      boolean isComplete,
+      List<String> messages,
+      boolean mustResync) {
+    public static final MembershipUpdate NONE =
+        new MembershipUpdate(List.of(), false, List.of(), false);
   }
 
   /**
    * The view in figures: servers shown, up, held, dead, and ms since a source last confirmed it.
    */
-  public record Figures(int servers, int up, int held, int dead, double age, long version) {}
+  public record MembershipStats(
+      int endpointCount,
+      int upCount,
+      int quarantinedCount,
+      int unreachableCount,
+      double ageMs,
+      long version) {}
 
   private static final class Space {
     final String name;
-    final Map<String, Entry> entries = new LinkedHashMap<>();
+    final Map<String, DiscoveredEndpoint> entries = new LinkedHashMap<>();
     long seq = -1;
 
     /**
@@ -86,12 +97,12 @@
     double doubtSince = Double.NaN;
 
     /** What the older version that came last said. */
-    Collection<Entry> behindSaid = List.of();
+    Collection<DiscoveredEndpoint> behindSaid = List.of();
 
     /** An older version that was looked into and found to be of no account, and what it said. */
     long ignored = Long.MIN_VALUE;
 
-    Collection<Entry> ignoredSaid = List.of();
+    Collection<DiscoveredEndpoint> ignoredSaid = List.of();
 
     /** It has told a whole list, or one was known of it: its word on who is there counts. */
     boolean usable;
@@ -102,8 +113,8 @@
   }
 
   private static final class Host {
-    Entry shown;
-    Entry kept;
+    DiscoveredEndpoint shown;
+    DiscoveredEndpoint kept;
     double heldUntil = Double.NEGATIVE_INFINITY;
     double upAt = Double.NEGATIVE_INFINITY;
     double downAt = Double.NEGATIVE_INFINITY;
@@ -126,7 +137,7 @@
 
   private record Cold(double startedAt, double until) {}
 
-  private final Limits limits;
+  private final MembershipLimits limits;
   private final Map<String, Host> hosts = new HashMap<>();
   private final Map<String, Cold> cold = new HashMap<>();
   private final List<Space> left = new ArrayList<>();
@@ -140,7 +151,7 @@
   private int up;
   private double now = Double.NEGATIVE_INFINITY;
   private double heardAt = Double.NaN;
-  private boolean told;
+  private boolean endpointsReceived;
   private boolean oldNoted;
   private boolean askAnew;
 
@@ -148,7 +159,7 @@
    * @param space the name of the first space; {@code known} what was known of it at the start,
    *     perhaps old
    */
-  public Membership(Limits limits, String space) {
+  public Membership(MembershipLimits limits, String space) {
     this.limits = limits;
     current = new Space(space);
   }
@@ -159,12 +170,13 @@
    * What was known at the start serves until a source tells; its version says where a watch may go
    * on.
    */
-  public Changes known(double time, long seq, Collection<Entry> entries) {
+  public MembershipUpdate loadInitialList(
+      double time, long seq, Collection<DiscoveredEndpoint> entries) {
     begin(time);
     if (!current.confirmed && current.seq < 0) {
       current.seq = Math.max(-1, seq);
       current.usable = true;
-      for (Entry e : entries) {
+      for (DiscoveredEndpoint e : entries) {
         put(current, e);
         touched.add(e.id());
       }
@@ -176,7 +188,7 @@
    * The version from which a watch in the current space goes on, -1 where the whole list must be
    * asked.
    */
-  public long version() {
+  public long resumeVersion() {
     return current.anew ? -1 : current.seq;
   }
 
@@ -184,26 +196,26 @@
    * Discovery is elsewhere now. Versions start anew; what the old space says still counts against
    * servers.
    */
-  public void move(double time, String space) {
+  public void switchSource(double time, String space) {
     begin(time);
     left.add(current);
     current = new Space(space);
   }
 
   /** A space that was left has closed its last connection. */
-  public Changes ended(double time, String space) {
+  public MembershipUpdate sourceClosed(double time, String space) {
     begin(time);
     for (Space s : left) {
       if (s.name.equals(space) && Double.isNaN(s.endedAt)) {
         s.endedAt = now;
-        check(now + limits.overlay(), null);
+        check(now + limits.retiredSourceTtlMs(), null);
       }
     }
     return end();
   }
 
   /** A source says that nothing has changed since what it told before. */
-  public Changes heard(double time, String space) {
+  public MembershipUpdate sourceConfirmed(double time, String space) {
     begin(time);
     if (space.equals(current.name)) {
       fresh();
@@ -215,16 +227,16 @@
    * The same list again, known by its bytes: an older one stays in doubt, a newer one stays
    * confirmed. O(1).
    *
-   * @return false where the list must be given to {@link #told} in full after all
+   * @return false where the list must be given to {@link #endpointsReceived} in full after all
    */
-  public boolean again(double time, String space, long seq) {
+  public boolean confirmUnchanged(double time, String space, long seq) {
     if (!space.equals(current.name)
         || seq != current.seq
         || !current.doubted.isEmpty()
         || current.anew
         || !current.confirmed
         || oldNoted
-        || next() <= time) { // what is due is told with the list
+        || nextTickMs() <= time) { // what is due is told with the list
       return false;
     }
     now = Math.max(now, time);
@@ -242,8 +254,8 @@
    * @param whole whether it is the whole list
    * @param entries the servers that it names, the last one of a name counts
    */
-  public Changes told(
-      double time, String space, long seq, boolean whole, Collection<Entry> entries) {
+  public MembershipUpdate endpointsReceived(
+      double time, String space, long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
     begin(time);
     if (space.equals(current.name)) {
       fresh();
@@ -263,7 +275,7 @@
   }
 
   /** In order, from the current space. */
-  private void newer(long seq, boolean whole, Collection<Entry> entries) {
+  private void newer(long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
     boolean first = !current.confirmed || current.anew;
     if (!whole && seq < current.seq) { // a change to a list that nobody has confirmed
       older(seq, false, entries);
@@ -280,7 +292,7 @@
       current.doubtSince = Double.NaN;
       touched.addAll(hosts.keySet());
     } else {
-      for (Entry e : entries) {
+      for (DiscoveredEndpoint e : entries) {
         put(current, e);
         touched.add(e.id());
         current.doubted.remove(e.id());
@@ -291,8 +303,8 @@
   }
 
   /** The whole list: what it lacks is gone, unless it lacks too much at once. */
-  private void replace(Collection<Entry> entries) {
-    Map<String, Entry> before = new LinkedHashMap<>(current.entries);
+  private void replace(Collection<DiscoveredEndpoint> entries) {
+    Map<String, DiscoveredEndpoint> before = new LinkedHashMap<>(current.entries);
     if (before.isEmpty()) {
       for (Map.Entry<String, Host> h : hosts.entrySet()) { // after a move: what is shown
         if (h.getValue().shown != null) {
@@ -301,18 +313,18 @@
       }
     }
     current.entries.clear();
-    for (Entry e : entries) {
+    for (DiscoveredEndpoint e : entries) {
       put(current, e);
       touched.add(e.id()); // what comes is told before what goes
     }
     int left = 0;
-    for (Entry e : current.entries.values()) {
-      left += e.server().state() == EndpointState.UP ? 1 : 0;
+    for (DiscoveredEndpoint e : current.entries.values()) {
+      left += e.info().state() == EndpointState.UP ? 1 : 0;
     }
-    double hold = left == 0 ? limits.holdEmpty() : limits.holdShrunk();
-    boolean holding = up > 0 && left < limits.shrink() * up;
+    double hold = left == 0 ? limits.emptyListQuarantineMs() : limits.shrunkListQuarantineMs();
+    boolean holding = up > 0 && left < limits.minRetainedShare() * up;
     int held = 0;
-    for (Map.Entry<String, Entry> e : before.entrySet()) {
+    for (Map.Entry<String, DiscoveredEndpoint> e : before.entrySet()) {
       String id = e.getKey();
       Host h = hosts.get(id);
       touched.add(id);
@@ -324,7 +336,7 @@
       if (h == null || h.heldUntil > now) {
         continue;
       }
-      boolean wasUp = h.shown != null && h.shown.server().state() == EndpointState.UP;
+      boolean wasUp = h.shown != null && h.shown.info().state() == EndpointState.UP;
       if (holding
           && wasUp
           && h.answeredAt > Double.NEGATIVE_INFINITY
@@ -352,16 +364,16 @@
   }
 
   /** A version before the newest, or none: it can take servers down, and no more. */
-  private void older(long seq, boolean whole, Collection<Entry> entries) {
+  private void older(long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
     if (seq == current.ignored && current.ignoredSaid.equals(entries)) {
       return;
     }
     current.behind = seq;
     current.behindSaid = entries;
     Set<String> named = new HashSet<>();
-    for (Entry e : entries) {
+    for (DiscoveredEndpoint e : entries) {
       named.add(e.id());
-      if (e.server().state() != EndpointState.UP) {
+      if (e.info().state() != EndpointState.UP) {
         doubt(e.id());
       }
     }
@@ -378,7 +390,7 @@
     }
     if (Double.isNaN(current.staleSince)) {
       current.staleSince = now;
-      check(now + limits.doubt(), null);
+      check(now + limits.staleVersionTimeoutMs(), null);
     }
   }
 
@@ -392,19 +404,19 @@
       touched.add(id);
       if (Double.isNaN(current.doubtSince)) {
         current.doubtSince = now;
-        check(now + limits.doubt(), null);
+        check(now + limits.staleVersionTimeoutMs(), null);
       }
     }
   }
 
   /** A space that was left: it may take servers down. */
-  private void witness(Space s, long seq, boolean whole, Collection<Entry> entries) {
+  private void witness(Space s, long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
     if (whole) {
       touched.addAll(s.entries.keySet());
       s.entries.clear();
       s.usable = true;
     }
-    for (Entry e : entries) {
+    for (DiscoveredEndpoint e : entries) {
       s.entries.put(e.id(), e); // also GONE: it speaks against the server
       s.toldAt.put(e.id(), now);
       touched.add(e.id());
@@ -412,16 +424,16 @@
     s.seq = Math.max(seq, s.seq);
   }
 
-  private void put(Space s, Entry told) {
-    Entry e = told;
-    if (e.dial() != null) {
-      Cold c = cold.get(e.dial());
-      if (c != null && c.until > now && e.server().startedAtMs() < c.startedAt) {
-        e = e.with(e.server().state(), c.startedAt);
+  private void put(Space s, DiscoveredEndpoint told) {
+    DiscoveredEndpoint e = told;
+    if (e.address() != null) {
+      Cold c = cold.get(e.address());
+      if (c != null && c.until > now && e.info().startedAtMs() < c.startedAt) {
+        e = e.withState(e.info().state(), c.startedAt);
       }
-      remember(e.dial(), e.server().startedAtMs());
+      remember(e.address(), e.info().startedAtMs());
     }
-    if (e.server().state() == EndpointState.REMOVED) {
+    if (e.info().state() == EndpointState.REMOVED) {
       s.entries.remove(e.id());
       s.toldAt.remove(e.id());
       bury(s, e.id());
@@ -431,22 +443,22 @@
       s.gone.remove(e.id());
     }
     Host h = hosts.computeIfAbsent(e.id(), id -> new Host());
-    if (e.server().state() == EndpointState.REMOVED) {
+    if (e.info().state() == EndpointState.REMOVED) {
       h.heldUntil = Double.NEGATIVE_INFINITY; // said in so many words
     }
   }
 
   private void bury(Space s, String id) {
     s.gone.put(id, now);
-    check(now + limits.flapWindow(), null);
+    check(now + limits.flapWindowMs(), null);
   }
 
   private void remember(String dial, double startedAt) {
-    if (startedAt > 0 && startedAt + limits.warm() > now) {
+    if (startedAt > 0 && startedAt + limits.warmUpMs() > now) {
       Cold c = cold.get(dial);
       if (c == null || c.startedAt < startedAt) {
-        cold.put(dial, new Cold(startedAt, startedAt + limits.warm()));
-        check(startedAt + limits.warm(), null);
+        cold.put(dial, new Cold(startedAt, startedAt + limits.warmUpMs()));
+        check(startedAt + limits.warmUpMs(), null);
       }
     }
   }
@@ -462,24 +474,24 @@
   // ---- health ----
 
   /** A good answer of the server's came. */
-  public Changes answered(double time, String id) {
+  public MembershipUpdate responded(double time, String id) {
     Host h = hosts.get(id);
     if (h == null) {
-      return Changes.NONE;
+      return MembershipUpdate.NONE;
     }
     now = Math.max(now, time);
     h.answeredAt = now;
     h.refused = 0;
     h.timedOut = 0;
-    if (!Double.isNaN(h.goneAt) && now - h.goneAt > limits.answers() && !h.disputed) {
+    if (!Double.isNaN(h.goneAt) && now - h.goneAt > limits.livenessWindowMs() && !h.disputed) {
       h.disputed = true;
-      return new Changes(
+      return new MembershipUpdate(
           List.of(),
           false,
           List.of("server " + id + " is listed as gone and still answers"),
           false);
     }
-    return Changes.NONE;
+    return MembershipUpdate.NONE;
   }
 
   /**
@@ -488,10 +500,10 @@
    * @param refused whether it was refused, else it never came up
    * @param standing connections to the server that are up
    */
-  public Changes unreachable(double time, String id, boolean refused, int standing) {
+  public MembershipUpdate connectFailed(double time, String id, boolean refused, int standing) {
     Host h = hosts.get(id);
     if (h == null) {
-      return Changes.NONE;
+      return MembershipUpdate.NONE;
     }
     begin(time);
     if (standing > 0) {
@@ -500,7 +512,8 @@
     h.refused = refused ? h.refused + 1 : h.refused;
     h.timedOut = refused ? h.timedOut : h.timedOut + 1;
     if (!h.dead
-        && (h.refused >= limits.refusals() || h.timedOut >= limits.timeouts() && !answers(h))) {
+        && (h.refused >= limits.refusedConnectThreshold()
+            || h.timedOut >= limits.connectTimeoutThreshold() && !answers(h))) {
       h.dead = true;
       dead.add(id);
       touched.add(id);
@@ -511,24 +524,24 @@
   /**
    * A connection came up. After refusals it is a new process, and cold, whatever the lists say yet.
    */
-  public Changes reachable(double time, String id) {
+  public MembershipUpdate connected(double time, String id) {
     Host h = hosts.get(id);
     if (h == null) {
-      return Changes.NONE;
+      return MembershipUpdate.NONE;
     }
     h.answeredAt = Math.max(now, time);
     if (!h.dead && h.refused == 0 && h.timedOut == 0) {
-      return Changes.NONE;
+      return MembershipUpdate.NONE;
     }
     begin(time);
     if (h.dead) {
       h.dead = false;
       dead.remove(id);
       touched.add(id);
-      if (h.refused >= limits.refusals()) {
-        Entry e = current.entries.get(id);
-        if (e != null && e.server().startedAtMs() + limits.warm() < now) {
-          remember(e.dial(), now);
+      if (h.refused >= limits.refusedConnectThreshold()) {
+        DiscoveredEndpoint e = current.entries.get(id);
+        if (e != null && e.info().startedAtMs() + limits.warmUpMs() < now) {
+          remember(e.address(), now);
           put(current, e);
         }
       }
@@ -542,7 +555,7 @@
    * Servers to which a connect should be tried now and then: the dead, and those held against a
    * list.
    */
-  public Collection<String> toTry() {
+  public Collection<String> endpointsToProbe() {
     if (dead.isEmpty() && holding.isEmpty()) {
       return List.of();
     }
@@ -554,30 +567,32 @@
   // ---- time ----
 
   /** When {@link #tick} is due next (ms), infinite where nothing is. */
-  public double next() {
+  public double nextTickMs() {
     double at = checks.isEmpty() ? Double.POSITIVE_INFINITY : checks.peek().at;
-    return oldNoted || Double.isNaN(heardAt) ? at : Math.min(at, heardAt + limits.old());
+    return oldNoted || Double.isNaN(heardAt)
+        ? at
+        : Math.min(at, heardAt + limits.staleViewAfterMs());
   }
 
   /** What time alone has changed. */
-  public Changes tick(double time) {
+  public MembershipUpdate tick(double time) {
     begin(time);
     return end();
   }
 
   /** Servers of which anything is kept, for tests of forgetting. */
-  int remembered() {
+  int trackedCount() {
     return Math.max(
         Math.max(hosts.size(), current.entries.size()),
         Math.max(current.gone.size(), Math.max(cold.size(), checks.size())));
   }
 
-  public Figures figures(double time) {
+  public MembershipStats stats(double time) {
     int shown = 0;
     for (Host h : hosts.values()) {
       shown += h.shown != null ? 1 : 0;
     }
-    return new Figures(
+    return new MembershipStats(
         shown,
         up,
         holding.size(),
@@ -598,7 +613,7 @@
         housekeeping();
       }
     }
-    if (!oldNoted && !Double.isNaN(heardAt) && now - heardAt >= limits.old()) {
+    if (!oldNoted && !Double.isNaN(heardAt) && now - heardAt >= limits.staleViewAfterMs()) {
       oldNoted = true;
       notes.add(
           "the view is old: nothing from "
@@ -616,9 +631,9 @@
   private void housekeeping() {
     for (Iterator<Space> it = left.iterator(); it.hasNext(); ) {
       Space s = it.next();
-      if (!Double.isNaN(s.endedAt) && now >= s.endedAt + limits.overlay()) {
+      if (!Double.isNaN(s.endedAt) && now >= s.endedAt + limits.retiredSourceTtlMs()) {
         if (!current.confirmed) { // the one to be has not told yet
-          check(now + limits.overlay(), null);
+          check(now + limits.retiredSourceTtlMs(), null);
           continue;
         }
         it.remove();
@@ -626,14 +641,16 @@
         touched.addAll(s.gone.keySet());
       }
     }
-    if (!Double.isNaN(current.staleSince) && now >= current.staleSince + limits.doubt()) {
+    if (!Double.isNaN(current.staleSince)
+        && now >= current.staleSince + limits.staleVersionTimeoutMs()) {
       goneBack();
     }
-    if (!Double.isNaN(current.doubtSince) && now >= current.doubtSince + limits.doubt()) {
+    if (!Double.isNaN(current.doubtSince)
+        && now >= current.doubtSince + limits.staleVersionTimeoutMs()) {
       stuck();
     }
     cold.values().removeIf(c -> c.until <= now);
-    current.gone.values().removeIf(at -> at + limits.flapWindow() <= now);
+    current.gone.values().removeIf(at -> at + limits.flapWindowMs() <= now);
   }
 
   /**
@@ -653,7 +670,7 @@
   private void stuck() {
     if (current.doubted.isEmpty()) {
       current.doubtSince = Double.NaN;
-    } else if (current.newestAt > now - limits.doubt()) {
+    } else if (current.newestAt > now - limits.staleVersionTimeoutMs()) {
       current.ignored = current.behind;
       current.ignoredSaid = current.behindSaid;
       touched.addAll(current.doubted);
@@ -662,7 +679,7 @@
       askAnew = true;
       disputed();
     } else {
-      check(now + limits.doubt(), null);
+      check(now + limits.staleVersionTimeoutMs(), null);
     }
   }
 
@@ -678,17 +695,17 @@
   }
 
   /** Whether what this version said last was found to be of no account. */
-  boolean ignores(long seq) {
+  boolean isIgnored(long seq) {
     return seq == current.ignored;
   }
 
   private boolean answers(Host h) {
-    return now - h.answeredAt < limits.answers();
+    return now - h.answeredAt < limits.livenessWindowMs();
   }
 
   /** What is to be shown of a server now; null where it is gone. */
-  private Entry verdict(String id, Host h) {
-    Entry e = current.entries.get(id);
+  private DiscoveredEndpoint verdict(String id, Host h) {
+    DiscoveredEndpoint e = current.entries.get(id);
     boolean fromLeft = false;
     if (e == null
         && !current.confirmed) { // a move whose new place has not told: the last one counts
@@ -698,13 +715,13 @@
           fromLeft = true;
         }
       }
-      if (e != null && e.server().state() == EndpointState.REMOVED) {
+      if (e != null && e.info().state() == EndpointState.REMOVED) {
         e = null;
       }
     }
     if (e == null) {
       if (h.heldUntil > now && answers(h) && !h.dead && !against(id, h.kept)) {
-        check(Math.min(h.heldUntil, h.answeredAt + limits.answers()), id);
+        check(Math.min(h.heldUntil, h.answeredAt + limits.livenessWindowMs()), id);
         holding.add(id);
         return h.kept;
       }
@@ -715,34 +732,34 @@
     h.heldUntil = Double.NEGATIVE_INFINITY;
     holding.remove(id);
     boolean down =
-        e.server().state() != EndpointState.UP
+        e.info().state() != EndpointState.UP
             || h.dead
             || current.doubted.contains(id)
             || against(id, e);
-    return down ? e.with(EndpointState.DRAINING, e.server().startedAtMs()) : e;
+    return down ? e.withState(EndpointState.DRAINING, e.info().startedAtMs()) : e;
   }
 
   /**
    * Whether a space that was left speaks against it, and its word is not overtaken by a later
    * start.
    */
-  private boolean against(String id, Entry e) {
+  private boolean against(String id, DiscoveredEndpoint e) {
     for (Space s : left) {
-      Entry old = s.entries.get(id);
-      if (old == null && s.gone.containsKey(id) && e.server().startedAtMs() <= s.gone.get(id)) {
+      DiscoveredEndpoint old = s.entries.get(id);
+      if (old == null && s.gone.containsKey(id) && e.info().startedAtMs() <= s.gone.get(id)) {
         return true;
       }
       if (old != null
-          && old.server().state() != EndpointState.UP
-          && e.server().startedAtMs() <= Math.max(old.server().startedAtMs(), s.toldAt.get(id))) {
+          && old.info().state() != EndpointState.UP
+          && e.info().startedAtMs() <= Math.max(old.info().startedAtMs(), s.toldAt.get(id))) {
         return true;
       }
     }
     return false;
   }
 
-  private Changes end() {
-    List<Entry> changed = new ArrayList<>();
+  private MembershipUpdate end() {
+    List<DiscoveredEndpoint> changed = new ArrayList<>();
     for (String id : touched.toArray(new String[0])) {
       Host h = hosts.get(id);
       if (h != null) {
@@ -751,42 +768,45 @@
     }
     touched.clear();
     if (changed.isEmpty() && notes.isEmpty() && !askAnew) {
-      return Changes.NONE;
+      return MembershipUpdate.NONE;
     }
-    boolean whole = !told && !changed.isEmpty();
-    told |= whole;
-    Changes all = new Changes(changed, whole, List.copyOf(notes), askAnew);
+    boolean whole = !endpointsReceived && !changed.isEmpty();
+    endpointsReceived |= whole;
+    MembershipUpdate all = new MembershipUpdate(changed, whole, List.copyOf(notes), askAnew);
     notes.clear();
     askAnew = false;
     return all;
   }
 
-  private void judge(String id, Host h, List<Entry> changed) {
-    Entry e = verdict(id, h);
-    boolean wasUp = h.shown != null && h.shown.server().state() == EndpointState.UP;
-    boolean isUp = e != null && e.server().state() == EndpointState.UP;
+  private void judge(String id, Host h, List<DiscoveredEndpoint> changed) {
+    DiscoveredEndpoint e = verdict(id, h);
+    boolean wasUp = h.shown != null && h.shown.info().state() == EndpointState.UP;
+    boolean isUp = e != null && e.info().state() == EndpointState.UP;
     if (isUp && !wasUp && h.downAt > Double.NEGATIVE_INFINITY) { // it comes back: not at once
       if (h.upAt == Double.NEGATIVE_INFINITY) {
-        h.upAt = now + Math.min(limits.upAfterMost(), limits.upAfter() * Math.pow(2, h.falls));
+        h.upAt =
+            now
+                + Math.min(
+                    limits.maxRecoveryDelayMs(), limits.recoveryDelayMs() * Math.pow(2, h.falls));
         check(h.upAt, id);
       }
       if (now < h.upAt) {
         isUp = false;
-        e = e.with(EndpointState.DRAINING, e.server().startedAtMs());
+        e = e.withState(EndpointState.DRAINING, e.info().startedAtMs());
       }
     } else if (!isUp) {
       h.upAt = Double.NEGATIVE_INFINITY;
     }
     if (wasUp && !isUp) {
-      h.falls = now - h.downAt < limits.flapWindow() ? Math.min(h.falls + 1, 16) : 0;
+      h.falls = now - h.downAt < limits.flapWindowMs() ? Math.min(h.falls + 1, 16) : 0;
       h.downAt = now;
       h.upAt = Double.NEGATIVE_INFINITY;
-      check(now + limits.flapWindow(), id); // when it is forgotten, if it has left
+      check(now + limits.flapWindowMs(), id); // when it is forgotten, if it has left
     }
     up += (isUp ? 1 : 0) - (wasUp ? 1 : 0);
     if (e == null) {
       if (h.shown != null) {
-        changed.add(h.shown.with(EndpointState.REMOVED, h.shown.server().startedAtMs()));
+        changed.add(h.shown.withState(EndpointState.REMOVED, h.shown.info().startedAtMs()));
         h.shown = null;
         h.goneAt = now;
       }
@@ -795,10 +815,10 @@
       h.timedOut = 0;
       dead.remove(id);
       double since = Double.isNaN(h.goneAt) ? h.downAt : Math.max(h.downAt, h.goneAt);
-      if (now - since >= limits.flapWindow()) {
+      if (now - since >= limits.flapWindowMs()) {
         hosts.remove(id);
       } else {
-        check(since + limits.flapWindow(), id);
+        check(since + limits.flapWindowMs(), id);
       }
       return;
     }
--- a/src/main/java/edgenode/net/counter/CounterClient.java
+++ b/src/main/java/edgenode/net/counter/CounterClient.java
@@ -1,7 +1,7 @@
 package edgenode.net.counter;
 
-import edgenode.eventloop.Loop;
-import edgenode.net.resp.Resp;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.net.resp.RespCodec;
 import edgenode.policy.CallOutcome;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -27,128 +27,132 @@
  */
 public final class CounterClient {
   /** Who hears how a call ended. */
-  public interface Counted {
+  public interface CounterListener {
     /**
      * Told after {@link #add} has returned: the end of each call once, and before it that it is
      * overdue, where it is. The calls of a name end in their order.
      *
-     * @param took ms from the call to its end
+     * @param durationMs ms from the call to its end
      * @param total the name's new total where the outcome is OK
      */
-    void counted(long name, CallOutcome outcome, double took, double total);
+    void callEnded(long counterName, CallOutcome outcome, double durationMs, double total);
   }
 
-  private static final int LINES = 4;
-  private static final double CHECK = 200;
+  private static final int CONNECTION_COUNT = 4;
+  private static final double CHECK_INTERVAL_MS = 200;
 
   /**
    * A call is given up after so many times the limit: its customer is not asked for again while it
    * is open.
    */
-  private static final double GIVEN_UP = 4;
+  private static final double ABANDON_TIMEOUT_MULTIPLE = 4;
 
   /**
    * Silence (ms) until a check: shorter than the 10 s or less after which the counter ends idle
    * ones.
    */
-  private static final double IDLE = 1000;
+  private static final double PING_IDLE_MS = 1000;
 
   /** A line that owes an answer for longer (ms) may be dead: what is lost with it has been told. */
-  private static final double DEAD = 400;
+  private static final double UNANSWERED_TIMEOUT_MS = 400;
 
-  private static final int CONNECT = 1500;
+  private static final int CONNECT_TIMEOUT_MS = 1500;
 
   /**
    * Connects of a line on which nothing was answered are this far apart (ms), twice as far each
    * time.
    */
-  private static final double RECONNECT = 100;
+  private static final double RECONNECT_BACKOFF_MS = 100;
 
-  private static final int RECONNECT_DOUBLINGS = 4;
-  private static final int MOST_ELEMENTS = 4;
-  private static final double LONGEST_LIFE = 60_000;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
+  private static final int MAX_ARRAY_ELEMENTS = 4;
+  private static final double MAX_TIME_TO_LIVE_MS = 60_000;
 
   /** A total in decimal, no longer than a double can hold. */
-  private static final Pattern NUMBER =
+  private static final Pattern TOTAL_FORMAT =
       Pattern.compile("-?[0-9]{1,18}(\\.[0-9]{1,18})?(e[+-]?[0-9]{1,2})?");
 
-  private final Loop loop;
-  private final Counted counted;
-  private final double limit;
+  private final EdgeEventLoop eventLoop;
+  private final CounterListener listener;
+  private final double timeoutMs;
   private final Bootstrap bootstrap;
-  private final Line[] lines = new Line[LINES];
+  private final CounterConnection[] connections = new CounterConnection[CONNECTION_COUNT];
 
   /** The lines to a new address, until each can take over from the old one. */
-  private final Line[] coming = new Line[LINES];
+  private final CounterConnection[] replacements = new CounterConnection[CONNECTION_COUNT];
 
   private InetSocketAddress address;
 
   /** Calls that may come to be overdue, in their order. */
-  private final ArrayDeque<Call> recent = new ArrayDeque<>();
+  private final ArrayDeque<CounterCall> untimedCalls = new ArrayDeque<>();
 
-  private boolean armed;
-  private final CompletableFuture<Void> ready = new CompletableFuture<>();
+  private boolean isTimerSet;
+  private final CompletableFuture<Void> whenReady = new CompletableFuture<>();
 
   /** One call, from the action to its answer; told once the module has had its outcome. */
-  private static final class Call {
-    final long name;
-    final double sent;
-    final boolean ping;
-    final Line line;
-    boolean written;
-    boolean told;
-
-    Call(Line line, long name, double sent, boolean ping) {
-      this.line = line;
-      this.name = name;
-      this.sent = sent;
-      this.ping = ping;
-      told = ping;
+  private static final class CounterCall {
+    final long counterName;
+    final double sentAtMs;
+    final boolean isPing;
+    final CounterConnection connection;
+    boolean isWritten;
+    boolean isEnded;
+
+    CounterCall(CounterConnection connection, long counterName, double sentAtMs, boolean isPing) {
+      this.connection = connection;
+      this.counterName = counterName;
+      this.sentAtMs = sentAtMs;
+      this.isPing = isPing;
+      isEnded = isPing;
     }
   }
 
   /**
    * @param address of the counter, or null where there is none yet
-   * @param limit after how long (ms) a call without an answer is told as overdue
+   * @param timeoutMs after how long (ms) a call without an answer is told as overdue
    */
-  public CounterClient(Loop loop, Counted counted, InetSocketAddress address, double limit) {
-    this.loop = loop;
-    this.counted = counted;
+  public CounterClient(
+      EdgeEventLoop eventLoop,
+      CounterListener listener,
+      InetSocketAddress address,
+      double timeoutMs) {
+    this.eventLoop = eventLoop;
+    this.listener = listener;
     this.address = address;
-    this.limit = limit;
-    bootstrap = loop.transport().connecting(loop.group(), CONNECT);
+    this.timeoutMs = timeoutMs;
+    bootstrap = eventLoop.transport().newClientBootstrap(eventLoop.group(), CONNECT_TIMEOUT_MS);
     if (address == null) {
-      ready.complete(null);
+      whenReady.complete(null);
     }
   }
 
   public void start() {
     if (address != null) {
-      for (int i = 0; i < LINES; i++) {
-        lines[i] = new Line(address);
-        lines[i].connect();
+      for (int i = 0; i < CONNECTION_COUNT; i++) {
+        connections[i] = new CounterConnection(address);
+        connections[i].connect();
       }
-      loop.after(CHECK, this::check);
+      eventLoop.schedule(CHECK_INTERVAL_MS, this::checkConnections);
     }
   }
 
   /** A new address: the old lines serve until the new ones are up; what is out may be answered. */
-  public void move(InetSocketAddress to) {
-    if (to == null || to.equals(address)) {
+  public void addressChanged(InetSocketAddress newAddress) {
+    if (newAddress == null || newAddress.equals(address)) {
       return;
     }
-    boolean first = address == null;
-    address = to;
-    if (first) {
+    boolean isFirst = address == null;
+    address = newAddress;
+    if (isFirst) {
       start();
       return;
     }
-    for (int i = 0; i < LINES; i++) {
-      if (coming[i] != null && coming[i].channel != null) {
-        coming[i].channel.close();
+    for (int i = 0; i < CONNECTION_COUNT; i++) {
+      if (replacements[i] != null && replacements[i].channel != null) {
+        replacements[i].channel.close();
       }
-      coming[i] = new Line(to);
-      coming[i].connect();
+      replacements[i] = new CounterConnection(newAddress);
+      replacements[i].connect();
     }
   }
 
@@ -156,64 +160,75 @@
    * A name's answers come in the order of its calls: so its line changes only with no call to be
    * told.
    */
-  private Line line(int i) {
-    Line old = lines[i];
-    if (coming[i] != null
-        && coming[i].channel != null
-        && old.calls.stream().allMatch(c -> c.told)
-        && old.waiting.isEmpty()) {
-      lines[i] = coming[i];
-      coming[i] = null;
-      old.end();
+  private CounterConnection connectionAt(int index) {
+    CounterConnection current = connections[index];
+    if (replacements[index] != null
+        && replacements[index].channel != null
+        && current.inFlight.stream().allMatch(c -> c.isEnded)
+        && current.queued.isEmpty()) {
+      connections[index] = replacements[index];
+      replacements[index] = null;
+      current.drain();
     }
-    return lines[i];
+    return connections[index];
   }
 
-  public CompletableFuture<Void> ready() {
-    return ready;
+  public CompletableFuture<Void> whenReady() {
+    return whenReady;
   }
 
-  public void add(long name, double amount, double keepFor) {
-    Line line = address == null ? null : line((int) Math.floorMod(name, (long) LINES));
-    if (line == null || line.channel == null && !line.connecting) {
-      loop.later(() -> counted.counted(name, CallOutcome.NO_CONNECTION, 0, 0));
+  public void add(long counterName, double amount, double timeToLiveMs) {
+    CounterConnection connection =
+        address == null
+            ? null
+            : connectionAt((int) Math.floorMod(counterName, (long) CONNECTION_COUNT));
+    if (connection == null || connection.channel == null && !connection.isConnecting) {
+      eventLoop.execute(() -> listener.callEnded(counterName, CallOutcome.NO_CONNECTION, 0, 0));
       return;
     }
-    Call call = new Call(line, name, loop.now(), false);
-    String[] words = words(name, amount, keepFor);
-    if (line.channel == null) {
-      line.waiting.put(call, words); // a line that broke is back in about a round trip
+    CounterCall call = new CounterCall(connection, counterName, eventLoop.nowMs(), false);
+    String[] command = addCommand(counterName, amount, timeToLiveMs);
+    if (connection.channel == null) {
+      connection.queued.put(call, command); // a line that broke is back in about a round trip
     } else {
-      line.write(call, words);
+      connection.write(call, command);
     }
-    recent.add(call);
-    if (!armed) {
-      armed = true;
-      loop.after(limit, this::expire);
+    untimedCalls.add(call);
+    if (!isTimerSet) {
+      isTimerSet = true;
+      eventLoop.schedule(timeoutMs, this::checkOverdue);
     }
   }
 
   /** The command of an add: an amount in thousandths at the finest, a life of 1 to 60,000 ms. */
-  public static String[] words(long name, double amount, double keepFor) {
-    long life = (long) Math.max(1, Math.min(LONGEST_LIFE, keepFor));
-    return new String[] {"CNT.ADD", Long.toString(name), plain(amount), Long.toString(life)};
+  public static String[] addCommand(long counterName, double amount, double timeToLiveMs) {
+    long boundedTimeToLiveMs = (long) Math.max(1, Math.min(MAX_TIME_TO_LIVE_MS, timeToLiveMs));
+    return new String[] {
+      "CNT.ADD",
+      Long.toString(counterName),
+      formatAmount(amount),
+      Long.toString(boundedTimeToLiveMs)
+    };
   }
 
   /** A number as the counter's protocol has it: decimal, thousandths at the finest. */
-  public static String plain(double amount) {
+  public static String formatAmount(double amount) {
     return BigDecimal.valueOf(Math.rint(amount * 1000) / 1000).stripTrailingZeros().toPlainString();
   }
 
   /**
    * One timer for all calls, as the limit is one: else answered ones would wake the loop once more.
    */
-  private void expire() {
-    while (!recent.isEmpty() && (recent.peek().told || recent.peek().sent + limit <= loop.now())) {
-      overdue(recent.poll());
+  private void checkOverdue() {
+    while (!untimedCalls.isEmpty()
+        && (untimedCalls.peek().isEnded
+            || untimedCalls.peek().sentAtMs + timeoutMs <= eventLoop.nowMs())) {
+      markOverdue(untimedCalls.poll());
     }
-    armed = !recent.isEmpty();
-    if (armed) {
-      loop.after(recent.peek().sent + limit - loop.now(), this::expire);
+    isTimerSet = !untimedCalls.isEmpty();
+    if (isTimerSet) {
+      eventLoop.schedule(
+          untimedCalls.peek().sentAtMs + timeoutMs - eventLoop.nowMs(), this::checkOverdue);
     }
   }
 
@@ -222,70 +237,76 @@
    * having then. So the call stays open until its answer comes, its line ends or it is given up:
    * then its amount counts as added.
    */
-  private void overdue(Call call) {
-    if (!call.told && call.line.channel != null && call.line.raw.pending() != 0) {
-      call.line.spoilt(); // half an answer, and no more of it
+  private void markOverdue(CounterCall call) {
+    if (!call.isEnded
+        && call.connection.channel != null
+        && call.connection.undecodedBytes.pendingBytes() != 0) {
+      call.connection.failMalformed(); // half an answer, and no more of it
     }
-    if (call.line.waiting.remove(call) != null) {
-      tell(call, CallOutcome.NO_CONNECTION, 0);
-    } else if (!call.told) {
-      counted.counted(call.name, CallOutcome.OVERDUE, loop.now() - call.sent, 0);
-      loop.after((GIVEN_UP - 1) * limit, () -> tell(call, CallOutcome.ERROR, 0));
+    if (call.connection.queued.remove(call) != null) {
+      end(call, CallOutcome.NO_CONNECTION, 0);
+    } else if (!call.isEnded) {
+      listener.callEnded(
+          call.counterName, CallOutcome.OVERDUE, eventLoop.nowMs() - call.sentAtMs, 0);
+      eventLoop.schedule(
+          (ABANDON_TIMEOUT_MULTIPLE - 1) * timeoutMs, () -> end(call, CallOutcome.ERROR, 0));
     }
   }
 
-  private void tell(Call call, CallOutcome outcome, double total) {
-    if (!call.told) {
-      call.told = true;
-      counted.counted(call.name, outcome, loop.now() - call.sent, total);
+  private void end(CounterCall call, CallOutcome outcome, double total) {
+    if (!call.isEnded) {
+      call.isEnded = true;
+      listener.callEnded(call.counterName, outcome, eventLoop.nowMs() - call.sentAtMs, total);
     }
   }
 
-  private void check() {
-    loop.after(CHECK, this::check);
-    for (int i = 0; i < LINES; i++) {
-      Line line = line(i);
-      if (line.channel != null) {
-        Call oldest = line.calls.peek();
+  private void checkConnections() {
+    eventLoop.schedule(CHECK_INTERVAL_MS, this::checkConnections);
+    for (int i = 0; i < CONNECTION_COUNT; i++) {
+      CounterConnection connection = connectionAt(i);
+      if (connection.channel != null) {
+        CounterCall oldest = connection.inFlight.peek();
         // an answer may lie unread behind what this loop was busy with
-        if (oldest != null && loop.now() - oldest.sent - loop.delay() > DEAD) {
-          line.channel.close();
-        } else if (loop.now() - line.usedAt > IDLE) {
-          line.write(new Call(line, 0, loop.now(), true), "PING");
+        if (oldest != null
+            && eventLoop.nowMs() - oldest.sentAtMs - eventLoop.queueingDelayMs()
+                > UNANSWERED_TIMEOUT_MS) {
+          connection.channel.close();
+        } else if (eventLoop.nowMs() - connection.lastUsedMs > PING_IDLE_MS) {
+          connection.write(new CounterCall(connection, 0, eventLoop.nowMs(), true), "PING");
         }
       }
     }
   }
 
-  private final class Line {
-    private final InetSocketAddress at;
-    private final ArrayDeque<Call> calls = new ArrayDeque<>();
+  private final class CounterConnection {
+    private final InetSocketAddress remoteAddress;
+    private final ArrayDeque<CounterCall> inFlight = new ArrayDeque<>();
 
     /** Calls made while the line is coming up, in their order. */
-    private final Map<Call, String[]> waiting = new LinkedHashMap<>();
+    private final Map<CounterCall, String[]> queued = new LinkedHashMap<>();
 
-    private boolean connecting;
+    private boolean isConnecting;
     private Channel channel;
-    private double usedAt;
-    private boolean ending;
-    private double connectedAt = Double.NEGATIVE_INFINITY;
+    private double lastUsedMs;
+    private boolean isDraining;
+    private double lastConnectMs = Double.NEGATIVE_INFINITY;
 
     /**
      * Connects in a row that came up and ended with no answer: a counter that is full may take and
      * close.
      */
-    private int unanswered;
+    private int unansweredConnects;
 
-    private Resp.Raw raw;
+    private RespCodec.UndecodedByteCounter undecodedBytes;
 
-    Line(InetSocketAddress at) {
-      this.at = at;
+    CounterConnection(InetSocketAddress remoteAddress) {
+      this.remoteAddress = remoteAddress;
     }
 
     /** Left for a new address: it closes once nothing is owed on it. */
-    void end() {
-      ending = true;
-      if (channel != null && calls.isEmpty()) {
+    void drain() {
+      isDraining = true;
+      if (channel != null && inFlight.isEmpty()) {
         channel.close();
       }
     }
@@ -294,26 +315,26 @@
      * The oldest call's answer has no number in it: its amount was added. What comes behind can be
      * told apart no more, and a new line takes its place at once.
      */
-    void spoilt() {
-      if (!calls.isEmpty()) {
-        tell(calls.poll(), CallOutcome.ERROR, 0);
+    void failMalformed() {
+      if (!inFlight.isEmpty()) {
+        end(inFlight.poll(), CallOutcome.ERROR, 0);
       }
-      broken();
+      failInFlight();
       channel.close();
     }
 
-    private void broken() {
-      for (Call call = calls.poll(); call != null; call = calls.poll()) {
-        tell(call, call.written ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, 0);
+    private void failInFlight() {
+      for (CounterCall call = inFlight.poll(); call != null; call = inFlight.poll()) {
+        end(call, call.isWritten ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, 0);
       }
     }
 
     void connect() {
-      if (at != address) {
+      if (remoteAddress != address) {
         return; // left meanwhile
       }
-      connecting = true;
-      connectedAt = loop.now();
+      isConnecting = true;
+      lastConnectMs = eventLoop.nowMs();
       ChannelFuture connected =
           bootstrap
               .clone()
@@ -321,32 +342,32 @@
                   new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                      raw = Resp.codec(channel.pipeline(), MOST_ELEMENTS);
-                      channel.pipeline().addLast(new Answers());
+                      undecodedBytes = RespCodec.addCodec(channel.pipeline(), MAX_ARRAY_ELEMENTS);
+                      channel.pipeline().addLast(new ResponseHandler());
                     }
                   })
-              .connect(loop.transport().at(at));
+              .connect(eventLoop.transport().toSocketAddress(remoteAddress));
       connected.addListener(
-          f -> {
-            connecting = false;
-            Map<Call, String[]> held = new LinkedHashMap<>(waiting);
-            waiting.clear();
-            if (f.isSuccess()) {
+          result -> {
+            isConnecting = false;
+            Map<CounterCall, String[]> resumed = new LinkedHashMap<>(queued);
+            queued.clear();
+            if (result.isSuccess()) {
               channel = connected.channel();
-              unanswered++;
-              usedAt = loop.now();
-              held.forEach(this::write);
-              loop.flush();
-              for (Line line : lines) {
-                if (line.channel == null) {
+              unansweredConnects++;
+              lastUsedMs = eventLoop.nowMs();
+              resumed.forEach(this::write);
+              eventLoop.flushPending();
+              for (CounterConnection other : connections) {
+                if (other.channel == null) {
                   return;
                 }
               }
-              ready.complete(null);
+              whenReady.complete(null);
             } else {
-              held.forEach((call, words) -> tell(call, CallOutcome.NO_CONNECTION, 0));
-              loop.flush();
-              loop.after(RECONNECT, this::connect);
+              resumed.forEach((call, command) -> end(call, CallOutcome.NO_CONNECTION, 0));
+              eventLoop.flushPending();
+              eventLoop.schedule(RECONNECT_BACKOFF_MS, this::connect);
             }
           });
     }
@@ -355,42 +376,45 @@
      * At once at the first break since an answer; a counter with no place left would hear nothing
      * else.
      */
-    private void again() {
-      double apart =
-          unanswered < 2 ? 0 : RECONNECT * (1 << Math.min(unanswered - 2, RECONNECT_DOUBLINGS));
-      double wait = connectedAt + apart - loop.now();
-      if (wait > 0) {
-        loop.after(wait, this::connect);
+    private void reconnect() {
+      double backoffMs =
+          unansweredConnects < 2
+              ? 0
+              : RECONNECT_BACKOFF_MS
+                  * (1 << Math.min(unansweredConnects - 2, MAX_BACKOFF_DOUBLINGS));
+      double waitMs = lastConnectMs + backoffMs - eventLoop.nowMs();
+      if (waitMs > 0) {
+        eventLoop.schedule(waitMs, this::connect);
       } else {
-        loop.later(this::connect);
+        eventLoop.execute(this::connect);
       }
     }
 
-    void write(Call call, String... words) {
-      calls.add(call);
-      usedAt = call.sent;
+    void write(CounterCall call, String... command) {
+      inFlight.add(call);
+      lastUsedMs = call.sentAtMs;
       channel
-          .write(Resp.command(channel.alloc(), words))
-          .addListener(f -> call.written = f.isSuccess());
-      loop.flushLater(channel);
+          .write(RespCodec.command(channel.alloc(), command))
+          .addListener(result -> call.isWritten = result.isSuccess());
+      eventLoop.flushLater(channel);
     }
 
-    private final class Answers extends ChannelInboundHandlerAdapter {
+    private final class ResponseHandler extends ChannelInboundHandlerAdapter {
       @Override
       public void channelRead(ChannelHandlerContext ctx, Object msg) {
         try {
-          raw.whole((RedisMessage) msg);
-          unanswered = 0;
-          Call call = calls.poll(); // late or not: each answer belongs to the oldest call
+          undecodedBytes.messageDecoded((RedisMessage) msg);
+          unansweredConnects = 0;
+          CounterCall call = inFlight.poll(); // late or not: each answer belongs to the oldest call
           if (call == null) {
             ctx.close();
             return;
           }
           if (!answered(call, (RedisMessage) msg)) {
-            calls.addFirst(call);
-            spoilt();
+            inFlight.addFirst(call);
+            failMalformed();
           }
-          if (ending && calls.isEmpty()) {
+          if (isDraining && inFlight.isEmpty()) {
             ctx.close();
           }
         } finally {
@@ -403,18 +427,18 @@
        * it on the line cannot be trusted. A total that is not finite would stay in the module's
        * credits.
        */
-      private boolean answered(Call call, RedisMessage msg) {
-        if (call.ping) {
+      private boolean answered(CounterCall call, RedisMessage msg) {
+        if (call.isPing) {
           return msg instanceof SimpleStringRedisMessage;
         }
         if (msg instanceof ErrorRedisMessage error
             && (error.content().startsWith("BUSY") || error.content().startsWith("ERR"))) {
-          tell(call, CallOutcome.FULL, 0); // nothing was added
+          end(call, CallOutcome.FULL, 0); // nothing was added
           return true;
         }
-        String total = Resp.isValue(msg) ? Resp.text(msg) : "";
-        if (NUMBER.matcher(total).matches()) {
-          tell(call, CallOutcome.OK, Double.parseDouble(total));
+        String total = RespCodec.isBulkString(msg) ? RespCodec.textOf(msg) : "";
+        if (TOTAL_FORMAT.matcher(total).matches()) {
+          end(call, CallOutcome.OK, Double.parseDouble(total));
           return true;
         }
         return false;
@@ -422,16 +446,16 @@
 
       @Override
       public void channelReadComplete(ChannelHandlerContext ctx) {
-        loop.flush();
+        eventLoop.flushPending();
       }
 
       /** What was written may have been added. */
       @Override
       public void channelInactive(ChannelHandlerContext ctx) {
         channel = null;
-        broken();
-        again();
-        loop.flush();
+        failInFlight();
+        reconnect();
+        eventLoop.flushPending();
       }
 
       /**
@@ -444,8 +468,8 @@
           return;
         }
         if (!(cause instanceof java.io.IOException)) {
-          loop.log("counter", cause);
-          spoilt();
+          eventLoop.logFailure("counter", cause);
+          failMalformed();
         }
         ctx.close();
       }
--- a/src/main/java/edgenode/net/discovery/AgentSource.java
+++ b/src/main/java/edgenode/net/discovery/AgentSource.java
@@ -1,8 +1,8 @@
 package edgenode.net.discovery;
 
 import com.fasterxml.jackson.core.JacksonException;
-import edgenode.eventloop.Loop;
-import edgenode.membership.Source;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.membership.EndpointSource;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -36,30 +36,30 @@
 /**
  * This platform's discovery: an agent on the same machine that answers at once. Two eyes, as no
  * connection that is silent can be told from one that has nothing to say: a watch, and the whole
- * list asked on another connection every {@link #LOOK} ms. A look that is not answered within
- * {@link #LATE} ms is left and asked once more on a new connection, so that a drain is known after
- * LOOK + LATE at the latest, wherever one connection has stalled.
+ * list asked on another connection every {@link #POLL_INTERVAL_MS} ms. A look that is not answered
+ * within {@link #POLL_TIMEOUT_MS} ms is left and asked once more on a new connection, so that a
+ * drain is known after LOOK + LATE at the latest, wherever one connection has stalled.
  *
- * <p>A list longer than {@link #LOOKED} bytes is too dear to be asked so often: then the watch
- * itself is opened anew each time that it has said nothing for LOOK ms, from the last version, and
- * the one before is ended.
+ * <p>A list longer than {@link #MAX_POLLED_LIST_BYTES} bytes is too dear to be asked so often: then
+ * the watch itself is opened anew each time that it has said nothing for LOOK ms, from the last
+ * version, and the one before is ended.
  *
  * <p>While discovery is down all are silent: unanswered looks become rarer, to one each {@link *
  * #LOOK_MOST} ms, and those asked before stay open, as it tells those first when it is back.
  *
  * <p>After a call that failed, was refused or was given up, what discovery has counts as told
- * {@link #TERM} ms after it can be reached: so a call's own time (SILENT, CONNECT, TRICKLE_MOST),
- * the wait behind it (BACKOFF_MOST) and the call that follows must fit in that, whichever comes
- * first on a path. docs/design/moments.md has the sums.
+ * {@link #RECOVERY_LIMIT_MS} ms after it can be reached: so a call's own time (SILENT, CONNECT,
+ * TRICKLE_MOST), the wait behind it (BACKOFF_MOST) and the call that follows must fit in that,
+ * whichever comes first on a path. docs/design/moments.md has the sums.
  */
-public final class AgentSource implements Source {
-  static final double LOOK = 125;
-  static final double LATE = 60;
-  static final double LOOK_MOST = 800;
-  static final int LOOKED = 48 << 10;
+public final class AgentSource implements EndpointSource {
+  static final double POLL_INTERVAL_MS = 125;
+  static final double POLL_TIMEOUT_MS = 60;
+  static final double MAX_POLL_INTERVAL_MS = 800;
+  static final int MAX_POLLED_LIST_BYTES = 48 << 10;
 
   /** The operators' term (ms) for what a failed call has kept back. */
-  static final double TERM = 6000;
+  static final double RECOVERY_LIMIT_MS = 6000;
 
   private static final String PATH = "/catalog/members";
   private static final int CONNECT = 1000;
@@ -68,7 +68,7 @@
    * A watch sends a line every 2 s: one that lacks two and is silent for longer (ms) is dead. The
    * next is opened at once, and a connect that needs all its time must still be within the term.
    */
-  private static final double SILENT = TERM - CONNECT - 500;
+  private static final double SILENT = RECOVERY_LIMIT_MS - CONNECT - 500;
 
   /** Lines come whole: half a line with nothing behind it for so long (ms) is all that comes. */
   private static final double HALF = 80;
@@ -98,8 +98,8 @@
   /** Watches that brought no line, in a row: a long list is then asked for as a whole after all. */
   private static final int BARREN = 2;
 
-  private final Loop loop;
-  private final Sink sink;
+  private final EdgeEventLoop loop;
+  private final EndpointSourceListener sink;
   private final InetSocketAddress address;
   private final String space;
   private final Bootstrap bootstrap;
@@ -113,7 +113,7 @@
   private double nextLook;
   private double backoff = BACKOFF;
   private double renewed = Double.NEGATIVE_INFINITY;
-  private double renewWait = LOOK;
+  private double renewWait = POLL_INTERVAL_MS;
   private double trickle = TRICKLE;
   private int barren;
 
@@ -127,12 +127,13 @@
   private int longest;
   private String said = "";
 
-  public AgentSource(Loop loop, Sink sink, InetSocketAddress address, String space) {
+  public AgentSource(
+      EdgeEventLoop loop, EndpointSourceListener sink, InetSocketAddress address, String space) {
     this.loop = loop;
     this.sink = sink;
     this.address = address;
     this.space = space;
-    bootstrap = loop.transport().connecting(loop.group(), CONNECT);
+    bootstrap = loop.transport().newClientBootstrap(loop.group(), CONNECT);
     question =
         Unpooled.unreleasableBuffer(
             Unpooled.copiedBuffer(
@@ -149,11 +150,11 @@
   @Override
   public void start() {
     watch();
-    loop.after(LOOK, this::tick);
+    loop.schedule(POLL_INTERVAL_MS, this::tick);
   }
 
   @Override
-  public void askAnew() {
+  public void resync() {
     same = Unpooled.EMPTY_BUFFER;
     for (Conn c : looks.toArray(new Conn[0])) {
       c.close();
@@ -167,12 +168,12 @@
   }
 
   @Override
-  public void leave(double within) {
+  public void retire(double within) {
     left = true;
     for (Conn c : looks.toArray(new Conn[0])) {
       c.close();
     }
-    loop.after(
+    loop.schedule(
         within,
         () -> {
           if (watch != null) {
@@ -189,7 +190,7 @@
   private void say(String what) {
     if (!what.equals(said)) {
       said = what;
-      loop.say("discovery: " + what);
+      loop.logLine("discovery: " + what);
     }
   }
 
@@ -201,7 +202,7 @@
 
   private void ended() {
     if (left && open == 0) {
-      sink.ended(space);
+      sink.sourceClosed(space);
     }
   }
 
@@ -221,14 +222,14 @@
       return;
     }
     barren++;
-    sink.failed(space, refused);
-    loop.after(backoff, this::watch);
+    sink.requestFailed(space, refused);
+    loop.schedule(backoff, this::watch);
     backoff = Math.min(2 * backoff, BACKOFF_MOST);
   }
 
   /** A watch beside the one that stands, which ends as soon as this one has begun to answer. */
   private void renew() {
-    double now = loop.now();
+    double now = loop.nowMs();
     if (connecting || now - renewed < renewWait) {
       return;
     }
@@ -247,8 +248,8 @@
     if (left) {
       return;
     }
-    loop.after(LOOK, this::tick);
-    double now = loop.now();
+    loop.schedule(POLL_INTERVAL_MS, this::tick);
+    double now = loop.nowMs();
     if (watch != null && now - watch.heardAt > SILENT) {
       backoff = BACKOFF; // it was waited for long enough
       watch.close();
@@ -256,9 +257,9 @@
     if (now < nextLook) {
       return; // rarer while nobody answers
     }
-    if (longest > LOOKED && barren < BARREN) {
-      renewWait = LOOK;
-      if (watch != null && watch.asked && now - watch.heardAt >= LOOK - 1) {
+    if (longest > MAX_POLLED_LIST_BYTES && barren < BARREN) {
+      renewWait = POLL_INTERVAL_MS;
+      if (watch != null && watch.asked && now - watch.heardAt >= POLL_INTERVAL_MS - 1) {
         renew();
       }
       return;
@@ -273,8 +274,10 @@
       }
     }
     double wait =
-        unanswered < LOOKS ? LOOK : Math.min(LOOK_MOST, LOOK * (1 << Math.min(unanswered - 1, 4)));
-    nextLook = loop.now() + wait - LOOK / 2;
+        unanswered < LOOKS
+            ? POLL_INTERVAL_MS
+            : Math.min(MAX_POLL_INTERVAL_MS, POLL_INTERVAL_MS * (1 << Math.min(unanswered - 1, 4)));
+    nextLook = loop.nowMs() + wait - POLL_INTERVAL_MS / 2;
     for (Conn c : looks) {
       if (!c.asked && c.channel != null) {
         c.ask();
@@ -295,10 +298,10 @@
       return;
     }
     if (c.growing()) {
-      c.lateness = loop.after(LATE / 2, () -> late(c, turn));
+      c.lateness = loop.schedule(POLL_TIMEOUT_MS / 2, () -> late(c, turn));
       return;
     }
-    if (loop.now() - c.askedAt >= trickle) {
+    if (loop.nowMs() - c.askedAt >= trickle) {
       trickle = Math.min(2 * trickle, TRICKLE_MOST);
     }
     if (c.watching) {
@@ -339,7 +342,7 @@
                 }
               }
             })
-        .connect(loop.transport().at(address))
+        .connect(loop.transport().toSocketAddress(address))
         .addListener(
             f -> {
               if (f.isSuccess()) {
@@ -414,8 +417,12 @@
 
     /** Its answer has begun and still comes. */
     boolean growing() {
-      double now = loop.now();
-      return asked && !closed && total > 0 && now - heardAt < LATE / 2 && now - askedAt < trickle;
+      double now = loop.nowMs();
+      return asked
+          && !closed
+          && total > 0
+          && now - heardAt < POLL_TIMEOUT_MS / 2
+          && now - askedAt < trickle;
     }
 
     /** Asks for the list, or on the watch for what follows the last version. */
@@ -424,9 +431,9 @@
       turn++;
       size = 0;
       total = 0;
-      askedAt = loop.now();
+      askedAt = loop.nowMs();
       heardAt = askedAt;
-      long since = sink.version(space);
+      long since = sink.resumeVersion(space);
       following = watching && since >= 0;
       seq = Math.max(seq, since);
       if (!watching) {
@@ -448,7 +455,7 @@
         if (lateness != null) {
           lateness.cancel(false);
         }
-        lateness = loop.after(LATE, () -> late(this, now));
+        lateness = loop.schedule(POLL_TIMEOUT_MS, () -> late(this, now));
       }
     }
 
@@ -462,13 +469,14 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject msg) throws IOException {
-      heardAt = loop.now();
+      heardAt = loop.nowMs();
       if (msg.decoderResult().isFailure()) {
         if (msg.decoderResult().cause() instanceof PrematureChannelClosureException) {
           ctx.close();
           return;
         }
-        throw new MembersJson.NotAList("no HTTP: " + msg.decoderResult().cause().getMessage());
+        throw new EndpointListJson.MalformedListException(
+            "no HTTP: " + msg.decoderResult().cause().getMessage());
       }
       if (msg instanceof HttpResponse response) {
         good = response.status().code() == 200;
@@ -553,15 +561,15 @@
       backoff = BACKOFF;
       barren = 0;
       if (blank(length)) {
-        sink.heard(space);
+        sink.sourceConfirmed(space);
         return;
       }
-      MembersJson told = MembersJson.read(line, length, this::bad);
-      longest = told.whole() ? length : longest;
-      seq = Math.max(seq, told.seq());
+      EndpointListJson told = EndpointListJson.parse(line, length, this::bad);
+      longest = told.isComplete() ? length : longest;
+      seq = Math.max(seq, told.version());
       behindSince = Double.NaN;
-      sink.told(space, told.seq(), told.whole(), told.entries());
-      if (line.length > LOOKED) {
+      sink.endpointsReceived(space, told.version(), told.isComplete(), told.endpoints());
+      if (line.length > MAX_POLLED_LIST_BYTES) {
         line = new byte[512]; // a long one is rare, and idle memory for ever
       }
     }
@@ -605,8 +613,8 @@
      * The answer is that of the look before, byte for byte; false where it must be read after all.
      */
     boolean unchanged() {
-      heardAt = loop.now();
-      if (!sink.again(space, sameSeq)) {
+      heardAt = loop.nowMs();
+      if (!sink.confirmUnchanged(space, sameSeq)) {
         return false;
       }
       asked = false;
@@ -624,15 +632,15 @@
       if (blank(length)) {
         return false;
       }
-      MembersJson told = MembersJson.read(line, length, this::bad);
+      EndpointListJson told = EndpointListJson.parse(line, length, this::bad);
       if (!watching) {
-        unchanged.taken(told.seq());
+        unchanged.taken(told.version());
       }
-      sink.told(space, told.seq(), told.whole(), told.entries());
+      sink.endpointsReceived(space, told.version(), told.isComplete(), told.endpoints());
       if (watching) {
-        seq = told.seq();
+        seq = told.version();
       }
-      ahead(told.seq());
+      ahead(told.version());
       return true;
     }
 
@@ -642,11 +650,11 @@
       if (watching || w == null || !w.following || told <= w.seq) {
         if (w != null && told <= w.seq) {
           w.behindSince = Double.NaN;
-          renewWait = LOOK;
+          renewWait = POLL_INTERVAL_MS;
         }
         return;
       }
-      double now = loop.now();
+      double now = loop.nowMs();
       if (Double.isNaN(w.behindSince)) {
         w.behindSince = now;
       } else if (now - w.behindSince >= BEHIND) {
@@ -660,13 +668,13 @@
       if (following && size > 0 && !timed) {
         half(lines, size);
       }
-      loop.flush();
+      loop.flushPending();
     }
 
     /** Waits for more of this line; one that grows is waited for again. */
     private void half(long had, int length) {
       timed = true;
-      loop.after(
+      loop.schedule(
           HALF,
           () -> {
             timed = false;
@@ -700,10 +708,11 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      if (cause instanceof JacksonException || cause instanceof MembersJson.NotAList) {
+      if (cause instanceof JacksonException
+          || cause instanceof EndpointListJson.MalformedListException) {
         say("an answer at " + space + " is not taken: " + firstLine(cause.getMessage()));
       } else if (!(cause instanceof IOException)) {
-        loop.log("discovery", cause);
+        loop.logFailure("discovery", cause);
       }
       ctx.close();
     }
@@ -717,7 +726,7 @@
   private final class Unchanged extends ChannelInboundHandlerAdapter {
     private static final int HEAD = 4 << 10;
     private final Conn conn;
-    private final ByteBuf record = Unpooled.buffer(256, LOOKED + HEAD);
+    private final ByteBuf record = Unpooled.buffer(256, MAX_POLLED_LIST_BYTES + HEAD);
     private int matched = -1;
     private boolean tooLong;
 
@@ -749,7 +758,7 @@
           in.release();
           matched += n;
           conn.total += n;
-          conn.heardAt = loop.now();
+          conn.heardAt = loop.nowMs();
           if (matched < same.readableBytes() || conn.unchanged()) {
             matched = matched < same.readableBytes() ? matched : -1;
             return;
--- a/src/main/java/edgenode/net/discovery/ConsulSource.java
+++ b/src/main/java/edgenode/net/discovery/ConsulSource.java
@@ -1,9 +1,9 @@
 package edgenode.net.discovery;
 
-import edgenode.config.Config;
-import edgenode.config.Json;
-import edgenode.eventloop.Loop;
-import edgenode.membership.Entry;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -28,7 +28,7 @@
  * warning weight, {@code maintenance} and {@code critical} take it out of service. A meta key
  * {@code born_ms} tells a start.
  */
-public final class ConsulSource extends HttpSource {
+public final class ConsulSource extends HttpPollingSource {
   private static final double SLACK = 1000;
   private final String service;
   private final double wait;
@@ -40,8 +40,8 @@
    * @param token the ACL token, or null; never logged
    */
   public ConsulSource(
-      Loop loop,
-      Sink sink,
+      EdgeEventLoop loop,
+      EndpointSourceListener sink,
       InetSocketAddress address,
       String space,
       String service,
@@ -84,19 +84,19 @@
   }
 
   @Override
-  List<Entry> answer(FullHttpResponse response) throws IOException {
-    Json all = Json.read(bytes(response.content()));
+  List<DiscoveredEndpoint> answer(FullHttpResponse response) throws IOException {
+    JsonValue all = JsonValue.parse(bytes(response.content()));
     if (!all.isArray()) {
       throw new IOException("an array expected");
     }
-    List<Entry> entries = new ArrayList<>();
-    for (Json each : all.elements()) {
+    List<DiscoveredEndpoint> entries = new ArrayList<>();
+    for (JsonValue each : all.elements()) {
       try {
         entries.add(entry(each));
       } catch (IllegalArgumentException e) {
         if (!said.equals(e.getMessage())) {
           said = e.getMessage();
-          loop.say("discovery: an instance at " + space + " is left out: " + said);
+          loop.logLine("discovery: an instance at " + space + " is left out: " + said);
         }
       }
     }
@@ -114,33 +114,33 @@
     }
   }
 
-  private static Entry entry(Json each) {
-    Json service = each.get("Service");
-    String host = service.get("Address").text("");
-    host = host.isEmpty() ? each.get("Node").get("Address").text("") : host;
+  private static DiscoveredEndpoint entry(JsonValue each) {
+    JsonValue service = each.get("Service");
+    String host = service.get("Address").textOr("");
+    host = host.isEmpty() ? each.get("Node").get("Address").textOr("") : host;
     String dial =
         (host.indexOf(':') >= 0 ? "[" + host + "]" : host)
             + ":"
-            + (int) service.get("Port").number(0);
-    Config.address(dial);
+            + (int) service.get("Port").numberOr(0);
+    NodeConfig.parseAddress(dial);
     boolean warning = false;
     boolean out = false;
-    for (Json check : each.get("Checks").elements()) {
-      String status = check.get("Status").text("");
+    for (JsonValue check : each.get("Checks").elements()) {
+      String status = check.get("Status").textOr("");
       warning |= status.equals("warning");
       out |= !status.equals("warning") && !status.equals("passing");
     }
-    Json weights = service.get("Weights");
-    double weight = weights.get(warning ? "Warning" : "Passing").number(1);
-    Json meta = service.get("Meta");
-    return new Entry(
+    JsonValue weights = service.get("Weights");
+    double weight = weights.get(warning ? "Warning" : "Passing").numberOr(1);
+    JsonValue meta = service.get("Meta");
+    return new DiscoveredEndpoint(
         new EndpointInfo(
-            service.get("ID").text(""),
-            (int) meta.get("block").number(0),
-            each.get("Node").get("Datacenter").text(""),
+            service.get("ID").textOr(""),
+            (int) meta.get("block").numberOr(0),
+            each.get("Node").get("Datacenter").textOr(""),
             out || weight <= 0 ? EndpointState.DRAINING : EndpointState.UP,
-            meta.get("class").text(""),
-            meta.get("born_ms").number(0),
+            meta.get("class").textOr(""),
+            meta.get("born_ms").numberOr(0),
             Math.max(0, weight)),
         dial);
   }
--- a/src/main/java/edgenode/net/discovery/DnsSrvSource.java
+++ b/src/main/java/edgenode/net/discovery/DnsSrvSource.java
@@ -1,8 +1,8 @@
 package edgenode.net.discovery;
 
-import edgenode.eventloop.Loop;
-import edgenode.membership.Entry;
-import edgenode.membership.Source;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
+import edgenode.membership.EndpointSource;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import io.netty.buffer.ByteBuf;
@@ -36,13 +36,13 @@
  * target is the root, is an empty list; an answer that does not come or cannot be read changes
  * nothing. DNS knows no draining: a target that is not named is gone.
  */
-public final class DnsSrvSource implements Source {
+public final class DnsSrvSource implements EndpointSource {
   private static final int QUERY = 1000;
   private static final int QUERIES = 4;
   private static final int MOST = 4096;
   private static final double BACKOFF = 200;
-  private final Loop loop;
-  private final Sink sink;
+  private final EdgeEventLoop loop;
+  private final EndpointSourceListener sink;
   private final String space;
   private final String name;
   private final double least;
@@ -52,12 +52,12 @@
   /** The addresses of the targets told last. */
   private final Map<String, String> known = new HashMap<>();
 
-  private List<Entry> before;
+  private List<DiscoveredEndpoint> before;
   private long version;
   private boolean left;
   private boolean asking;
   private Future<?> next;
-  private final Backoff backoff;
+  private final ExponentialBackoffPolicy backoff;
 
   private record Target(String name, int priority, int weight, int port) {}
 
@@ -67,8 +67,8 @@
    * @param most the longest
    */
   public DnsSrvSource(
-      Loop loop,
-      Sink sink,
+      EdgeEventLoop loop,
+      EndpointSourceListener sink,
       List<InetSocketAddress> servers,
       String space,
       String name,
@@ -80,12 +80,12 @@
     this.name = name.endsWith(".") ? name : name + ".";
     this.least = least;
     this.most = most;
-    backoff = new Backoff(BACKOFF, loop.now());
+    backoff = new ExponentialBackoffPolicy(BACKOFF, loop.nowMs());
     EventLoop own = loop.group().next();
     resolver =
         new DnsNameResolverBuilder(own)
-            .datagramChannelType(loop.transport().datagram())
-            .socketChannelType(loop.transport().stream(), true)
+            .datagramChannelType(loop.transport().datagramChannelType())
+            .socketChannelType(loop.transport().streamChannelType(), true)
             .queryTimeoutMillis(QUERY)
             .maxQueriesPerResolve(QUERIES)
             .nameServerProvider(new SequentialDnsServerAddressStreamProvider(servers))
@@ -102,16 +102,16 @@
   }
 
   @Override
-  public void askAnew() {
+  public void resync() {
     before = null;
     ask();
   }
 
   @Override
-  public void leave(double within) {
+  public void retire(double within) {
     left = true;
     resolver.close();
-    sink.ended(space);
+    sink.sourceClosed(space);
   }
 
   /** One chain of questions only, however often it is asked anew. */
@@ -119,7 +119,7 @@
     if (next != null) {
       next.cancel(false);
     }
-    next = loop.after(ms, this::ask);
+    next = loop.schedule(ms, this::ask);
   }
 
   private void ask() {
@@ -149,15 +149,15 @@
           } else {
             failed(String.valueOf(f.cause().getMessage()));
           }
-          loop.flush();
+          loop.flushPending();
         });
   }
 
   private void failed(String why) {
     asking = false;
-    loop.say("discovery: no use of an answer from " + space + ": " + why);
-    sink.failed(space, false);
-    askAfter(backoff.next());
+    loop.logLine("discovery: no use of an answer from " + space + ": " + why);
+    sink.requestFailed(space, false);
+    askAfter(backoff.nextDelayMs());
   }
 
   private void answer(DnsResponse response) {
@@ -231,39 +231,39 @@
                       ? one.getNow().getHostAddress()
                       : known.getOrDefault(t.name, "")); // a look-up that fails says nothing new
               resolve(targets, addresses, ttl);
-              loop.flush();
+              loop.flushPending();
             });
         return;
       }
     }
     known.clear();
-    List<Entry> entries = new ArrayList<>();
+    List<DiscoveredEndpoint> entries = new ArrayList<>();
     for (Target t : targets) {
       String at = addresses.get(t.name);
       if (at.isEmpty()) {
-        loop.say(
+        loop.logLine(
             "discovery: target " + t.name + " of " + space + " has no address and is left out");
         continue;
       }
       known.put(t.name, at);
       entries.add(
-          new Entry(
+          new DiscoveredEndpoint(
               new EndpointInfo(
                   t.name + ":" + t.port, 0, "", EndpointState.UP, "", 0, Math.max(1, t.weight)),
               (at.indexOf(':') >= 0 ? "[" + at + "]" : at) + ":" + t.port));
     }
-    entries.sort(Comparator.comparing(Entry::dial));
+    entries.sort(Comparator.comparing(DiscoveredEndpoint::address));
     tell(entries, ttl);
   }
 
-  private void tell(List<Entry> entries, double ttl) {
+  private void tell(List<DiscoveredEndpoint> entries, double ttl) {
     asking = false;
     backoff.reset();
     if (entries.equals(before)) {
-      sink.heard(space);
+      sink.sourceConfirmed(space);
     } else {
       before = entries;
-      sink.told(space, ++version, true, entries);
+      sink.endpointsReceived(space, ++version, true, entries);
     }
     askAfter(Math.max(least, Math.min(most, ttl)));
   }
--- a/src/main/java/edgenode/net/discovery/EdsSource.java
+++ b/src/main/java/edgenode/net/discovery/EdsSource.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import edgenode.config.Config;
-import edgenode.config.Json;
-import edgenode.eventloop.Loop;
-import edgenode.membership.Entry;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import io.netty.buffer.Unpooled;
@@ -33,7 +33,7 @@
  * {@code DRAINING}, {@code UNHEALTHY} and {@code TIMEOUT} are out of service. Only the first
  * priority that has an endpoint counts.
  */
-public final class EdsSource extends HttpSource {
+public final class EdsSource extends HttpPollingSource {
   private static final String TYPE =
       "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -48,8 +48,8 @@
   private String rejected;
 
   public EdsSource(
-      Loop loop,
-      Sink sink,
+      EdgeEventLoop loop,
+      EndpointSourceListener sink,
       InetSocketAddress address,
       String space,
       String cluster,
@@ -118,22 +118,22 @@
     nonce = "";
   }
 
-  private static Json get(Json in, String snake, String camel) {
-    Json found = in.get(snake);
+  private static JsonValue get(JsonValue in, String snake, String camel) {
+    JsonValue found = in.get(snake);
     return found.isNull() ? in.get(camel) : found;
   }
 
   @Override
-  List<Entry> answer(FullHttpResponse response) throws IOException {
-    Json all = Json.read(bytes(response.content()));
-    String toldNonce = all.get("nonce").text("");
-    String told = get(all, "version_info", "versionInfo").text("");
+  List<DiscoveredEndpoint> answer(FullHttpResponse response) throws IOException {
+    JsonValue all = JsonValue.parse(bytes(response.content()));
+    String toldNonce = all.get("nonce").textOr("");
+    String told = get(all, "version_info", "versionInfo").textOr("");
     if (!told.isEmpty() && told.equals(version)) {
       nonce = toldNonce;
       return null;
     }
     try {
-      List<Entry> entries = entries(all);
+      List<DiscoveredEndpoint> entries = entries(all);
       version = told;
       nonce = toldNonce;
       rejected = null;
@@ -144,56 +144,56 @@
       boolean news = !text.equals(rejected);
       rejected = text.length() > MESSAGE ? text.substring(0, MESSAGE) : text;
       if (news) {
-        loop.say("discovery: version '" + told + "' at " + space + " is rejected: " + rejected);
+        loop.logLine("discovery: version '" + told + "' at " + space + " is rejected: " + rejected);
       }
       return null;
     }
   }
 
-  private List<Entry> entries(Json all) {
-    String type = get(all, "type_url", "typeUrl").text(TYPE);
+  private List<DiscoveredEndpoint> entries(JsonValue all) {
+    String type = get(all, "type_url", "typeUrl").textOr(TYPE);
     if (!type.equals(TYPE)) {
       throw new IllegalArgumentException("type " + type);
     }
     if (!all.get("resources").isArray()) {
       throw new IllegalArgumentException("no resources");
     }
-    for (Json resource : all.get("resources").elements()) {
-      if (get(resource, "cluster_name", "clusterName").text("").equals(cluster)) {
+    for (JsonValue resource : all.get("resources").elements()) {
+      if (get(resource, "cluster_name", "clusterName").textOr("").equals(cluster)) {
         return assignment(resource);
       }
     }
     throw new IllegalArgumentException("no resource for cluster " + cluster);
   }
 
-  private static List<Entry> assignment(Json resource) {
+  private static List<DiscoveredEndpoint> assignment(JsonValue resource) {
     double first =
         resource.get("endpoints").elements().stream()
             .filter(l -> !get(l, "lb_endpoints", "lbEndpoints").elements().isEmpty())
-            .mapToDouble(l -> l.get("priority").number(0))
+            .mapToDouble(l -> l.get("priority").numberOr(0))
             .min()
             .orElse(0);
-    List<Entry> entries = new ArrayList<>();
-    for (Json locality : resource.get("endpoints").elements()) {
-      if (locality.get("priority").number(0) != first) {
+    List<DiscoveredEndpoint> entries = new ArrayList<>();
+    for (JsonValue locality : resource.get("endpoints").elements()) {
+      if (locality.get("priority").numberOr(0) != first) {
         continue;
       }
-      String zone = locality.get("locality").get("zone").text("");
-      for (Json each : get(locality, "lb_endpoints", "lbEndpoints").elements()) {
-        Json at = get(each.get("endpoint").get("address"), "socket_address", "socketAddress");
-        String host = at.get("address").text("");
+      String zone = locality.get("locality").get("zone").textOr("");
+      for (JsonValue each : get(locality, "lb_endpoints", "lbEndpoints").elements()) {
+        JsonValue at = get(each.get("endpoint").get("address"), "socket_address", "socketAddress");
+        String host = at.get("address").textOr("");
         String dial =
             (host.indexOf(':') >= 0 ? "[" + host + "]" : host)
                 + ":"
-                + (int) get(at, "port_value", "portValue").number(0);
-        Config.address(dial);
-        String health = get(each, "health_status", "healthStatus").text("UNKNOWN");
+                + (int) get(at, "port_value", "portValue").numberOr(0);
+        NodeConfig.parseAddress(dial);
+        String health = get(each, "health_status", "healthStatus").textOr("UNKNOWN");
         boolean up =
             health.equals("HEALTHY") || health.equals("UNKNOWN") || health.equals("DEGRADED");
-        double weight = get(each, "load_balancing_weight", "loadBalancingWeight").number(1);
-        String name = each.get("endpoint").get("hostname").text("");
+        double weight = get(each, "load_balancing_weight", "loadBalancingWeight").numberOr(1);
+        String name = each.get("endpoint").get("hostname").textOr("");
         entries.add(
-            new Entry(
+            new DiscoveredEndpoint(
                 new EndpointInfo(
                     name.isEmpty() ? dial : name,
                     0,
--- a/src/main/java/edgenode/net/discovery/MembersJson.java
+++ b/src/main/java/edgenode/net/discovery/EndpointListJson.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import edgenode.config.Config;
-import edgenode.config.Json;
-import edgenode.membership.Entry;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.membership.DiscoveredEndpoint;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import java.io.IOException;
@@ -18,14 +18,15 @@
  * An entry that cannot be used is told and left out, the others count; what is no list at all is an
  * error.
  *
- * @param seq the version, -1 where there is none that is a number
+ * @param version the version, -1 where there is none that is a number
  */
-public record MembersJson(long seq, boolean whole, List<Entry> entries) {
+public record EndpointListJson(
+    long version, boolean isComplete, List<DiscoveredEndpoint> endpoints) {
   /** What was read is JSON, but no list. */
-  static final class NotAList extends IOException {
+  static final class MalformedListException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    NotAList(String what) {
+    MalformedListException(String what) {
       super(what);
     }
   }
@@ -35,40 +36,41 @@
   /**
    * @throws IOException where it is no JSON, or no list
    */
-  public static MembersJson read(byte[] text, int length, Consumer<String> bad) throws IOException {
+  public static EndpointListJson parse(byte[] text, int length, Consumer<String> bad)
+      throws IOException {
     try (JsonParser in = FACTORY.createParser(text, 0, length)) {
       return list(in, bad);
     }
   }
 
   /** The list in a configuration; null where that has none. */
-  public static MembersJson of(Json known, Consumer<String> bad) {
+  public static EndpointListJson fromConfiguration(JsonValue known, Consumer<String> bad) {
     if (!known.get("hosts").isArray()) {
       return null;
     }
-    List<Entry> entries = new ArrayList<>();
-    for (Json h : known.get("hosts").elements()) {
+    List<DiscoveredEndpoint> entries = new ArrayList<>();
+    for (JsonValue h : known.get("hosts").elements()) {
       add(
           entries,
-          h.get("host").text(""),
-          h.get("dial").text(""),
-          h.get("site").text(""),
-          h.get("class").text(""),
-          h.get("health").text(""),
-          (int) h.get("block").number(0),
-          finite(h.get("share").number(1), 1),
-          finite(h.get("born_ms").number(0), 0),
+          h.get("host").textOr(""),
+          h.get("dial").textOr(""),
+          h.get("site").textOr(""),
+          h.get("class").textOr(""),
+          h.get("health").textOr(""),
+          (int) h.get("block").numberOr(0),
+          finite(h.get("share").numberOr(1), 1),
+          finite(h.get("born_ms").numberOr(0), 0),
           bad);
     }
-    return new MembersJson((long) known.get("seq").number(-1), true, entries);
+    return new EndpointListJson((long) known.get("seq").numberOr(-1), true, entries);
   }
 
-  private static MembersJson list(JsonParser in, Consumer<String> bad) throws IOException {
+  private static EndpointListJson list(JsonParser in, Consumer<String> bad) throws IOException {
     long seq = -1;
     boolean whole = false;
-    List<Entry> entries = null;
+    List<DiscoveredEndpoint> entries = null;
     if (in.nextToken() != JsonToken.START_OBJECT) {
-      throw new NotAList("an object expected");
+      throw new MalformedListException("an object expected");
     }
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String name = in.currentName();
@@ -78,7 +80,7 @@
         case "whole" -> whole = value == JsonToken.VALUE_TRUE;
         case "hosts" -> {
           if (value != JsonToken.START_ARRAY) {
-            throw new NotAList("'hosts' is no array");
+            throw new MalformedListException("'hosts' is no array");
           }
           entries = new ArrayList<>();
           while (in.nextToken() != JsonToken.END_ARRAY) {
@@ -89,12 +91,12 @@
       }
     }
     if (entries == null) {
-      throw new NotAList("no 'hosts'");
+      throw new MalformedListException("no 'hosts'");
     }
-    return new MembersJson(seq, whole, entries);
+    return new EndpointListJson(seq, whole, entries);
   }
 
-  private static void host(JsonParser in, List<Entry> entries, Consumer<String> bad)
+  private static void host(JsonParser in, List<DiscoveredEndpoint> entries, Consumer<String> bad)
       throws IOException {
     if (in.currentToken() != JsonToken.START_OBJECT) {
       in.skipChildren();
@@ -129,7 +131,7 @@
   }
 
   private static void add(
-      List<Entry> entries,
+      List<DiscoveredEndpoint> entries,
       String host,
       String dial,
       String site,
@@ -148,10 +150,10 @@
         };
     try {
       if (!dial.isEmpty()) {
-        Config.address(dial);
+        NodeConfig.parseAddress(dial);
       }
       entries.add(
-          new Entry(
+          new DiscoveredEndpoint(
               new EndpointInfo(host, block, site, state, kind, born, share),
               dial.isEmpty() ? null : dial));
     } catch (IllegalArgumentException e) { // the others are of use
--- a/src/main/java/edgenode/net/discovery/HttpSource.java
+++ b/src/main/java/edgenode/net/discovery/HttpPollingSource.java
@@ -1,8 +1,8 @@
 package edgenode.net.discovery;
 
-import edgenode.eventloop.Loop;
-import edgenode.membership.Entry;
-import edgenode.membership.Source;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
+import edgenode.membership.EndpointSource;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -24,18 +24,18 @@
 /**
  * A source that asks one question after another over HTTP, on one connection that is kept: an
  * answer within a time, whole and of a bounded length, or the question is asked again on a new
- * connection after a {@link Backoff}.
+ * connection after a {@link ExponentialBackoffPolicy}.
  */
-abstract class HttpSource implements Source {
+abstract class HttpPollingSource implements EndpointSource {
   /** No list is as long as this (bytes). */
   static final int LONGEST = 8 << 20;
 
   private static final double BACKOFF = 50;
   private static final int CONNECT = 1000;
 
-  final Loop loop;
+  final EdgeEventLoop loop;
   final String space;
-  private final Sink sink;
+  private final EndpointSourceListener sink;
   private final InetSocketAddress address;
   private final Bootstrap bootstrap;
   private Channel channel;
@@ -45,17 +45,18 @@
   private Future<?> next;
   private int turn;
   private int open;
-  private final Backoff backoff;
+  private final ExponentialBackoffPolicy backoff;
   private long version;
-  private List<Entry> before;
+  private List<DiscoveredEndpoint> before;
 
-  HttpSource(Loop loop, Sink sink, InetSocketAddress address, String space) {
+  HttpPollingSource(
+      EdgeEventLoop loop, EndpointSourceListener sink, InetSocketAddress address, String space) {
     this.loop = loop;
     this.sink = sink;
     this.address = address;
     this.space = space;
-    bootstrap = loop.transport().connecting(loop.group(), CONNECT);
-    backoff = new Backoff(BACKOFF, loop.now());
+    bootstrap = loop.transport().newClientBootstrap(loop.group(), CONNECT);
+    backoff = new ExponentialBackoffPolicy(BACKOFF, loop.nowMs());
   }
 
   /** The next question. */
@@ -69,7 +70,7 @@
    *
    * @throws IOException where it cannot be understood; the question is asked again
    */
-  abstract List<Entry> answer(FullHttpResponse response) throws IOException;
+  abstract List<DiscoveredEndpoint> answer(FullHttpResponse response) throws IOException;
 
   /** How long to wait until the next question (ms). */
   abstract double pause();
@@ -83,7 +84,7 @@
   }
 
   @Override
-  public final void askAnew() {
+  public final void resync() {
     forget();
     before = null;
     if (channel != null) {
@@ -96,12 +97,12 @@
   }
 
   @Override
-  public final void leave(double within) {
+  public final void retire(double within) {
     left = true;
     if (channel != null) {
       channel.close();
     } else if (open == 0) {
-      sink.ended(space);
+      sink.sourceClosed(space);
     }
   }
 
@@ -122,11 +123,11 @@
     FullHttpRequest question = question();
     question.headers().set(HttpHeaderNames.HOST, host());
     channel.writeAndFlush(question);
-    loop.after(
+    loop.schedule(
         within(),
         () -> {
           if (waiting && turn == now && channel != null) {
-            loop.say(
+            loop.logLine(
                 "discovery: no answer from " + space + " within " + Math.round(within()) + " ms");
             channel.close();
           }
@@ -138,7 +139,7 @@
     if (next != null) {
       next.cancel(false);
     }
-    next = loop.after(ms, this::ask);
+    next = loop.schedule(ms, this::ask);
   }
 
   private void connect() {
@@ -155,7 +156,7 @@
                         new HttpClientCodec(), new HttpObjectAggregator(LONGEST), new Answers());
               }
             })
-        .connect(loop.transport().at(address))
+        .connect(loop.transport().toSocketAddress(address))
         .addListener(
             f -> {
               connecting = false;
@@ -172,13 +173,13 @@
     waiting = false;
     if (left) {
       if (open == 0) {
-        sink.ended(space);
+        sink.sourceClosed(space);
       }
       return;
     }
     forget();
-    sink.failed(space, refused);
-    askAfter(backoff.next());
+    sink.requestFailed(space, refused);
+    askAfter(backoff.nextDelayMs());
   }
 
   private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -205,14 +206,14 @@
       if (msg.status().code() != 200) {
         throw new IOException("status " + msg.status().code());
       }
-      List<Entry> told = answer(msg);
+      List<DiscoveredEndpoint> told = answer(msg);
       waiting = false;
       backoff.reset();
       if (told == null || told.equals(before)) {
-        sink.heard(space);
+        sink.sourceConfirmed(space);
       } else {
         before = told;
-        sink.told(space, ++version, true, told);
+        sink.endpointsReceived(space, ++version, true, told);
       }
       if (msg.headers().contains(HttpHeaderNames.CONNECTION, "close", true)) {
         channel = null;
@@ -223,7 +224,7 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      loop.flush();
+      loop.flushPending();
     }
 
     @Override
@@ -236,7 +237,7 @@
           failed(false);
         } // else it was idle: the next question opens another
       } else if (left && open == 0) {
-        sink.ended(space);
+        sink.sourceClosed(space);
       }
     }
 
@@ -245,7 +246,7 @@
       String text = String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
       if (why == null && !(cause instanceof java.net.SocketException)) {
         why = text;
-        loop.say("discovery: an answer at " + space + " is not taken: " + text);
+        loop.logLine("discovery: an answer at " + space + " is not taken: " + text);
       }
       ctx.close();
     }
