--- a/src/main/java/edgenode/net/discovery/Members.java
+++ b/src/main/java/edgenode/net/discovery/MembershipService.java
@@ -1,11 +1,11 @@
 package edgenode.net.discovery;
 
-import edgenode.eventloop.Loop;
-import edgenode.membership.Entry;
-import edgenode.membership.Health;
-import edgenode.membership.Limits;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
+import edgenode.membership.EndpointHealthListener;
+import edgenode.membership.EndpointSource;
 import edgenode.membership.Membership;
-import edgenode.membership.Source;
+import edgenode.membership.MembershipLimits;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -17,32 +17,34 @@
  * Carries out what {@link Membership} decides: feeds it what sources and connections say, and tells
  * its view.
  */
-public final class Members implements Source.Sink, Health {
+public final class MembershipService
+    implements EndpointSource.EndpointSourceListener, EndpointHealthListener {
   /** Who is told the view. */
-  public interface View {
+  public interface MembershipListener {
     /** Servers that have changed, or all where whole. */
-    void listed(List<Entry> entries, boolean whole);
+    void endpointsChanged(List<DiscoveredEndpoint> endpoints, boolean isComplete);
 
     /** A call to discovery failed. */
     void discoveryFailed();
 
     /** Discovery refuses every connection. */
-    void discoveryRefuses();
+    void discoveryRefused();
 
     /**
-     * Tries a connect to a server, and tells {@link Members#reachable} or {@link *
+     * Tries a connect to a server, and tells {@link MembershipService#reachable} or {@link *
      * Members#unreachable}.
      */
-    void tryOut(String id);
+    void probeEndpoint(String id);
   }
 
   /** How a source is made. */
-  public interface Maker {
-    Source make(Loop loop, Source.Sink sink, String space);
+  public interface SourceFactory {
+    EndpointSource create(
+        EdgeEventLoop loop, EndpointSource.EndpointSourceListener listener, String sourceId);
   }
 
   /** A place that tells of servers; its name is compared, and told in the log. */
-  public record Place(String name, Maker maker) {}
+  public record SourceDefinition(String name, SourceFactory factory) {}
 
   /**
    * A source that was left may tell for so long (ms) still: the platform's old agent closes after
@@ -56,15 +58,15 @@
   /** Between tries of a server that is dead or held (ms). */
   private static final double TRY = 250;
 
-  private final Loop loop;
-  private final View view;
+  private final EdgeEventLoop loop;
+  private final MembershipListener view;
   private final Membership core;
   private final CompletableFuture<Void> ready = new CompletableFuture<>();
-  private final List<Place> places;
+  private final List<SourceDefinition> places;
   private final double failOver;
   private int at;
   private double heardAt;
-  private Source source;
+  private EndpointSource source;
   private String space;
   private int spaces;
   private int refused;
@@ -76,7 +78,12 @@
    * @param places where servers are told, the first one first
    * @param failOver after how long of silence (ms) the next place takes over, where there is one
    */
-  public Members(Loop loop, View view, Limits limits, List<Place> places, double failOver) {
+  public MembershipService(
+      EdgeEventLoop loop,
+      MembershipListener view,
+      MembershipLimits limits,
+      List<SourceDefinition> places,
+      double failOver) {
     this.loop = loop;
     this.view = view;
     this.places = new ArrayList<>(places);
@@ -86,8 +93,8 @@
   }
 
   /** For this platform: the agent at an address. */
-  public static Place agent(InetSocketAddress address) {
-    return new Place(
+  public static SourceDefinition agentSource(InetSocketAddress address) {
+    return new SourceDefinition(
         address.getHostString() + ":" + address.getPort(),
         (loop, sink, space) -> new AgentSource(loop, sink, address, space));
   }
@@ -98,32 +105,32 @@
   }
 
   /** What was known at the start serves until discovery answers; null where nothing was. */
-  public void start(MembersJson known) {
+  public void start(EndpointListJson known) {
     if (known != null) {
-      apply(core.known(loop.now(), known.seq(), known.entries()));
+      apply(core.loadInitialList(loop.nowMs(), known.version(), known.endpoints()));
     }
     begin();
     if (places.size() > 1) {
-      loop.after(failOver / 4, this::watchOver);
+      loop.schedule(failOver / 4, this::watchOver);
     }
   }
 
   private void begin() {
-    heardAt = loop.now();
-    source = places.get(at).maker.make(loop, this, space);
+    heardAt = loop.nowMs();
+    source = places.get(at).factory.create(loop, this, space);
     source.start();
   }
 
   /**
    * A place is elsewhere now; the old one counts until the new one has told, and a while longer.
    */
-  public void move(Place from, Place to) {
-    if (to.name.equals(from.name)) {
+  public void replaceSource(SourceDefinition current, SourceDefinition replacement) {
+    if (replacement.name.equals(current.name)) {
       return;
     }
     for (int i = 0; i < places.size(); i++) {
-      if (places.get(i).name.equals(from.name)) {
-        places.set(i, to);
+      if (places.get(i).name.equals(current.name)) {
+        places.set(i, replacement);
         if (i == at) {
           change(i);
         }
@@ -136,24 +143,24 @@
     String before = space;
     at = to;
     space = name(places.get(to).name);
-    core.move(loop.now(), space);
-    loop.after(2 * LEFT, () -> ended(before)); // also where a connection of it never ends
+    core.switchSource(loop.nowMs(), space);
+    loop.schedule(2 * LEFT, () -> sourceClosed(before)); // also where a connection of it never ends
     if (source != null) {
-      source.leave(LEFT);
+      source.retire(LEFT);
       begin();
     }
   }
 
   /** The place in use may have fallen silent. */
   private void watchOver() {
-    loop.after(failOver / 4, this::watchOver);
-    if (loop.now() - heardAt >= failOver) {
+    loop.schedule(failOver / 4, this::watchOver);
+    if (loop.nowMs() - heardAt >= failOver) {
       int next = (at + 1) % places.size();
-      loop.say(
+      loop.logLine(
           "servers: nothing from "
               + space
               + " for "
-              + Math.round(loop.now() - heardAt)
+              + Math.round(loop.nowMs() - heardAt)
               + " ms, "
               + places.get(next).name
               + " takes over");
@@ -168,26 +175,27 @@
     return of + (spaces++ == 0 ? "" : "#" + spaces);
   }
 
-  public Membership.Figures figures() {
-    return core.figures(loop.now());
+  public Membership.MembershipStats stats() {
+    return core.stats(loop.nowMs());
   }
 
   // ---- from sources ----
 
   @Override
-  public long version(String of) {
-    return of.equals(space) ? core.version() : -1;
+  public long resumeVersion(String of) {
+    return of.equals(space) ? core.resumeVersion() : -1;
   }
 
   @Override
-  public void told(String of, long seq, boolean whole, List<Entry> entries) {
-    apply(core.told(loop.now(), of, seq, whole, entries));
+  public void endpointsReceived(
+      String of, long seq, boolean whole, List<DiscoveredEndpoint> entries) {
+    apply(core.endpointsReceived(loop.nowMs(), of, seq, whole, entries));
     heardOf(of);
   }
 
   @Override
-  public boolean again(String of, long seq) {
-    boolean same = core.again(loop.now(), of, seq);
+  public boolean confirmUnchanged(String of, long seq) {
+    boolean same = core.confirmUnchanged(loop.nowMs(), of, seq);
     if (same) {
       heardOf(of);
     }
@@ -195,89 +203,89 @@
   }
 
   @Override
-  public void heard(String of) {
-    apply(core.heard(loop.now(), of));
+  public void sourceConfirmed(String of) {
+    apply(core.sourceConfirmed(loop.nowMs(), of));
     heardOf(of);
   }
 
   private void heardOf(String of) {
     if (of.equals(space)) {
-      heardAt = loop.now();
+      heardAt = loop.nowMs();
       refused = 0;
       ready.complete(null);
     }
   }
 
   @Override
-  public void failed(String of, boolean wasRefused) {
+  public void requestFailed(String of, boolean wasRefused) {
     if (!of.equals(space)) {
       return;
     }
     refused = wasRefused ? refused + 1 : 0;
     if (refused >= REFUSED) {
-      view.discoveryRefuses();
+      view.discoveryRefused();
     }
     view.discoveryFailed();
   }
 
   @Override
-  public void ended(String of) {
-    apply(core.ended(loop.now(), of));
+  public void sourceClosed(String of) {
+    apply(core.sourceClosed(loop.nowMs(), of));
   }
 
   // ---- from connections to servers ----
 
   @Override
-  public void answered(String id) {
-    Membership.Changes changes = core.answered(loop.now(), id);
-    if (changes != Membership.Changes.NONE) { // as with nearly every answer
+  public void responded(String id) {
+    Membership.MembershipUpdate changes = core.responded(loop.nowMs(), id);
+    if (changes != Membership.MembershipUpdate.NONE) { // as with nearly every answer
       apply(changes);
     }
   }
 
   @Override
-  public void reachable(String id) {
-    apply(core.reachable(loop.now(), id));
+  public void connected(String id) {
+    apply(core.connected(loop.nowMs(), id));
   }
 
   @Override
-  public void unreachable(String id, boolean wasRefused, int standing) {
-    apply(core.unreachable(loop.now(), id, wasRefused, standing));
+  public void connectFailed(String id, boolean wasRefused, int standing) {
+    apply(core.connectFailed(loop.nowMs(), id, wasRefused, standing));
   }
 
   // ---- the view ----
 
-  private void apply(Membership.Changes changes) {
-    for (String note : changes.notes()) {
-      loop.say("servers: " + note);
+  private void apply(Membership.MembershipUpdate changes) {
+    for (String note : changes.messages()) {
+      loop.logLine("servers: " + note);
     }
-    if (!changes.entries().isEmpty()) {
-      view.listed(changes.entries(), changes.whole());
+    if (!changes.endpoints().isEmpty()) {
+      view.endpointsChanged(changes.endpoints(), changes.isComplete());
     }
-    if (changes.askAnew() && source != null) {
-      source.askAnew();
+    if (changes.mustResync() && source != null) {
+      source.resync();
     }
     tryOut();
     arm();
   }
 
   private void tryOut() {
-    if (trying || core.toTry().isEmpty()) {
+    if (trying || core.endpointsToProbe().isEmpty()) {
       return;
     }
     trying = true;
-    loop.after(
+    loop.schedule(
         TRY,
         () -> {
           trying = false;
-          Collection<String> all = new ArrayList<>(core.toTry());
-          all.forEach(view::tryOut);
+          Collection<String> all = new ArrayList<>(core.endpointsToProbe());
+          all.forEach(view::probeEndpoint);
           tryOut();
         });
   }
 
   private void arm() {
-    double at = core.next();
+    double at = core.nextTickMs();
     if (at >= timerAt) {
       return;
     }
@@ -286,12 +294,12 @@
     }
     timerAt = at;
     timer =
-        loop.after(
-            Math.max(1, at - loop.now()),
+        loop.schedule(
+            Math.max(1, at - loop.nowMs()),
             () -> {
               timerAt = Double.POSITIVE_INFINITY;
               timer = null;
-              apply(core.tick(loop.now()));
+              apply(core.tick(loop.nowMs()));
             });
   }
 }
--- a/src/main/java/edgenode/net/downstream/ClientListener.java
+++ b/src/main/java/edgenode/net/downstream/ClientListener.java
@@ -1,7 +1,7 @@
 package edgenode.net.downstream;
 
-import edgenode.eventloop.Loop;
-import edgenode.net.resp.Resp;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.net.resp.RespCodec;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -27,29 +27,30 @@
 /** Clients' connections: commands in, answers out in the order of the commands. */
 public final class ClientListener {
   /** Who takes what clients ask. */
-  public interface Requests {
+  public interface RequestHandler {
     /**
      * Takes a request, which from then on is the slot's; its command is the caller's to release.
      *
-     * @param crowded its connection has so many open that it is refused at once
+     * @param isOverPipelineLimit its connection has so many open that it is refused at once
      * @return what is wrong with it, and it was not taken; else null
      */
-    String take(Slot slot, ArrayRedisMessage command, boolean crowded);
+    String requestReceived(
+        ResponseSlot slot, ArrayRedisMessage command, boolean isOverPipelineLimit);
   }
 
   /** A request that was taken and has not been answered. */
-  public interface Taken {
+  public interface OpenRequest {
     /** It fails now: what comes behind it on its connection cannot be told apart. */
-    void giveUp();
+    void failNow();
 
     /** Its client has gone: no answer is owed any more. */
-    void gone();
+    void clientDisconnected();
   }
 
   /** Where a value comes from that is passed on as it comes. */
-  public interface Flow {
+  public interface FlowControl {
     /** Whether more may come now. */
-    void flow(boolean on);
+    void setFlowing(boolean isFlowing);
   }
 
   /**
@@ -57,70 +58,74 @@
    * They are read all the same: unread ones would age, and the end of their client's connection
    * could not be seen behind them.
    */
-  private static final int PIPELINED = 256;
+  private static final int MAX_PIPELINED_REQUESTS = 256;
 
   /**
    * So many are no client's but a flood: the connection is told so and ended. A slot is some 60
    * bytes.
    */
-  private static final int FLOOD = 4096;
+  private static final int MAX_UNANSWERED_COMMANDS = 4096;
 
   /** A client that does not close its side after ours has ended is cut off after this (ms). */
-  private static final int LINGER = 200;
+  private static final int LINGER_MS = 200;
 
   /**
    * More than the bound, as a part of it, are accepted while those that are to go are on their way
    * out.
    */
-  public static final double BEYOND = 1.0 / 16;
+  public static final double OVER_LIMIT_SHARE = 1.0 / 16;
 
   private static final byte[] END_OF_LINE = {'\r', '\n'};
-  private static final int MOST_WORDS = 16;
+  private static final int MAX_COMMAND_ELEMENTS = 16;
   private static final int BACKLOG = 1024;
 
   /** One that has sent nothing whole for so long (ms) is told so and ended. */
-  private static final double PATIENCE = 2500;
+  private static final double COMMAND_TIMEOUT_MS = 2500;
 
-  private static final double SWEEP = 250;
+  private static final double SWEEP_INTERVAL_MS = 250;
 
   /**
    * While reading from a client is off it is looked so often (ms) whether it has left: its requests
    * go on else.
    */
-  private static final double LOOK = 50;
+  private static final double DISCONNECT_CHECK_INTERVAL_MS = 50;
 
   /** A client that does not read what it is owed is cut off this long (ms) after the end. */
-  private static final int UNREAD = 2000;
+  private static final int SLOW_READER_TIMEOUT_MS = 2000;
 
-  private final Loop loop;
-  private final Requests requests;
-  private final int most;
-  private final Set<Connection> open = new LinkedHashSet<>();
+  private final EdgeEventLoop loop;
+  private final RequestHandler requestHandler;
+  private final int maxConnections;
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /** Those that are not on their way out. */
-  private final Places<Connection> places = new Places<>();
+  private final EvictionOrder<ClientConnection> evictionOrder = new EvictionOrder<>();
 
-  private final boolean shared;
+  private final boolean isAddressShared;
   private Channel listener;
-  private boolean closing;
-  private boolean cut;
-  private boolean welcome = true;
+  private boolean isClosing;
+  private boolean stopFurtherRequests;
+  private boolean setAcceptingClients = true;
 
   /**
-   * @param most connections that are held at once; at the bound the idle one makes room
-   * @param shared another process may listen at the same address: a new version
+   * @param maxConnections connections that are held at once; at the bound the idle one makes room
+   * @param isAddressShared another process may listen at the same address: a new version
    */
-  public ClientListener(Loop loop, Requests requests, int most, boolean shared) {
+  public ClientListener(
+      EdgeEventLoop loop,
+      RequestHandler requestHandler,
+      int maxConnections,
+      boolean isAddressShared) {
     this.loop = loop;
-    this.requests = requests;
-    this.most = most;
-    this.shared = shared;
+    this.requestHandler = requestHandler;
+    this.maxConnections = maxConnections;
+    this.isAddressShared = isAddressShared;
   }
 
   /** Binds; the future fails where the address cannot be had. */
   public ChannelFuture bind(InetSocketAddress address) {
-    ServerBootstrap accepting = loop.transport().accepting(loop.group(), BACKLOG);
-    return (shared ? loop.transport().shared(accepting) : accepting)
+    ServerBootstrap accepting = loop.transport().newServerBootstrap(loop.group(), BACKLOG);
+    return (isAddressShared ? loop.transport().withSharedPort(accepting) : accepting)
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -132,33 +137,35 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                Connection c = new Connection(channel);
-                c.raw = Resp.codec(channel.pipeline(), MOST_WORDS);
+                ClientConnection c = new ClientConnection(channel);
+                c.decoder = RespCodec.addCodec(channel.pipeline(), MAX_COMMAND_ELEMENTS);
                 channel.pipeline().addLast(c);
-                open.add(c);
-                places.entered(c, c.bornAt);
-                room();
+                connections.add(c);
+                evictionOrder.connected(c, c.acceptedAtMs);
+                enforceConnectionLimit();
               }
             })
-        .bind(loop.transport().at(address));
+        .bind(loop.transport().toSocketAddress(address));
   }
 
   public void start() {
-    loop.after(SWEEP, this::sweep);
+    loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
   }
 
   /** Connections that say nothing, or half a command, would fill the bound. */
   private void sweep() {
-    loop.after(SWEEP, this::sweep);
-    double before = loop.now() - PATIENCE;
-    for (Connection c : open.toArray(new Connection[0])) {
-      if (!c.deaf && c.slots.isEmpty() && c.silentFrom < before) {
-        c.malformed("no whole command came");
-      } else if (closing
-          && c.slots.isEmpty()
-          && c.raw.pending() == 0
-          && c.bornAt < loop.now() - Places.ASKS_WITHIN) {
-        c.finish(); // it came after the others had been ended, and asks nothing
+    loop.schedule(SWEEP_INTERVAL_MS, this::sweep);
+    double waitingSinceLimitMs = loop.nowMs() - COMMAND_TIMEOUT_MS;
+    for (ClientConnection connection : connections.toArray(new ClientConnection[0])) {
+      if (!connection.ignoresInput
+          && connection.slots.isEmpty()
+          && connection.waitingSinceMs < waitingSinceLimitMs) {
+        connection.rejectInput("no whole command came");
+      } else if (isClosing
+          && connection.slots.isEmpty()
+          && connection.decoder.pendingBytes() == 0
+          && connection.acceptedAtMs < loop.nowMs() - EvictionOrder.SILENT_GRACE_MS) {
+        connection.closeGracefully(); // it came after the others had been ended, and asks nothing
       }
     }
   }
@@ -167,86 +174,92 @@
    * At the bound the one goes that is needed least; where all are needed, accepting waits for a
    * close.
    */
-  private void room() {
-    if (open.size() > most) {
-      Connection goes = places.goes(loop.now());
-      if (goes != null) {
-        goes.evict();
+  private void enforceConnectionLimit() {
+    if (connections.size() > maxConnections) {
+      ClientConnection evicted = evictionOrder.nextToEvict(loop.nowMs());
+      if (evicted != null) {
+        evicted.evict();
       }
     }
-    listener.config().setAutoRead(open.size() < most + Math.max(1, most * BEYOND));
+    listener
+        .config()
+        .setAutoRead(
+            connections.size() < maxConnections + Math.max(1, maxConnections * OVER_LIMIT_SHARE));
   }
 
   /**
    * Ends the connections that are between requests, and from now on each after its last answer. One
    * within a command may finish it: its last byte may be on its way, and then an answer is owed.
    */
-  public void close() {
-    closing = true;
-    for (Connection c : open.toArray(new Connection[0])) {
-      if (c.slots.isEmpty() && c.raw.pending() == 0) {
-        c.finish();
+  public void closeIdleConnections() {
+    isClosing = true;
+    for (ClientConnection connection : connections.toArray(new ClientConnection[0])) {
+      if (connection.slots.isEmpty() && connection.decoder.pendingBytes() == 0) {
+        connection.closeGracefully();
       }
     }
   }
 
   /** What the front's question is answered from now on. */
-  public void welcome(boolean yes) {
-    welcome = yes;
+  public void setAcceptingClients(boolean isAccepting) {
+    setAcceptingClients = isAccepting;
   }
 
   /**
    * Connections with requests open bring no further ones; the others may finish the one that they
    * are within.
    */
-  public void cut() {
-    cut = true;
-    for (Connection c : open) {
-      c.hold();
+  public void stopFurtherRequests() {
+    stopFurtherRequests = true;
+    for (ClientConnection connection : connections) {
+      connection.updateReading();
     }
   }
 
-  /** Takes back {@link #close} and {@link #cut()}; connections that have been ended stay so. */
-  public void reopen() {
-    closing = false;
-    cut = false;
-    for (Connection c : open) {
-      c.hold();
+  /**
+   * Takes back {@link #closeIdleConnections} and {@link #stopFurtherRequests()}; connections that
+   * have been ended stay so.
+   */
+  public void cancelClose() {
+    isClosing = false;
+    stopFurtherRequests = false;
+    for (ClientConnection connection : connections) {
+      connection.updateReading();
     }
   }
 
   /** Where another process listens at the same address, it gets what is new from now on. */
-  public void giveWay() {
-    if (shared && listener != null && !loop.transport().giveWay(listener)) {
-      loop.say("clients: new connections go on being dealt to both processes at this address");
+  public void stopAcceptingAtSharedAddress() {
+    if (isAddressShared && listener != null && !loop.transport().yieldNewConnections(listener)) {
+      loop.logLine("clients: new connections go on being dealt to both processes at this address");
     }
   }
 
-  public void unbind() {
+  public void stopListening() {
     if (listener != null) { // told to end before it was bound
       listener.close();
     }
   }
 
   /** Requests that were taken and are not answered, counted at the connections. */
-  public int owed() {
+  public int openRequestCount() {
     int sum = 0;
-    for (Connection c : open) {
-      for (Slot slot : c.slots) {
-        sum += slot.taken == null ? 0 : 1;
+    for (ClientConnection connection : connections) {
+      for (ResponseSlot slot : connection.slots) {
+        sum += slot.openRequest == null ? 0 : 1;
       }
     }
     return sum;
   }
 
-  public boolean idle() {
-    return open.isEmpty();
+  public boolean hasNoConnections() {
+    return connections.isEmpty();
   }
 
   /** Whether a client has still to get bytes of an answer that is given. */
-  public boolean writing() {
-    for (Connection c : open) {
-      if (c.unwritten() > 0) {
+  public boolean hasUnwrittenResponses() {
+    for (ClientConnection connection : connections) {
+      if (connection.unwrittenBytes() > 0) {
         return true;
       }
     }
@@ -254,66 +267,66 @@
   }
 
   /** The place of one command's answer on its connection. */
-  public static final class Slot {
-    private final Connection connection;
-    private RedisMessage answer;
-    private Taken taken;
+  public static final class ResponseSlot {
+    private final ClientConnection connection;
+    private RedisMessage respond;
+    private OpenRequest openRequest;
 
     /** Where the value comes from that is passed on here, or null. */
-    private Flow flow;
+    private FlowControl flowControl;
 
     /** Of that value, while it is not written. */
-    private String head;
+    private String unwrittenHeader;
 
     /** Parts of it that are not written yet. */
-    private ArrayDeque<ByteBuf> early;
+    private ArrayDeque<ByteBuf> unwrittenChunks;
 
-    private boolean ended;
+    private boolean isStreamFinished;
 
-    private Slot(Connection connection) {
+    private ResponseSlot(ClientConnection connection) {
       this.connection = connection;
     }
 
     /** What is open here, or null where nothing is. */
-    public void take(Taken now) {
-      taken = now;
+    public void setOpenRequest(OpenRequest request) {
+      openRequest = request;
     }
 
     /**
      * Begins the one answer: a value of so many bytes that comes in parts. Until those before it
      * are written the flow is off; what comes all the same is kept.
      */
-    public void begin(int length, Flow from) {
-      flow = from;
-      head = "$" + length + "\r\n";
-      early = new ArrayDeque<>(2);
+    public void startStreaming(int lengthBytes, FlowControl source) {
+      flowControl = source;
+      unwrittenHeader = "$" + lengthBytes + "\r\n";
+      unwrittenChunks = new ArrayDeque<>(2);
       if (connection.slots.peek() != this) {
-        from.flow(false);
+        source.setFlowing(false);
       }
-      connection.drain();
+      connection.writeReadyResponses();
     }
 
     /** The next bytes of the value, which are the connection's to release. */
-    public void part(ByteBuf bytes) {
-      early.add(bytes);
-      connection.drain();
+    public void writeChunk(ByteBuf chunk) {
+      unwrittenChunks.add(chunk);
+      connection.writeReadyResponses();
     }
 
     /** The value is whole. */
-    public void end() {
-      ended = true;
-      connection.drain();
+    public void finishStreaming() {
+      isStreamFinished = true;
+      connection.writeReadyResponses();
     }
 
     /** The value will not be whole: its client can tell by the end of the connection. */
-    public void broken() {
-      connection.broken(this);
+    public void abortStreaming() {
+      connection.abortStream(this);
     }
 
     private void release() {
-      ReferenceCountUtil.release(answer);
-      while (early != null && !early.isEmpty()) {
-        early.poll().release();
+      ReferenceCountUtil.release(respond);
+      while (unwrittenChunks != null && !unwrittenChunks.isEmpty()) {
+        unwrittenChunks.poll().release();
       }
     }
 
@@ -322,99 +335,102 @@
      * asked of the system before anything is sent on. Where it has, all that is open on its
      * connection hears so at once, but later.
      */
-    public boolean left() {
-      return connection.left();
+    public boolean hasClientDisconnected() {
+      return connection.checkClientDisconnected();
     }
 
     /**
      * For how long (ms) the command may have lain unread, to be asked as it is taken. On a new
      * connection it may have come before that was accepted, a pass of the loop earlier.
      */
-    public double unread() {
+    public double unreadDelayMs() {
       return connection.unread();
     }
 
     /** Gives the one answer; it is written once those before it are. */
-    public void answer(RedisMessage message) {
-      answer = message;
-      connection.drain();
+    public void respond(RedisMessage message) {
+      respond = message;
+      connection.writeReadyResponses();
     }
   }
 
-  private final class Connection extends ChannelInboundHandlerAdapter {
+  private final class ClientConnection extends ChannelInboundHandlerAdapter {
     private final Channel channel;
-    private final ArrayDeque<Slot> slots = new ArrayDeque<>();
-    private final double bornAt = loop.now();
-    private Resp.Raw raw;
+    private final ArrayDeque<ResponseSlot> slots = new ArrayDeque<>();
+    private final double acceptedAtMs = loop.nowMs();
+    private RespCodec.UndecodedByteCounter decoder;
 
     /** Since when a whole command is waited for; never where none has begun. */
-    private double silentFrom = bornAt;
+    private double waitingSinceMs = acceptedAtMs;
 
     /** A whole command has come. */
-    private boolean asked;
+    private boolean hasReceivedCommand;
 
-    private boolean deaf;
-    private boolean finished;
+    private boolean ignoresInput;
+    private boolean isOutputEnding;
 
     /** Its client has ended its side. */
-    private boolean gone;
+    private boolean hasClientDisconnected;
 
     /** Whether it is looked for its client's end. */
-    private boolean looking;
+    private boolean isDisconnectCheckScheduled;
 
-    Connection(Channel channel) {
+    ClientConnection(Channel channel) {
       this.channel = channel;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      if (deaf) { // not taken: the client sends it once more elsewhere
+      if (ignoresInput) { // not taken: the client sends it once more elsewhere
         ReferenceCountUtil.release(msg);
         return;
       }
-      if (!channel.config().isAutoRead() && left()) {
+      if (!channel.config().isAutoRead() && checkClientDisconnected()) {
         ReferenceCountUtil.release(
             msg); // read though reading is off: as its client has ended its side
         return;
       }
-      raw.whole((RedisMessage) msg);
-      asked = true;
-      silentFrom = Double.MAX_VALUE;
-      places.owed(this, loop.now());
-      if (slots.size() >= FLOOD) {
+      decoder.messageDecoded((RedisMessage) msg);
+      hasReceivedCommand = true;
+      waitingSinceMs = Double.MAX_VALUE;
+      evictionOrder.commandReceived(this, loop.nowMs());
+      if (slots.size() >= MAX_UNANSWERED_COMMANDS) {
         ReferenceCountUtil.release(msg);
-        malformed("too many commands unanswered");
-        hold();
+        rejectInput("too many commands unanswered");
+        updateReading();
         return;
       }
-      Slot slot = new Slot(this);
+      ResponseSlot slot = new ResponseSlot(this);
       slots.add(slot);
       try {
         if (msg instanceof ArrayRedisMessage command
             && command != ArrayRedisMessage.NULL_INSTANCE
             && !command.children().isEmpty()) {
-          command(slot, command);
+          dispatch(slot, command);
         } else {
-          slot.answer(new ErrorRedisMessage("ERR a command expected"));
+          slot.respond(new ErrorRedisMessage("ERR a command expected"));
         }
       } finally {
         ReferenceCountUtil.release(msg);
       }
-      hold();
+      updateReading();
     }
 
-    private void command(Slot slot, ArrayRedisMessage command) {
-      String verb = Resp.text(command.children().get(0));
+    private void dispatch(ResponseSlot slot, ArrayRedisMessage command) {
+      String verb = RespCodec.textOf(command.children().get(0));
       if ("CALL.GET".equals(verb) || "CALL.POST".equals(verb)) {
-        String wrong = requests.take(slot, command, slots.size() > PIPELINED);
-        if (wrong != null) {
-          slot.answer(new ErrorRedisMessage("ERR " + wrong));
+        String error =
+            requestHandler.requestReceived(slot, command, slots.size() > MAX_PIPELINED_REQUESTS);
+        if (error != null) {
+          slot.respond(new ErrorRedisMessage("ERR " + error));
         }
       } else if ("PING".equalsIgnoreCase(verb)) {
-        slot.answer(
-            welcome ? new SimpleStringRedisMessage("PONG") : new ErrorRedisMessage("ERR draining"));
+        slot.respond(
+            setAcceptingClients
+                ? new SimpleStringRedisMessage("PONG")
+                : new ErrorRedisMessage("ERR draining"));
       } else {
-        slot.answer(new ErrorRedisMessage("ERR unknown command"));
+        slot.respond(new ErrorRedisMessage("ERR unknown command"));
       }
     }
 
@@ -422,22 +438,23 @@
      * Reading stops while answers are unread by the client, in the last part of a drain, and at the
      * end.
      */
-    private void hold() {
-      boolean read = !deaf && !(cut && !slots.isEmpty()) && channel.isWritable();
-      if (channel.config().isAutoRead() != read && !gone) {
-        channel.config().setAutoRead(read);
-        if (!read && !looking) {
-          looking = true;
-          loop.after(LOOK, this::look);
+    private void updateReading() {
+      boolean isReading =
+          !ignoresInput && !(stopFurtherRequests && !slots.isEmpty()) && channel.isWritable();
+      if (channel.config().isAutoRead() != isReading && !hasClientDisconnected) {
+        channel.config().setAutoRead(isReading);
+        if (!isReading && !isDisconnectCheckScheduled) {
+          isDisconnectCheckScheduled = true;
+          loop.schedule(DISCONNECT_CHECK_INTERVAL_MS, this::checkForDisconnect);
         }
       }
     }
 
     /** The end of a connection stands behind what has not been read: it must not wait for that. */
-    private void look() {
-      looking = channel.isActive() && !channel.config().isAutoRead();
-      if (looking && !left()) {
-        loop.after(LOOK, this::look);
+    private void checkForDisconnect() {
+      isDisconnectCheckScheduled = channel.isActive() && !channel.config().isAutoRead();
+      if (isDisconnectCheckScheduled && !checkClientDisconnected()) {
+        loop.schedule(DISCONNECT_CHECK_INTERVAL_MS, this::checkForDisconnect);
       }
     }
 
@@ -445,33 +462,35 @@
      * Nothing more is taken of a client that has left: what else was read with its end comes here
      * yet.
      */
-    boolean left() {
-      if (!gone && (!channel.isActive() || loop.transport().ended(channel))) {
-        gone = true;
-        deaf = true;
+    boolean checkClientDisconnected() {
+      if (!hasClientDisconnected
+          && (!channel.isActive() || loop.transport().isClosedByPeer(channel))) {
+        hasClientDisconnected = true;
+        ignoresInput = true;
         channel.close();
       }
-      return gone;
+      return hasClientDisconnected;
     }
 
-    private void drain() {
+    private void writeReadyResponses() {
       while (!slots.isEmpty()
-          && (slots.peek().answer != null || slots.peek().flow != null && passOn(slots.peek()))) {
-        Slot slot = slots.poll();
-        if (slot.answer != null) {
-          channel.write(slot.answer, channel.voidPromise());
+          && (slots.peek().respond != null
+              || slots.peek().flowControl != null && writeStreamed(slots.peek()))) {
+        ResponseSlot slot = slots.poll();
+        if (slot.respond != null) {
+          channel.write(slot.respond, channel.voidPromise());
           loop.flushLater(channel);
         }
       }
       if (slots.isEmpty()) {
-        if (closing || deaf) {
-          finish();
-        } else if (asked) {
-          places.answered(this, loop.now());
+        if (isClosing || ignoresInput) {
+          closeGracefully();
+        } else if (hasReceivedCommand) {
+          evictionOrder.allResponsesWritten(this, loop.nowMs());
         }
       }
       if (!channel.config().isAutoRead()) {
-        hold();
+        updateReading();
       }
     }
 
@@ -481,29 +500,29 @@
     }
 
     /** Writes what has come of a value that is next; whether that is all of it. */
-    private boolean passOn(Slot slot) {
-      if (slot.head != null) {
-        write(ByteBufUtil.writeAscii(channel.alloc(), slot.head));
-        slot.head = null;
+    private boolean writeStreamed(ResponseSlot slot) {
+      if (slot.unwrittenHeader != null) {
+        write(ByteBufUtil.writeAscii(channel.alloc(), slot.unwrittenHeader));
+        slot.unwrittenHeader = null;
       }
-      while (!slot.early.isEmpty()) {
-        write(slot.early.poll());
+      while (!slot.unwrittenChunks.isEmpty()) {
+        write(slot.unwrittenChunks.poll());
       }
-      if (slot.ended) {
+      if (slot.isStreamFinished) {
         write(Unpooled.wrappedBuffer(END_OF_LINE));
         return true;
       }
-      slot.flow.flow(channel.isWritable());
+      slot.flowControl.setFlowing(channel.isWritable());
       return false;
     }
 
-    void broken(Slot slot) {
-      if (slot.head != null) { // nothing of it is written yet
+    void abortStream(ResponseSlot slot) {
+      if (slot.unwrittenHeader != null) { // nothing of it is written yet
         slot.release();
-        slot.flow = null;
-        slot.answer(new ErrorRedisMessage("ERR failed"));
+        slot.flowControl = null;
+        slot.respond(new ErrorRedisMessage("ERR failed"));
       } else {
-        deaf = true;
+        ignoresInput = true;
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> channel.close());
       }
     }
@@ -514,12 +533,12 @@
      * what it was sent a while ago; one that may not have must not be reset.
      */
     private void evict() {
-      boolean read = loop.now() - places.left(this) > LINGER;
-      if (read && channel.unsafe().outboundBuffer() != null && unwritten() == 0) {
-        deaf = true;
+      boolean isAllRead = loop.nowMs() - evictionOrder.remove(this) > LINGER_MS;
+      if (isAllRead && channel.unsafe().outboundBuffer() != null && unwrittenBytes() == 0) {
+        ignoresInput = true;
         channel.close();
       } else {
-        finish();
+        closeGracefully();
       }
     }
 
@@ -529,12 +548,12 @@
      * that tells the client of a request which crossed the end that nobody has read it, and it
      * sends it once more. Read and dropped it would be lost.
      */
-    private void finish() {
-      if (!finished && !gone) {
-        finished = true;
-        deaf = true;
-        places.left(this);
-        hold();
+    private void closeGracefully() {
+      if (!isOutputEnding && !hasClientDisconnected) {
+        isOutputEnding = true;
+        ignoresInput = true;
+        evictionOrder.remove(this);
+        updateReading();
         unread(Long.MAX_VALUE);
         // behind all that is written: ending the output drops what a slow reader has still to get
         channel
@@ -546,19 +565,19 @@
                   }
                   channel
                       .eventLoop()
-                      .schedule(() -> channel.close(), LINGER, TimeUnit.MILLISECONDS);
+                      .schedule(() -> channel.close(), LINGER_MS, TimeUnit.MILLISECONDS);
                 });
       }
     }
 
     private double unread() {
-      double delay = loop.delay();
-      double age = loop.now() - bornAt;
+      double delay = loop.queueingDelayMs();
+      double age = loop.nowMs() - acceptedAtMs;
       return age <= delay ? age + delay : delay;
     }
 
     /** Bytes that its client has still to get. */
-    private long unwritten() {
+    private long unwrittenBytes() {
       ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
       return out == null ? 0 : out.totalPendingWriteBytes();
     }
@@ -569,52 +588,52 @@
           .eventLoop()
           .schedule(
               () -> {
-                long left = unwritten();
+                long left = unwrittenBytes();
                 if (left > 0 && left < before) {
                   unread(left);
                 } else {
                   channel.close();
                 }
               },
-              UNREAD,
+              SLOW_READER_TIMEOUT_MS,
               TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      if (raw.pending() == 0) {
-        silentFrom = asked ? Double.MAX_VALUE : silentFrom;
+      if (decoder.pendingBytes() == 0) {
+        waitingSinceMs = hasReceivedCommand ? Double.MAX_VALUE : waitingSinceMs;
       } else {
-        places.bytes(this, loop.now());
-        if (silentFrom == Double.MAX_VALUE) {
-          silentFrom = loop.now();
+        evictionOrder.partialCommandReceived(this, loop.nowMs());
+        if (waitingSinceMs == Double.MAX_VALUE) {
+          waitingSinceMs = loop.nowMs();
         }
       }
-      loop.flush();
+      loop.flushPending();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-      Slot first = slots.peek();
-      if (first != null && first.flow != null && first.head == null) {
-        first.flow.flow(channel.isWritable());
+      ResponseSlot first = slots.peek();
+      if (first != null && first.flowControl != null && first.unwrittenHeader == null) {
+        first.flowControl.setFlowing(channel.isWritable());
       }
-      hold();
+      updateReading();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      open.remove(this);
-      places.left(this);
+      connections.remove(this);
+      evictionOrder.remove(this);
       while (!slots.isEmpty()) {
-        Slot slot = slots.poll();
+        ResponseSlot slot = slots.poll();
         slot.release();
-        if (slot.taken != null) {
-          slot.taken.gone();
+        if (slot.openRequest != null) {
+          slot.openRequest.clientDisconnected();
         }
       }
-      room();
-      loop.flush();
+      enforceConnectionLimit();
+      loop.flushPending();
     }
 
     /**
@@ -622,29 +641,29 @@
      * once, so that the error is not late behind it, and nothing more is read: 60 MB would cost as
      * much to drop.
      */
-    private void malformed(String what) {
-      if (!deaf) {
-        deaf = true;
-        Slot last = new Slot(this);
+    private void rejectInput(String reason) {
+      if (!ignoresInput) {
+        ignoresInput = true;
+        ResponseSlot last = new ResponseSlot(this);
         slots.add(last);
-        for (Slot slot : slots.toArray(new Slot[0])) {
-          if (slot.taken != null) {
-            slot.taken.giveUp();
+        for (ResponseSlot slot : slots.toArray(new ResponseSlot[0])) {
+          if (slot.openRequest != null) {
+            slot.openRequest.failNow();
           }
         }
-        last.answer(new ErrorRedisMessage("ERR " + what));
+        last.respond(new ErrorRedisMessage("ERR " + reason));
       }
-      loop.flush();
+      loop.flushPending();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (cause instanceof io.netty.handler.codec.CodecException) {
-        malformed("malformed");
+        rejectInput("malformed");
         return;
       }
       if (!(cause instanceof java.io.IOException)) {
-        loop.log("client connection", cause);
+        loop.logFailure("client connection", cause);
       }
       channel.close();
     }
--- a/src/main/java/edgenode/net/resp/Resp.java
+++ b/src/main/java/edgenode/net/resp/RespCodec.java
@@ -22,58 +22,59 @@
 import java.util.List;
 
 /** RESP2 on a channel: the library's codec, held within this protocol's bounds. */
-public final class Resp {
+public final class RespCodec {
   /**
    * The most of one value that is kept; the lists of names and values and inline answers are far
    * shorter.
    */
-  public static final int VALUE = 64 * 1024;
+  public static final int MAX_VALUE_BYTES = 64 * 1024;
 
   /** The most that a value holds which is passed on as it comes. */
-  public static final int LONG_VALUE = 4 << 20;
+  public static final int MAX_LONG_VALUE_BYTES = 4 << 20;
 
-  private static final int LINE = 4096;
-  private static final int DEPTH = 4;
+  private static final int MAX_LINE_BYTES = 4096;
+  private static final int MAX_ARRAY_DEPTH = 4;
 
-  private Resp() {}
+  private RespCodec() {}
 
   /**
    * Adds the codec: whole messages in, messages out; the largest array told bounds what is kept of
    * one.
    */
-  public static Raw codec(ChannelPipeline pipeline, int mostElements) {
-    Raw raw = new Raw();
+  public static UndecodedByteCounter addCodec(ChannelPipeline pipeline, int maxElements) {
+    UndecodedByteCounter counter = new UndecodedByteCounter();
     pipeline.addLast(
-        raw,
-        new RedisDecoder(LINE, io.netty.handler.codec.redis.FixedRedisMessagePool.INSTANCE),
-        new Bounds(),
+        counter,
+        new RedisDecoder(
+            MAX_LINE_BYTES, io.netty.handler.codec.redis.FixedRedisMessagePool.INSTANCE),
+        new LengthLimiter(),
         new RedisBulkStringAggregator(),
-        new RedisArrayAggregator(mostElements, DEPTH),
+        new RedisArrayAggregator(maxElements, MAX_ARRAY_DEPTH),
         new RedisEncoder());
-    return raw;
+    return counter;
   }
 
-  /** As {@link #codec}, for answers of app servers: long values come in parts. */
-  public static Raw answers(ChannelPipeline pipeline, int mostElements) {
-    Raw raw = codec(pipeline, mostElements);
-    raw.longValues = new LongValues(raw, LONG_VALUE);
-    pipeline.addAfter(pipeline.context(RedisDecoder.class).name(), null, raw.longValues);
-    return raw;
+  /** As {@link #addCodec}, for answers of app servers: long values come in parts. */
+  public static UndecodedByteCounter addResponseCodec(ChannelPipeline pipeline, int maxElements) {
+    UndecodedByteCounter counter = addCodec(pipeline, maxElements);
+    counter.longValueDecoder = new LongValueDecoder(counter, MAX_LONG_VALUE_BYTES);
+    pipeline.addAfter(pipeline.context(RedisDecoder.class).name(), null, counter.longValueDecoder);
+    return counter;
   }
 
   /** Counts what comes in before it is decoded, as the decoder hides half a message. */
-  public static final class Raw extends ChannelInboundHandlerAdapter {
-    private long pending;
-    private LongValues longValues;
+  public static final class UndecodedByteCounter extends ChannelInboundHandlerAdapter {
+    private long pendingBytes;
+    private LongValueDecoder longValueDecoder;
 
     /** Bytes that have come and belong to no whole message yet. */
-    public long pending() {
-      return pending;
+    public long pendingBytes() {
+      return pendingBytes;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      pending += ((ByteBuf) msg).readableBytes();
+      pendingBytes += ((ByteBuf) msg).readableBytes();
       ctx.fireChannelRead(msg);
     }
 
@@ -81,27 +82,27 @@
      * A whole message has come: to be told as it arrives, before the next is read. One in another
      * than the shortest form leaves a difference for good.
      */
-    public void whole(RedisMessage message) {
-      pending -= length(message);
-      if (longValues != null) {
-        longValues.whole();
+    public void messageDecoded(RedisMessage message) {
+      pendingBytes -= encodedLength(message);
+      if (longValueDecoder != null) {
+        longValueDecoder.messageDecoded();
       }
     }
 
     /** So many bytes of a message have been passed on before it is whole. */
-    void took(int bytes) {
-      pending -= bytes;
+    void consumed(int bytes) {
+      pendingBytes -= bytes;
     }
   }
 
   /** The bytes of a message in its shortest form. */
-  private static long length(RedisMessage message) {
+  private static long encodedLength(RedisMessage message) {
     if (message instanceof ArrayRedisMessage array) {
       return array.isNull()
           ? 5
           : digits(array.children().size())
               + 3
-              + array.children().stream().mapToLong(Resp::length).sum();
+              + array.children().stream().mapToLong(RespCodec::encodedLength).sum();
     }
     if (message instanceof FullBulkStringRedisMessage bulk) {
       int size = bulk.isNull() ? -1 : bulk.content().readableBytes();
@@ -120,36 +121,37 @@
   }
 
   /** Guards against headers that announce gigabytes: the library's own bound is 512 MB a value. */
-  private static final class Bounds extends ChannelInboundHandlerAdapter {
+  private static final class LengthLimiter extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      if (msg instanceof BulkStringHeaderRedisMessage header && header.bulkStringLength() > VALUE) {
-        throw new CodecException("a value of more than " + VALUE);
+      if (msg instanceof BulkStringHeaderRedisMessage header
+          && header.bulkStringLength() > MAX_VALUE_BYTES) {
+        throw new CodecException("a value of more than " + MAX_VALUE_BYTES);
       }
       ctx.fireChannelRead(msg);
     }
   }
 
-  public static FullBulkStringRedisMessage bulk(ByteBufAllocator alloc, String text) {
+  public static FullBulkStringRedisMessage bulkString(ByteBufAllocator alloc, String text) {
     return new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(alloc, text));
   }
 
-  public static ArrayRedisMessage command(ByteBufAllocator alloc, String... words) {
-    List<RedisMessage> parts = new ArrayList<>(words.length);
-    for (String word : words) {
-      parts.add(bulk(alloc, word));
+  public static ArrayRedisMessage command(ByteBufAllocator alloc, String... arguments) {
+    List<RedisMessage> elements = new ArrayList<>(arguments.length);
+    for (String argument : arguments) {
+      elements.add(bulkString(alloc, argument));
     }
-    return new ArrayRedisMessage(parts);
+    return new ArrayRedisMessage(elements);
   }
 
   /** The text of a bulk string, or null where the message is none. */
-  public static String text(RedisMessage message) {
+  public static String textOf(RedisMessage message) {
     return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull()
         ? bulk.content().toString(StandardCharsets.UTF_8)
         : null;
   }
 
-  public static boolean isValue(RedisMessage message) {
+  public static boolean isBulkString(RedisMessage message) {
     return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull();
   }
 }
--- a/src/main/java/edgenode/node/Prime.java
+++ b/src/main/java/edgenode/node/CdsArchiveRun.java
@@ -15,7 +15,7 @@
  * One start and end of an edge node at build time, among stand-ins on loopback, so that the JVM can
  * write the archive of classes that such a start loads. Nothing of it is kept but that archive.
  */
-public final class Prime implements AutoCloseable {
+public final class CdsArchiveRun implements AutoCloseable {
   private static final String CONFIG =
       """
         {"name":"prime","listen":"127.0.0.1:0","admin_addr":"127.0.0.1:0",
@@ -30,69 +30,74 @@
            {"name":"write","effect":"idempotency_key","group":"cell","aim":800,"hard_limit":200,"worth":2,
             "repeat_window":7500}],
           "tariffs":[{"name":"plan","per_second":8,"depth":8,"price":1}]}}""";
-  private static final String LIST =
+  private static final String ENDPOINT_LIST =
       """
         {"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:%d","site":"a","class":"m","block":1,\
         "health":"active","share":1.0,"born_ms":0}]}
         """;
 
-  private final ServerSocket peers = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-  private final Path file = Files.createTempFile("prime", ".json");
+  private final ServerSocket emulatedServices =
+      new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  private final Path configFile = Files.createTempFile("prime", ".json");
 
-  public Prime() throws IOException {
-    String list = String.format(LIST, peers.getLocalPort());
-    Files.writeString(file, String.format(CONFIG, peers.getLocalPort(), list));
-    Thread answering = new Thread(() -> answer(peers, list), "stand-ins");
+  public CdsArchiveRun() throws IOException {
+    String list = String.format(ENDPOINT_LIST, emulatedServices.getLocalPort());
+    Files.writeString(configFile, String.format(CONFIG, emulatedServices.getLocalPort(), list));
+    Thread answering = new Thread(() -> answer(emulatedServices, list), "stand-ins");
     answering.setDaemon(true);
     answering.start();
   }
 
   /** As an edge node finds it. */
   public Map<String, String> environment() {
-    return Map.of("EDGE_CONFIG", file.toString());
+    return Map.of("EDGE_CONFIG", configFile.toString());
   }
 
   /** One client that asks and is answered, and operators that call. */
-  public void ask(Node node) throws IOException {
-    InetSocketAddress at = (InetSocketAddress) node.address();
-    try (Socket client = new Socket(at.getAddress(), at.getPort())) {
+  public void exercise(EdgeNode node) throws IOException {
+    InetSocketAddress address = (InetSocketAddress) node.address();
+    try (Socket client = new Socket(address.getAddress(), address.getPort())) {
       client.getOutputStream().write("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII));
       client.getInputStream().read();
     }
     call((InetSocketAddress) node.adminAddress(), "GET /api/ready");
     call((InetSocketAddress) node.adminAddress(), "GET /api/telemetry");
-    Files.delete(file);
+    Files.delete(configFile);
   }
 
-  private static void call(InetSocketAddress at, String what) throws IOException {
-    try (Socket caller = new Socket(at.getAddress(), at.getPort())) {
-      caller
+  private static void call(InetSocketAddress address, String requestLine) throws IOException {
+    try (Socket connection = new Socket(address.getAddress(), address.getPort())) {
+      connection
           .getOutputStream()
-          .write((what + " HTTP/1.1\r\nHost: prime\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-      caller.getInputStream().readAllBytes();
+          .write(
+              (requestLine + " HTTP/1.1\r\nHost: prime\r\n\r\n")
+                  .getBytes(StandardCharsets.US_ASCII));
+      connection.getInputStream().readAllBytes();
     }
   }
 
   @Override
   public void close() throws IOException {
-    peers.close();
+    emulatedServices.close();
   }
 
   /** What speaks HTTP is discovery; the others are let in and owed nothing. */
-  private static void answer(ServerSocket peers, String list) {
+  private static void answer(ServerSocket listener, String list) {
     String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
     try {
       while (true) {
-        Socket peer = peers.accept();
+        Socket connection = listener.accept();
         Thread reading =
             new Thread(
                 () -> {
-                  try (peer) {
-                    InputStream in = peer.getInputStream();
-                    byte[] some = new byte[1024];
-                    for (int n = in.read(some); n >= 0; n = in.read(some)) {
-                      if (new String(some, 0, n, StandardCharsets.US_ASCII).startsWith("GET")) {
-                        peer.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                  try (connection) {
+                    InputStream input = connection.getInputStream();
+                    byte[] buffer = new byte[1024];
+                    for (int n = input.read(buffer); n >= 0; n = input.read(buffer)) {
+                      if (new String(buffer, 0, n, StandardCharsets.US_ASCII).startsWith("GET")) {
+                        connection
+                            .getOutputStream()
+                            .write(answer.getBytes(StandardCharsets.US_ASCII));
                       }
                     }
                   } catch (IOException e) {
--- a/src/main/java/edgenode/node/Warmup.java
+++ b/src/main/java/edgenode/node/JitWarmUp.java
@@ -1,8 +1,8 @@
 package edgenode.node;
 
-import edgenode.net.resp.Call;
-import edgenode.net.resp.Resp;
-import edgenode.net.upstream.ServerPool;
+import edgenode.net.resp.RequestCommand;
+import edgenode.net.resp.RespCodec;
+import edgenode.net.upstream.UpstreamConnectionPool;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
@@ -32,7 +32,7 @@
  * it: on part of a core the first seconds of cold code make answers late. A module of its own, no
  * sockets, a own clock.
  */
-public final class Warmup implements PolicyActions {
+public final class JitWarmUp implements PolicyActions {
   /**
    * A restart waits for them, and others carry the load meanwhile: on 0.15 of a core 500 rounds
    * took 1 s more for nothing that was seen; 2 rounds left the first 5 s of a day so cold that a
@@ -41,41 +41,41 @@
    */
   private static final int ROUNDS = 100;
 
-  private static final int SERVERS = 8;
+  private static final int ENDPOINTS = 8;
   private static final int CUSTOMERS = 97;
-  private static final double STEP = 8;
+  private static final double ROUND_MS = 8;
 
   /** Elements, as on the real connections. */
-  private static final int MOST = 16;
+  private static final int MAX_ARRAY_ELEMENTS = 16;
 
   private final PolicySettings settings;
-  private final PolicyEvents module;
+  private final PolicyEvents policy;
   private final EmbeddedChannel client = new EmbeddedChannel();
   private final EmbeddedChannel server = new EmbeddedChannel();
   private final Map<Long, Double> totals = new HashMap<>();
   private final PriorityQueue<Double> timers = new PriorityQueue<>();
-  private final ArrayDeque<Runnable> told = new ArrayDeque<>();
-  private double now = 1000;
+  private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
+  private double nowMs = 1000;
 
-  private Warmup(PolicySettings settings, Node.Maker maker) {
+  private JitWarmUp(PolicySettings settings, EdgeNode.PolicyFactory policyFactory) {
     this.settings = settings;
-    Resp.codec(client.pipeline(), MOST);
-    Resp.codec(server.pipeline(), MOST);
-    module = maker.start(settings, 1, now, this);
+    RespCodec.addCodec(client.pipeline(), MAX_ARRAY_ELEMENTS);
+    RespCodec.addCodec(server.pipeline(), MAX_ARRAY_ELEMENTS);
+    policy = policyFactory.create(settings, 1, nowMs, this);
     List<EndpointInfo> list = new ArrayList<>();
-    for (int i = 0; i < SERVERS; i++) {
+    for (int i = 0; i < ENDPOINTS; i++) {
       list.add(new EndpointInfo("w" + i, i, settings.zone(), EndpointState.UP, "", 0, 1));
     }
-    module.endpointsChanged(now, list, true);
+    policy.endpointsChanged(nowMs, list, true);
   }
 
   /** Cold code is no reason not to start: what goes wrong here is told and left. */
-  public static void run(PolicySettings settings, Node.Maker maker) {
+  public static void run(PolicySettings settings, EdgeNode.PolicyFactory policyFactory) {
     try {
-      Warmup warmup = new Warmup(settings, maker);
-      boolean able = !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
-      for (int i = 1; able && i <= ROUNDS; i++) {
-        warmup.round(i);
+      JitWarmUp warmup = new JitWarmUp(settings, policyFactory);
+      boolean isConfigured = !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
+      for (int i = 1; isConfigured && i <= ROUNDS; i++) {
+        warmup.runRound(i);
       }
       warmup.close();
     } catch (RuntimeException e) {
@@ -88,16 +88,16 @@
     server.finishAndReleaseAll();
   }
 
-  private void round(int i) {
-    RequestClass type = settings.requestClasses().get(i % settings.requestClasses().size());
-    QuotaPlan plan = settings.plans().get(i % settings.plans().size());
+  private void runRound(int round) {
+    RequestClass type = settings.requestClasses().get(round % settings.requestClasses().size());
+    QuotaPlan plan = settings.plans().get(round % settings.plans().size());
     String verb = type.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
     client.writeInbound(
-        bytes(
-            array(
+        ascii(
+            command(
                 verb,
-                customer(i % CUSTOMERS),
-                Integer.toHexString(i),
+                customer(round % CUSTOMERS),
+                Integer.toHexString(round),
                 "c="
                     + type.name()
                     + ",t="
@@ -105,40 +105,40 @@
                     + ",d="
                     + Math.round(type.deadlineMs())
                     + ",k="
-                    + i
+                    + round
                     + ",units=1,spread="
                     + Math.min(2, settings.nodeCount())
                     + ",first=0")));
     ArrayRedisMessage command = client.readInbound();
-    Call call = Call.of(command, settings);
-    module.requestArrived(
-        now,
+    RequestCommand call = RequestCommand.parse(command, settings);
+    policy.requestArrived(
+        nowMs,
         new IncomingRequest(
-            i,
-            call.type(),
-            call.plan(),
+            round,
+            call.className(),
+            call.planName(),
             call.customer(),
-            call.patience(),
+            call.remainingMs(),
             call.units(),
-            call.spread(),
-            call.first(),
-            call.again()));
-    pass(server, call.forward(command, call.patience(), server.alloc()));
-    server.writeInbound(bytes("*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\nutil=0.61\r\n"));
+            call.nodeSpread(),
+            call.firstNode(),
+            call.isClientRetry()));
+    encode(server, call.forwardedCommand(command, call.remainingMs(), server.alloc()));
+    server.writeInbound(ascii("*3\r\n$5\r\nvalue\r\n$-1\r\n$9\r\nutil=0.61\r\n"));
     ArrayRedisMessage value = server.readInbound();
-    pass(client, ReferenceCountUtil.retain(value.children().get(0)));
-    pass(client, new ErrorRedisMessage("BUSY 2000"));
+    encode(client, ReferenceCountUtil.retain(value.children().get(0)));
+    encode(client, new ErrorRedisMessage("BUSY 2000"));
     ReferenceCountUtil.release(value);
     ReferenceCountUtil.release(command);
-    now += STEP;
+    nowMs += ROUND_MS;
     for (int n = timers.size();
-        n > 0 && timers.peek() <= now;
+        n > 0 && timers.peek() <= nowMs;
         n--) { // a new one may be due at once
       timers.poll();
-      module.timerFired(now, 0);
+      policy.timerFired(nowMs, 0);
     }
-    for (int n = told.size(); n > 0; n--) {
-      told.poll().run();
+    for (int n = pendingEvents.size(); n > 0; n--) {
+      pendingEvents.poll().run();
     }
   }
 
@@ -148,7 +148,7 @@
     return "0".repeat(16 - hex.length()) + hex;
   }
 
-  private static String array(String... words) {
+  private static String command(String... words) {
     StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
     for (String word : words) {
       text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
@@ -156,11 +156,11 @@
     return text.toString();
   }
 
-  private static ByteBuf bytes(String text) {
+  private static ByteBuf ascii(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
-  private static void pass(EmbeddedChannel channel, Object message) {
+  private static void encode(EmbeddedChannel channel, Object message) {
     channel.writeOutbound(message);
     for (Object out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
       ReferenceCountUtil.release(out);
@@ -169,19 +169,28 @@
 
   @Override
   public void send(long id, String to, double until) {
-    told.add(
-        () -> module.attemptEnded(now, id, 0, CallOutcome.OK, STEP, true, 0, ServerPool.NO_LOAD));
+    pendingEvents.add(
+        () ->
+            policy.attemptEnded(
+                nowMs,
+                id,
+                0,
+                CallOutcome.OK,
+                ROUND_MS,
+                true,
+                0,
+                UpstreamConnectionPool.NO_LOAD_REPORT));
   }
 
   @Override
   public void addToCounter(long name, double amount, double keepFor) {
     double total = totals.merge(name, amount, Double::sum);
-    told.add(() -> module.counterCallEnded(now, name, CallOutcome.OK, 1, total));
+    pendingEvents.add(() -> policy.counterCallEnded(nowMs, name, CallOutcome.OK, 1, total));
   }
 
   @Override
   public void setTimer(double delay, long token) {
-    timers.add(now + delay);
+    timers.add(nowMs + delay);
   }
 
   @Override
--- a/src/main/java/edgenode/node/StartLog.java
+++ b/src/main/java/edgenode/node/StartLog.java
@@ -12,24 +12,24 @@
  */
 public final class StartLog {
   /** Of the fields behind the name in brackets: user and system time, and the time of the start. */
-  private static final int USER = 11;
+  private static final int USER_TIME_FIELD = 11;
 
-  private static final int SYSTEM = 12;
-  private static final int STARTED = 19;
-  private static final int TICK = 10;
-  private static final StringBuilder TEXT = new StringBuilder("start, wall/CPU ms:");
+  private static final int SYSTEM_TIME_FIELD = 12;
+  private static final int START_TIME_FIELD = 19;
+  private static final int MS_PER_CLOCK_TICK = 10;
+  private static final StringBuilder LINE = new StringBuilder("start, wall/CPU ms:");
 
   private StartLog() {}
 
   /** A part has ended. */
-  public static synchronized void ended(String part) {
-    TEXT.append(' ').append(part).append(' ').append(times()).append(',');
+  public static synchronized void partDone(String part) {
+    LINE.append(' ').append(part).append(' ').append(times()).append(',');
   }
 
   /** The whole start has. */
-  public static synchronized void tell(String part) {
-    System.err.println(TEXT.append(' ').append(part).append(' ').append(times()));
-    TEXT.setLength(0);
+  public static synchronized void finish(String part) {
+    System.err.println(LINE.append(' ').append(part).append(' ').append(times()));
+    LINE.setLength(0);
   }
 
   private static String times() {
@@ -38,8 +38,13 @@
       String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
       String uptime = Files.readString(Path.of("/proc/uptime"));
       double up = 1000 * Double.parseDouble(uptime.substring(0, uptime.indexOf(' ')));
-      long cpu = TICK * (Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM]));
-      return Math.round(up - TICK * Long.parseLong(fields[STARTED])) + "/" + cpu;
+      long cpu =
+          MS_PER_CLOCK_TICK
+              * (Long.parseLong(fields[USER_TIME_FIELD])
+                  + Long.parseLong(fields[SYSTEM_TIME_FIELD]));
+      return Math.round(up - MS_PER_CLOCK_TICK * Long.parseLong(fields[START_TIME_FIELD]))
+          + "/"
+          + cpu;
     } catch (IOException | RuntimeException e) {
       return "not told"; // not this system's /proc
     }
--- a/src/main/java/edgenode/node/Figures.java
+++ b/src/main/java/edgenode/node/TelemetryJson.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import edgenode.idempotency.Repeats;
-import edgenode.ledger.Ledger;
+import edgenode.idempotency.IdempotencyIndex;
+import edgenode.ledger.RequestLedger;
 import edgenode.membership.Membership;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -15,10 +15,10 @@
  * The figures as operators read them: one JSON object; all counts are from the start of the
  * process.
  */
-final class Figures {
+final class TelemetryJson {
   private static final JsonFactory JSON = new JsonFactory();
 
-  private Figures() {}
+  private TelemetryJson() {}
 
   /**
    * @param open requests taken and not yet ended
@@ -28,12 +28,12 @@
    * @param addsUp whether the ledger agrees with itself, with the tables and with the connections
    * @param breaches how often anything did not, since the start
    */
-  static String json(
-      Ledger ledger,
+  static String write(
+      RequestLedger ledger,
       long open,
-      Repeats.Figures repeats,
+      IdempotencyIndex.IdempotencyMetrics repeats,
       Map<String, Object> store,
-      Membership.Figures members,
+      Membership.MembershipStats members,
       int excluded,
       String state,
       boolean addsUp,
@@ -42,29 +42,29 @@
     try (JsonGenerator out = JSON.createGenerator(text)) {
       out.writeStartObject();
       out.writeObjectFieldStart("requests");
-      for (Ledger.Row row : ledger.rows()) {
-        out.writeFieldName(row.name());
-        row(out, row);
+      for (RequestLedger.ClassCounters row : ledger.classCounters()) {
+        out.writeFieldName(row.className());
+        writeRow(out, row);
       }
       out.writeEndObject();
-      out.writeNumberField("attempts", ledger.attempts());
+      out.writeNumberField("attempts", ledger.attemptCount());
       out.writeNumberField("in_flight", open);
-      out.writeNumberField("app_servers_known", members.servers());
+      out.writeNumberField("app_servers_known", members.endpointCount());
       out.writeNumberField("app_servers_excluded", excluded);
       out.writeFieldName("requests_of_unknown_class");
-      row(out, ledger.unknown());
+      writeRow(out, ledger.unknownClassCounters());
       if (repeats != null) {
         out.writeObjectFieldStart("repeats");
         out.writeNumberField("entries", repeats.entries());
-        out.writeNumberField("running", repeats.running());
-        out.writeNumberField("answer_bytes", repeats.bytes());
-        out.writeNumberField("followed", repeats.followed());
+        out.writeNumberField("running", repeats.inFlight());
+        out.writeNumberField("answer_bytes", repeats.responseBytes());
+        out.writeNumberField("followed", repeats.joined());
         out.writeNumberField("replayed", repeats.replayed());
-        out.writeNumberField("spent", repeats.spent());
-        out.writeNumberField("clashed", repeats.clashed());
-        out.writeNumberField("refused", repeats.refused());
-        out.writeNumberField("passed", repeats.passed());
-        out.writeNumberField("forgotten", repeats.forgotten());
+        out.writeNumberField("spent", repeats.responseEvicted());
+        out.writeNumberField("clashed", repeats.keyConflicts());
+        out.writeNumberField("refused", repeats.rejected());
+        out.writeNumberField("passed", repeats.untracked());
+        out.writeNumberField("forgotten", repeats.evicted());
         out.writeEndObject();
       }
       if (store != null) {
@@ -82,8 +82,8 @@
       out.writeBooleanField("adds_up", addsUp);
       out.writeNumberField("breaches", breaches);
       out.writeStringField("state", state);
-      if (members.age() < Double.POSITIVE_INFINITY) {
-        out.writeNumberField("list_age_ms", Math.round(members.age()));
+      if (members.ageMs() < Double.POSITIVE_INFINITY) {
+        out.writeNumberField("list_age_ms", Math.round(members.ageMs()));
       }
       out.writeEndObject();
     } catch (IOException e) {
@@ -96,21 +96,21 @@
    * A page of campuses, each with its classes; behind them all others, and where the next page
    * begins.
    */
-  static String campuses(Ledger ledger, String after, int limit) {
+  static String writeCustomers(RequestLedger ledger, String after, int limit) {
     StringWriter text = new StringWriter();
-    List<Ledger.Account> page = ledger.accounts(after, limit);
+    List<RequestLedger.CustomerAccount> page = ledger.accounts(after, limit);
     try (JsonGenerator out = JSON.createGenerator(text)) {
       out.writeStartObject();
       out.writeObjectFieldStart("campuses");
-      for (Ledger.Account account : page) {
-        out.writeFieldName(account.campus());
-        account(out, account);
+      for (RequestLedger.CustomerAccount account : page) {
+        out.writeFieldName(account.customer());
+        writeAccount(out, account);
       }
       out.writeEndObject();
       out.writeFieldName("others");
-      account(out, ledger.others());
+      writeAccount(out, ledger.otherCustomers());
       if (page.size() == limit) {
-        out.writeStringField("next", page.get(limit - 1).campus());
+        out.writeStringField("next", page.get(limit - 1).customer());
       }
       out.writeEndObject();
     } catch (IOException e) {
@@ -119,26 +119,28 @@
     return text.toString();
   }
 
-  private static void account(JsonGenerator out, Ledger.Account account) throws IOException {
+  private static void writeAccount(JsonGenerator out, RequestLedger.CustomerAccount account)
+      throws IOException {
     out.writeStartObject();
-    for (Ledger.Row row : account.rows()) {
-      if (row.all() > 0) {
-        out.writeFieldName(row.name());
-        row(out, row);
+    for (RequestLedger.ClassCounters row : account.classCounters()) {
+      if (row.acceptedCount() > 0) {
+        out.writeFieldName(row.className());
+        writeRow(out, row);
       }
     }
     out.writeEndObject();
   }
 
-  private static void row(JsonGenerator out, Ledger.Row row) throws IOException {
+  private static void writeRow(JsonGenerator out, RequestLedger.ClassCounters row)
+      throws IOException {
     out.writeStartObject();
-    out.writeNumberField("served", row.count(Ledger.End.SERVED));
-    out.writeNumberField("refused", row.count(Ledger.End.REFUSED));
-    out.writeNumberField("failed", row.count(Ledger.End.FAILED));
-    out.writeNumberField("attempts", row.attempts());
-    out.writeNumberField("taken", row.all());
-    out.writeNumberField("abandoned", row.count(Ledger.End.ABANDONED));
-    out.writeNumberField("open", row.open());
+    out.writeNumberField("served", row.outcomeCount(RequestLedger.RequestOutcome.SERVED));
+    out.writeNumberField("refused", row.outcomeCount(RequestLedger.RequestOutcome.REJECTED));
+    out.writeNumberField("failed", row.outcomeCount(RequestLedger.RequestOutcome.FAILED));
+    out.writeNumberField("attempts", row.attemptCount());
+    out.writeNumberField("taken", row.acceptedCount());
+    out.writeNumberField("abandoned", row.outcomeCount(RequestLedger.RequestOutcome.ABANDONED));
+    out.writeNumberField("open", row.openCount());
     out.writeEndObject();
   }
 }
--- a/src/main/java/edgenode/simulation/TryCommand.java
+++ b/src/main/java/edgenode/simulation/DemoCommand.java
@@ -1,8 +1,8 @@
 package edgenode.simulation;
 
-import edgenode.emulator.Arrivals;
-import edgenode.emulator.CampusClients;
-import edgenode.emulator.Counter;
+import edgenode.emulator.ArrivalProcess;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.CustomerClients;
 import edgenode.emulator.Effects;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -21,14 +21,14 @@
 
 /** {@code try}: an edge node and its world on loopback, for a first look. */
 @Command(
-    name = "try",
+    name = "demo",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
       "One edge node with stand-ins for enrolment servers, discovery and the quota counter, on loopback,",
       "until Ctrl-C. Nothing to configure: it prints its address, a request to paste, then what passes."
     })
-public final class TryCommand implements Callable<Integer> {
+public final class DemoCommand implements Callable<Integer> {
   private static final int MOST_LINES = 20;
   private static final int MOST_RATE = 2000;
   private static final int MOST_SERVERS = 50;
@@ -129,15 +129,15 @@
   }
 
   /** A second of the stand-in campuses. */
-  private static final class Tally implements CampusClients.Heard {
-    private final int[] fates = new int[CampusClients.Fate.values().length];
+  private static final class Tally implements CustomerClients.Heard {
+    private final int[] fates = new int[CustomerClients.Fate.values().length];
     private double[] served = new double[64];
     private int n;
 
     @Override
-    public void ended(Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {
+    public void ended(ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
       fates[fate.ordinal()]++;
-      if (fate == CampusClients.Fate.SERVED) {
+      if (fate == CustomerClients.Fate.SERVED) {
         served = n == served.length ? Arrays.copyOf(served, 2 * n) : served;
         served[n++] = ms;
       }
@@ -145,9 +145,9 @@
 
     String take() {
       StringBuilder text = new StringBuilder("campuses:");
-      for (CampusClients.Fate fate : CampusClients.Fate.values()) {
+      for (CustomerClients.Fate fate : CustomerClients.Fate.values()) {
         int count = fates[fate.ordinal()];
-        if (count > 0 || fate == CampusClients.Fate.SERVED) {
+        if (count > 0 || fate == CustomerClients.Fate.SERVED) {
           text.append(' ')
               .append(fate.name().toLowerCase(Locale.ROOT).replace('_', ' '))
               .append(' ')
@@ -177,14 +177,14 @@
     check("--rate", rate, 0, MOST_RATE);
     PrintStream out = System.out;
     Told told = new Told(out);
-    Counter.Calls calls = (now, name, amount, total) -> {};
-    World world;
+    CounterEmulator.Calls calls = (now, name, amount, total) -> {};
+    EmulatedWorld world;
     try {
       world =
-          new World(
+          new EmulatedWorld(
               port, servers, seed, rate == 0 ? told : new Effects() {}, calls, System.err::println);
     } catch (IOException e) {
-      System.err.println("try: " + e.getMessage());
+      System.err.println("demo: " + e.getMessage());
       return 2;
     }
     CountDownLatch ended = new CountDownLatch(1);
@@ -195,7 +195,7 @@
                   try {
                     world.close();
                   } catch (IOException e) {
-                    System.err.println("try: " + e.getMessage());
+                    System.err.println("demo: " + e.getMessage());
                   }
                   ended.countDown();
                 },
@@ -216,10 +216,10 @@
     }
   }
 
-  private void greet(PrintStream out, World world) {
+  private void greet(PrintStream out, EmulatedWorld world) {
     InetSocketAddress at = world.address();
     String list = "c=seat-lookup,t=estandar,d=900,units=1,spread=1,first=0";
-    String customer = World.CAMPUSES.get(1).customer();
+    String customer = EmulatedWorld.CAMPUSES.get(1).customer();
     out.println("edge node   " + at.getAddress().getHostAddress() + ":" + at.getPort());
     world
         .servers()
@@ -259,23 +259,24 @@
     return text.toString();
   }
 
-  private void traffic(World world, Told told) {
-    Arrivals arrivals = new Arrivals(seed, World.CAMPUSES, World.KINDS, ms -> rate, rate);
+  private void traffic(EmulatedWorld world, Told told) {
+    ArrivalProcess arrivals =
+        new ArrivalProcess(seed, EmulatedWorld.CAMPUSES, EmulatedWorld.KINDS, ms -> rate, rate);
     Tally tally = new Tally();
-    CampusClients clients =
-        new CampusClients(
-            world.loop(), arrivals, CampusClients.Habits.USUAL, world.address(), tally, seed);
-    world.loop().later(clients::start);
-    world.loop().later(() -> second(world, tally, told));
+    CustomerClients clients =
+        new CustomerClients(
+            world.loop(), arrivals, CustomerClients.Habits.USUAL, world.address(), tally, seed);
+    world.loop().execute(clients::start);
+    world.loop().execute(() -> second(world, tally, told));
   }
 
-  private static void second(World world, Tally tally, Told told) {
+  private static void second(EmulatedWorld world, Tally tally, Told told) {
     world
         .loop()
-        .after(
+        .schedule(
             1000,
             () -> {
-              told.line(world.loop().now(), tally.take());
+              told.line(world.loop().nowMs(), tally.take());
               second(world, tally, told);
             });
   }
--- a/src/main/java/edgenode/simulation/World.java
+++ b/src/main/java/edgenode/simulation/EmulatedWorld.java
@@ -1,18 +1,18 @@
 package edgenode.simulation;
 
-import edgenode.config.Config;
-import edgenode.config.Json;
-import edgenode.emulator.Agent;
-import edgenode.emulator.Arrivals;
-import edgenode.emulator.Capacity;
-import edgenode.emulator.Counter;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.ArrivalProcess;
+import edgenode.emulator.CapacityModel;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.DiscoveryAgentEmulator;
 import edgenode.emulator.Effects;
-import edgenode.emulator.EnrolmentServer;
-import edgenode.emulator.Rack;
+import edgenode.emulator.IdempotencyGroupModel;
 import edgenode.eventloop.Clock;
-import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.eventloop.Transport;
-import edgenode.node.Node;
+import edgenode.node.EdgeNode;
 import edgenode.policy.PolicyEngine;
 import edgenode.policy.PolicySettings;
 import edgenode.policy.QuotaPlan;
@@ -30,18 +30,18 @@
  * the counter, the stand-ins on an event loop of their own. For a first look, and for tests of the
  * stand-ins against a real node.
  */
-public final class World implements AutoCloseable {
+public final class EmulatedWorld implements AutoCloseable {
   /** The campuses that the settings' plans are made for. */
-  public static final List<Arrivals.Campus> CAMPUSES =
+  public static final List<ArrivalProcess.Campus> CAMPUSES =
       List.of(
-          new Arrivals.Campus("00000000b4d65521", "basico", 1),
-          new Arrivals.Campus("0000000012ab34cd", "estandar", 2),
-          new Arrivals.Campus("00000001f00dcafe", "ampliado", 4));
+          new ArrivalProcess.Campus("00000000b4d65521", "basico", 1),
+          new ArrivalProcess.Campus("0000000012ab34cd", "estandar", 2),
+          new ArrivalProcess.Campus("00000001f00dcafe", "ampliado", 4));
 
-  public static final List<Arrivals.Kind> KINDS =
+  public static final List<ArrivalProcess.Kind> KINDS =
       List.of(
-          new Arrivals.Kind("seat-lookup", false, 900, 3),
-          new Arrivals.Kind("enrol", true, 1500, 1));
+          new ArrivalProcess.Kind("seat-lookup", false, 900, 3),
+          new ArrivalProcess.Kind("enrol", true, 1500, 1));
 
   /** A plan of the settings below, for those that draw what is asked. */
   record Plan(String name, double perSecond) {}
@@ -53,7 +53,7 @@
           new Plan("ampliado", 80),
           new Plan("tope", 10));
   private static final double WINDOW = 7500;
-  private static final Capacity.Size SERVER = new Capacity.Size(2, 16, 32, 8, 0.3, 5000);
+  private static final CapacityModel.Size SERVER = new CapacityModel.Size(2, 16, 32, 8, 0.3, 5000);
   private static final long LEAVE_WITHIN = 2000;
 
   /**
@@ -80,8 +80,8 @@
   /** The settings that these nodes are told. */
   static PolicySettings settings(int nodes) {
     try {
-      return Config.of(
-              Json.read(
+      return NodeConfig.parse(
+              JsonValue.parse(
                   CONFIG.formatted(
                       "n0", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1L, 0, nodes)),
               Map.of())
@@ -98,12 +98,12 @@
         .orElseThrow();
   }
 
-  private final LoopThread loop;
-  private final LoopThread nodeLoop;
-  private final List<EnrolmentServer> servers = new ArrayList<>();
-  private final Agent discovery;
-  private final Counter counter;
-  private final Node node;
+  private final NettyEdgeEventLoop loop;
+  private final NettyEdgeEventLoop nodeLoop;
+  private final List<AppServerEmulator> servers = new ArrayList<>();
+  private final DiscoveryAgentEmulator discovery;
+  private final CounterEmulator counter;
+  private final EdgeNode node;
   private boolean closed;
 
   /**
@@ -111,38 +111,49 @@
    * @param size how many enrolment servers, 1 or more
    * @throws IOException where an address cannot be had; nothing is left running then
    */
-  public World(
-      int port, int size, long seed, Effects effects, Counter.Calls calls, Consumer<String> log)
+  public EmulatedWorld(
+      int port,
+      int size,
+      long seed,
+      Effects effects,
+      CounterEmulator.Calls calls,
+      Consumer<String> log)
       throws IOException {
-    loop = new LoopThread(Transport.loop(), Transport.SOCKETS, Clock.system(), log);
-    nodeLoop = new LoopThread(Transport.loop(), Transport.SOCKETS, Clock.system(), log);
-    discovery = new Agent(0);
+    loop =
+        new NettyEdgeEventLoop(
+            Transport.newEventLoopGroup(), Transport.SOCKETS, Clock.system(), log);
+    nodeLoop =
+        new NettyEdgeEventLoop(
+            Transport.newEventLoopGroup(), Transport.SOCKETS, Clock.system(), log);
+    discovery = new DiscoveryAgentEmulator(0);
     try {
       InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-      Rack[] racks = {new Rack("a", 0, WINDOW), new Rack("b", 1, WINDOW)};
+      IdempotencyGroupModel[] racks = {
+        new IdempotencyGroupModel("a", 0, WINDOW), new IdempotencyGroupModel("b", 1, WINDOW)
+      };
       for (int i = 0; i < size; i++) {
         servers.add(
-            new EnrolmentServer(
+            new AppServerEmulator(
                     loop,
                     "s" + i,
                     racks[i % racks.length],
                     SERVER,
-                    EnrolmentServer.Habits.USUAL,
+                    AppServerEmulator.Habits.USUAL,
                     effects,
                     seed * 31 + i)
                 .start(any));
         discovery.set(servers.get(i).entry("active"));
       }
-      counter = new Counter(loop, Counter.Size.USUAL, calls).start(any);
+      counter = new CounterEmulator(loop, CounterEmulator.Size.USUAL, calls).start(any);
       String at =
           counter.address().getAddress().getHostAddress() + ":" + counter.address().getPort();
-      Config config =
-          Config.of(
-              Json.read(
+      NodeConfig config =
+          NodeConfig.parse(
+              JsonValue.parse(
                   CONFIG.formatted(
                       "try", "127.0.0.1:" + port, discovery.address(), at, seed, 0, 1)),
               Map.of());
-      node = new Node(config, PolicyEngine::new, null, nodeLoop);
+      node = new EdgeNode(config, PolicyEngine::new, null, nodeLoop);
       node.start();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -160,19 +171,19 @@
     return (InetSocketAddress) node.address();
   }
 
-  public LoopThread loop() {
+  public NettyEdgeEventLoop loop() {
     return loop;
   }
 
-  public List<EnrolmentServer> servers() {
+  public List<AppServerEmulator> servers() {
     return servers;
   }
 
-  public Agent discovery() {
+  public DiscoveryAgentEmulator discovery() {
     return discovery;
   }
 
-  public Counter counter() {
+  public CounterEmulator counter() {
     return counter;
   }
 
@@ -181,7 +192,7 @@
   public synchronized void close() throws IOException {
     if (!closed) {
       closed = true;
-      node.drain();
+      node.shutdown();
       end();
     }
   }
--- a/src/main/java/edgenode/simulation/LocalTransport.java
+++ b/src/main/java/edgenode/simulation/LocalTransport.java
@@ -19,7 +19,7 @@
  */
 record LocalTransport(String world) implements Transport {
   @Override
-  public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+  public Bootstrap newClientBootstrap(EventLoopGroup group, int withinMs) {
     return new Bootstrap()
         .group(group)
         .channel(LocalChannel.class)
@@ -27,12 +27,12 @@
   }
 
   @Override
-  public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+  public ServerBootstrap newServerBootstrap(EventLoopGroup group, int backlog) {
     return new ServerBootstrap().group(group).channel(LocalServerChannel.class);
   }
 
   @Override
-  public SocketAddress at(InetSocketAddress address) {
+  public SocketAddress toSocketAddress(InetSocketAddress address) {
     return new LocalAddress(
         world + "/" + address.getAddress().getHostAddress() + ":" + address.getPort());
   }
--- a/src/main/java/edgenode/simulation/ProcessLoop.java
+++ b/src/main/java/edgenode/simulation/ProcessLoop.java
@@ -1,7 +1,7 @@
 package edgenode.simulation;
 
-import edgenode.eventloop.Loop;
-import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.eventloop.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -24,17 +24,17 @@
  * killed. From then on nothing of it runs any more: its timers are dropped, its connections end
  * without a word of its own, and it makes no new ones.
  */
-final class ProcessLoop implements Loop {
+final class ProcessLoop implements EdgeEventLoop {
   /** Nobody listens there. */
   private static final SocketAddress NOWHERE = new LocalAddress("nowhere");
 
-  private final LoopThread loop;
+  private final NettyEdgeEventLoop loop;
   private final Set<Channel> channels = new LinkedHashSet<>();
   private boolean dead;
 
   ProcessLoop(VirtualLoop world, Transport outer, Consumer<String> log) {
     loop =
-        new LoopThread(
+        new NettyEdgeEventLoop(
             world,
             new Own(outer),
             world,
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+    public Bootstrap newClientBootstrap(EventLoopGroup group, int withinMs) {
       return new Bootstrap()
           .group(group)
           .channelFactory(() -> keep(new LocalChannel()))
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+    public ServerBootstrap newServerBootstrap(EventLoopGroup group, int backlog) {
       return new ServerBootstrap()
           .group(group)
           .channelFactory(
@@ -96,8 +96,8 @@
     }
 
     @Override
-    public SocketAddress at(InetSocketAddress address) {
-      return dead ? NOWHERE : outer.at(address);
+    public SocketAddress toSocketAddress(InetSocketAddress address) {
+      return dead ? NOWHERE : outer.toSocketAddress(address);
     }
   }
 
@@ -110,23 +110,23 @@
   }
 
   @Override
-  public double now() {
-    return loop.now();
+  public double nowMs() {
+    return loop.nowMs();
   }
 
   @Override
-  public double delay() {
-    return loop.delay();
+  public double queueingDelayMs() {
+    return loop.queueingDelayMs();
   }
 
   @Override
-  public Future<?> after(double delay, Runnable what) {
-    return loop.after(delay, alive(what));
+  public Future<?> schedule(double delay, Runnable what) {
+    return loop.schedule(delay, alive(what));
   }
 
   @Override
-  public void later(Runnable what) {
-    loop.later(alive(what));
+  public void execute(Runnable what) {
+    loop.execute(alive(what));
   }
 
   @Override
@@ -145,17 +145,17 @@
   }
 
   @Override
-  public void flush() {
-    loop.flush();
+  public void flushPending() {
+    loop.flushPending();
   }
 
   @Override
-  public void log(String where, Throwable what) {
-    loop.log(where, what);
+  public void logFailure(String where, Throwable what) {
+    loop.logFailure(where, what);
   }
 
   @Override
-  public void say(String line) {
-    loop.say(line);
+  public void logLine(String line) {
+    loop.logLine(line);
   }
 }
--- a/src/main/java/edgenode/simulation/Recorder.java
+++ b/src/main/java/edgenode/simulation/Recorder.java
@@ -1,16 +1,16 @@
 package edgenode.simulation;
 
-import edgenode.emulator.Agent;
-import edgenode.emulator.Arrivals;
-import edgenode.emulator.CampusClients;
-import edgenode.emulator.Discovery;
+import edgenode.emulator.ArrivalProcess;
+import edgenode.emulator.CustomerClients;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.emulator.DiscoveryEmulator;
 import edgenode.emulator.Effects;
 import edgenode.simulation.invariants.Event;
 import java.util.function.Consumer;
 import java.util.function.DoubleUnaryOperator;
 
 /** Turns what passes on the stand-ins' sockets into the judges' events, on the day's clock. */
-final class Recorder implements Effects, Discovery.Told, CampusClients.Heard {
+final class Recorder implements Effects, DiscoveryEmulator.Told, CustomerClients.Heard {
   private final Consumer<Event> to;
   private final DoubleUnaryOperator day;
 
@@ -50,13 +50,13 @@
   }
 
   @Override
-  public void told(double now, Agent.Host host) {
+  public void told(double now, DiscoveryAgentEmulator.Host host) {
     to.accept(new Event.Told(at(now), host.id(), host.health()));
   }
 
   @Override
   public void asked(
-      double now, String id, Arrivals.Arrival of, CampusClients.Way way, double patience) {
+      double now, String id, ArrivalProcess.Arrival of, CustomerClients.Way way, double patience) {
     to.accept(
         new Event.Asked(
             at(now),
@@ -71,14 +71,14 @@
   }
 
   @Override
-  public void message(double now, String id, CampusClients.Fate kind, String text) {
+  public void message(double now, String id, CustomerClients.Fate kind, String text) {
     to.accept(
         new Event.Heard(
             at(now),
             id,
-            kind == CampusClients.Fate.SERVED
+            kind == CustomerClients.Fate.SERVED
                 ? Event.Answer.VALUE
-                : kind == CampusClients.Fate.REFUSED ? Event.Answer.BUSY : Event.Answer.ERROR,
+                : kind == CustomerClients.Fate.REFUSED ? Event.Answer.BUSY : Event.Answer.ERROR,
             text));
   }
 
@@ -93,5 +93,5 @@
   }
 
   @Override
-  public void ended(Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {}
+  public void ended(ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {}
 }
--- a/src/main/java/edgenode/simulation/Report.java
+++ b/src/main/java/edgenode/simulation/Report.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import edgenode.emulator.CampusClients;
-import edgenode.simulation.invariants.Breach;
+import edgenode.emulator.CustomerClients;
 import edgenode.simulation.invariants.Event;
-import edgenode.simulation.invariants.Quotas;
+import edgenode.simulation.invariants.QuotaAudit;
+import edgenode.simulation.invariants.Violation;
 import java.awt.Color;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -48,7 +48,7 @@
 
   private static final Color BAND = new Color(200, 60, 40, 45);
 
-  private final Rehearsal day;
+  private final ScenarioRun day;
   private final int bins;
   private final Map<String, Event.Asked> asked = new TreeMap<>();
 
@@ -63,7 +63,7 @@
   /** Requests at each server, and what it can hold at work. */
   private final Map<String, double[]> inFlight = new TreeMap<>();
 
-  private Report(Rehearsal day) {
+  private Report(ScenarioRun day) {
     this.day = day;
     bins = Math.max(2, (int) Math.ceil(day.lengthMs() / BIN));
     offered = new double[bins];
@@ -80,7 +80,7 @@
    *
    * @throws IOException where they cannot be written; none is left half written
    */
-  static void write(Rehearsal day, Path dir) throws IOException {
+  static void write(ScenarioRun day, Path dir) throws IOException {
     Files.createDirectories(dir);
     Report report = new Report(day);
     put(dir.resolve("report.json"), report.json());
@@ -165,11 +165,11 @@
     return latency[bin].getTotalCount() == 0 ? 0 : latency[bin].getValueAtPercentile(p) / 1000.0;
   }
 
-  private List<Quotas.Figures> worstFirst() {
+  private List<QuotaAudit.Figures> worstFirst() {
     return day.court().quotas().stream()
         .sorted(
-            Comparator.comparingDouble((Quotas.Figures f) -> f.beyond())
-                .thenComparingDouble(Quotas.Figures::refusedWithRoom)
+            Comparator.comparingDouble((QuotaAudit.Figures f) -> f.beyond())
+                .thenComparingDouble(QuotaAudit.Figures::refusedWithRoom)
                 .reversed())
         .toList();
   }
@@ -191,7 +191,7 @@
       g.writeNumberField("events", day.events());
       g.writeNumberField("length_ms", day.lengthMs());
       g.writeObjectFieldStart("tries");
-      for (CampusClients.Fate fate : CampusClients.Fate.values()) {
+      for (CustomerClients.Fate fate : CustomerClients.Fate.values()) {
         g.writeNumberField(fate.name().toLowerCase(Locale.ROOT), day.fates().getOrDefault(fate, 0));
       }
       g.writeEndObject();
@@ -214,7 +214,7 @@
       quotas(g);
       series(g);
       g.writeArrayFieldStart("breaches");
-      for (Breach b : day.breaches()) {
+      for (Violation b : day.breaches()) {
         breach(g, b);
       }
       g.writeEndArray();
@@ -225,7 +225,7 @@
 
   private void quotas(JsonGenerator g) throws IOException {
     g.writeArrayFieldStart("quotas");
-    for (Quotas.Figures f : worstFirst()) {
+    for (QuotaAudit.Figures f : worstFirst()) {
       g.writeStartObject();
       g.writeStringField("customer", f.customer());
       g.writeStringField("plan", f.plan());
@@ -234,7 +234,9 @@
       g.writeNumberField("units_refused_with_room", f.refusedWithRoom());
       g.writeNumberField("worst_minute_share", f.worst());
       array(
-          g, "beyond_at_ms", Quotas.beyond(World.plan(f.plan()), day.court().sends(f.customer())));
+          g,
+          "beyond_at_ms",
+          QuotaAudit.beyond(EmulatedWorld.plan(f.plan()), day.court().sends(f.customer())));
       g.writeEndObject();
     }
     g.writeEndArray();
@@ -259,7 +261,7 @@
     g.writeArray(values, 0, values.length);
   }
 
-  private void breach(JsonGenerator g, Breach b) throws IOException {
+  private void breach(JsonGenerator g, Violation b) throws IOException {
     g.writeStartObject();
     g.writeStringField("rule", b.rule());
     g.writeNumberField("at_ms", b.at());
@@ -376,7 +378,7 @@
               double[] values = new double[bins];
               double[][] sends = day.court().sends(f.customer());
               for (int i = 0; i < bins; i++) {
-                values[i] = Quotas.store(World.plan(f.plan()), sends, (i + 1) * BIN);
+                values[i] = QuotaAudit.store(EmulatedWorld.plan(f.plan()), sends, (i + 1) * BIN);
               }
               add(chart, f.customer().substring(8) + " " + f.plan(), values);
             });
@@ -439,7 +441,7 @@
     t.append(
         "</table>\n<h2>Quotas</h2>\n<table><tr><th>customer</th><th>plan</th><th>inside</th><th>beyond</th>"
             + "<th>refused with room</th><th>worst minute beyond</th></tr>\n");
-    for (Quotas.Figures f : worstFirst()) {
+    for (QuotaAudit.Figures f : worstFirst()) {
       t.append(
           String.format(
               Locale.ROOT,
@@ -453,7 +455,7 @@
               100 * f.worst()));
     }
     t.append("</table>\n");
-    for (Breach b : day.breaches()) {
+    for (Violation b : day.breaches()) {
       t.append(
           String.format(
               Locale.ROOT,
--- a/src/main/java/edgenode/simulation/Scenario.java
+++ b/src/main/java/edgenode/simulation/Scenario.java
@@ -1,6 +1,6 @@
 package edgenode.simulation;
 
-import edgenode.emulator.Capacity;
+import edgenode.emulator.CapacityModel;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -20,7 +20,7 @@
     double lengthMs,
     int nodes,
     int servers,
-    Capacity.Size size,
+    CapacityModel.Size size,
     int campuses,
     double noticeMs,
     List<Point> load,
--- a/src/main/java/edgenode/simulation/Rehearsal.java
+++ b/src/main/java/edgenode/simulation/ScenarioRun.java
@@ -1,13 +1,13 @@
 package edgenode.simulation;
 
-import edgenode.emulator.CampusClients;
-import edgenode.node.Node;
+import edgenode.emulator.CustomerClients;
+import edgenode.node.EdgeNode;
 import edgenode.policy.PolicyEngine;
-import edgenode.simulation.invariants.Breach;
-import edgenode.simulation.invariants.Court;
 import edgenode.simulation.invariants.Event;
-import edgenode.simulation.invariants.Quotas;
-import edgenode.simulation.invariants.Terms;
+import edgenode.simulation.invariants.InvariantSuite;
+import edgenode.simulation.invariants.InvariantTerms;
+import edgenode.simulation.invariants.QuotaAudit;
+import edgenode.simulation.invariants.Violation;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -24,27 +24,27 @@
  * @param tookMs that it took to play
  * @param log the edge nodes' own lines; no judge reads them
  */
-record Rehearsal(
+record ScenarioRun(
     Scenario scenario,
     long seed,
     String sha256,
     long events,
     double lengthMs,
     double tookMs,
-    Map<CampusClients.Fate, Integer> fates,
-    Court court,
-    List<Breach> breaches,
+    Map<CustomerClients.Fate, Integer> fates,
+    InvariantSuite court,
+    List<Violation> breaches,
     List<String> log) {
   private static final int LOGGED = 500;
 
-  static Rehearsal play(Scenario scenario, long seed) throws IOException, InterruptedException {
+  static ScenarioRun play(Scenario scenario, long seed) throws IOException, InterruptedException {
     return play(scenario, seed, PolicyEngine::new);
   }
 
   /**
    * @param maker the decision module, or one with a planted bug
    */
-  static Rehearsal play(Scenario scenario, long seed, Node.Maker maker)
+  static ScenarioRun play(Scenario scenario, long seed, EdgeNode.PolicyFactory maker)
       throws IOException, InterruptedException {
     return play(scenario, seed, maker, ms -> {});
   }
@@ -53,10 +53,13 @@
    * @param reached hears how far the day has gone (ms), on the thread that plays it; it changes
    *     nothing
    */
-  static Rehearsal play(Scenario scenario, long seed, Node.Maker maker, DoubleConsumer reached)
+  static ScenarioRun play(
+      Scenario scenario, long seed, EdgeNode.PolicyFactory maker, DoubleConsumer reached)
       throws IOException, InterruptedException {
     long from = System.nanoTime();
-    Court court = new Court(new Terms(World.settings(scenario.nodes())), scenario.nodes());
+    InvariantSuite court =
+        new InvariantSuite(
+            new InvariantTerms(EmulatedWorld.settings(scenario.nodes())), scenario.nodes());
     List<String> log = new ArrayList<>();
     Simulation day =
         new Simulation(
@@ -71,7 +74,7 @@
             },
             reached);
     day.play();
-    return new Rehearsal(
+    return new ScenarioRun(
         scenario,
         seed,
         day.trace().sha256(),
@@ -102,11 +105,11 @@
   /** Of first tries and retries together, those that were served (0 to 1). */
   double servedShare() {
     int all = fates.values().stream().mapToInt(Integer::intValue).sum();
-    return all == 0 ? 0 : fates.getOrDefault(CampusClients.Fate.SERVED, 0) / (double) all;
+    return all == 0 ? 0 : fates.getOrDefault(CustomerClients.Fate.SERVED, 0) / (double) all;
   }
 
   /** The customer that was worst off beyond its quota, or null where none has one. */
-  Quotas.Figures worst() {
+  QuotaAudit.Figures worst() {
     return court.quotas().stream().max((a, b) -> Double.compare(a.worst(), b.worst())).orElse(null);
   }
 
@@ -114,13 +117,13 @@
    * The smallest scenario that still breaks one of the same rules with this seed: fewer faults,
    * then a shorter day.
    */
-  Rehearsal shrink() throws IOException, InterruptedException {
-    Rehearsal least = this;
+  ScenarioRun shrink() throws IOException, InterruptedException {
+    ScenarioRun least = this;
     boolean smaller = true;
     while (smaller) {
       smaller = false;
       for (Scenario.Fault f : least.scenario.faults()) {
-        Rehearsal tried = play(least.scenario.without(f), seed);
+        ScenarioRun tried = play(least.scenario.without(f), seed);
         if (breaksAsWell(tried)) {
           least = tried;
           smaller = true;
@@ -134,7 +137,7 @@
       List<Scenario.Fault> late =
           shorter.faults().stream().filter(f -> f.at() > shorter.lengthMs()).toList();
       if (late.isEmpty()) {
-        Rehearsal tried = play(shorter, seed);
+        ScenarioRun tried = play(shorter, seed);
         if (breaksAsWell(tried)) {
           least = tried;
         }
@@ -143,7 +146,7 @@
     return least;
   }
 
-  private boolean breaksAsWell(Rehearsal other) {
+  private boolean breaksAsWell(ScenarioRun other) {
     return other.broken().stream().anyMatch(broken()::contains);
   }
 }
--- a/src/main/java/edgenode/simulation/Scenarios.java
+++ b/src/main/java/edgenode/simulation/Scenarios.java
@@ -1,7 +1,7 @@
 package edgenode.simulation;
 
 import edgenode.config.TomlReader;
-import edgenode.emulator.Capacity;
+import edgenode.emulator.CapacityModel;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -98,15 +98,15 @@
     TomlReader r = new TomlReader(file, text);
     String title = r.text("title", name, "a text");
     double length = SECOND * r.number("length_s", 20, 1, LONGEST);
-    int nodes = (int) r.whole("nodes", 3, 1, MOST);
-    int servers = (int) r.whole("servers", 4, 1, MOST);
-    int campuses = (int) r.whole("campuses", 12, 1, 100_000);
+    int nodes = (int) r.integer("nodes", 3, 1, MOST);
+    int servers = (int) r.integer("servers", 4, 1, MOST);
+    int campuses = (int) r.integer("campuses", 12, 1, 100_000);
     double notice = SECOND * r.number("front_notice_s", 1, 0, 60);
-    Capacity.Size size =
-        new Capacity.Size(
+    CapacityModel.Size size =
+        new CapacityModel.Size(
             r.number("server.cores", 2, 0.1, 256),
-            (int) r.whole("server.slots", 16, 1, 10_000),
-            (int) r.whole("server.room", 32, 0, 100_000),
+            (int) r.integer("server.slots", 16, 1, 10_000),
+            (int) r.integer("server.room", 32, 0, 100_000),
             r.number("server.work_ms", 8, 0.1, 10_000),
             r.number("server.cold_share", 0.3, 0.01, 1),
             r.number("server.warm_ms", 5000, 0, 600_000));
@@ -156,7 +156,7 @@
   private static Scenario.Fault fault(TomlReader f, List<String> words) {
     Scenario.Kind kind =
         Scenario.Kind.valueOf(f.choice("kind", words.get(0), words).toUpperCase(Locale.ROOT));
-    if (!f.has("kind")) {
+    if (!f.contains("kind")) {
       f.contradiction("kind", "missing, allowed is one of " + String.join(", ", words));
     }
     double at = SECOND * f.number("at_s", 0, 0, LONGEST);
@@ -164,10 +164,10 @@
         kind.target() == Scenario.Target.NONE
             ? -1
             : (int)
-                f.whole(kind.target() == Scenario.Target.SERVER ? "server" : "node", -1, 0, MOST);
+                f.integer(kind.target() == Scenario.Target.SERVER ? "server" : "node", -1, 0, MOST);
     double lasts = SECOND * f.number("for_s", 0, 0, LONGEST);
     double share = f.number("share", 0.5, 0, 0.99);
     double lag = f.number("lag_ms", 500, 0, 60_000);
-    return new Scenario.Fault(kind, at, index, lasts, share, lag, f.flag("elsewhere", false));
+    return new Scenario.Fault(kind, at, index, lasts, share, lag, f.bool("elsewhere", false));
   }
 }
--- a/src/main/java/edgenode/simulation/RehearseCommand.java
+++ b/src/main/java/edgenode/simulation/SimulateCommand.java
@@ -1,10 +1,10 @@
 package edgenode.simulation;
 
-import edgenode.emulator.CampusClients;
+import edgenode.emulator.CustomerClients;
 import edgenode.policy.PolicyEngine;
-import edgenode.simulation.invariants.Breach;
 import edgenode.simulation.invariants.Event;
-import edgenode.simulation.invariants.Quotas;
+import edgenode.simulation.invariants.QuotaAudit;
+import edgenode.simulation.invariants.Violation;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -30,9 +30,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code rehearse}: scenarios in virtual time, judged. */
+/** {@code simulate}: scenarios in virtual time, with invariant checks. */
 @Command(
-    name = "rehearse",
+    name = "simulate",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
@@ -40,7 +40,7 @@
       "quota arithmetic. The same seed and build give the same day, to the byte.",
       "Exit code: 0 rules kept, 1 broken, 2 wrong input."
     })
-public final class RehearseCommand implements Callable<Integer> {
+public final class SimulateCommand implements Callable<Integer> {
   private static final int MOST_NODES = 64;
   private static final int MOST_SERVERS = 1000;
   private static final int MOST_SEEDS = 1_000_000;
@@ -127,10 +127,10 @@
       }
       return seeds == null ? one(days) : many(days);
     } catch (Scenarios.Refused e) {
-      e.faults().forEach(line -> System.err.println("rehearse: " + line));
+      e.faults().forEach(line -> System.err.println("simulate: " + line));
       return 2;
     } catch (IOException e) {
-      System.err.println("rehearse: " + e.getMessage());
+      System.err.println("simulate: " + e.getMessage());
       return 2;
     }
   }
@@ -197,11 +197,11 @@
   private int one(List<Scenario> days) throws IOException, InterruptedException {
     int code = 0;
     for (Scenario day : days) {
-      Rehearsal played;
+      ScenarioRun played;
       try (Progress progress =
           new Progress(System.err, day.name() + ", seed " + seed, day.lengthMs(), System::nanoTime)
               .start()) {
-        played = Rehearsal.play(day, seed, PolicyEngine::new, progress);
+        played = ScenarioRun.play(day, seed, PolicyEngine::new, progress);
       }
       summary(played);
       if (report != null) {
@@ -213,7 +213,7 @@
         code = 1;
         stories(played);
         if (shrink) {
-          Rehearsal least = played.shrink();
+          ScenarioRun least = played.shrink();
           out.printf(
               Locale.ROOT,
               "  shrunk      %.1f s and %d of %d faults still break %s:%n",
@@ -231,10 +231,10 @@
     return code;
   }
 
-  private void summary(Rehearsal r) {
+  private void summary(ScenarioRun r) {
     int all = r.fates().values().stream().mapToInt(Integer::intValue).sum();
     StringBuilder fates = new StringBuilder();
-    for (CampusClients.Fate fate : CampusClients.Fate.values()) {
+    for (CustomerClients.Fate fate : CustomerClients.Fate.values()) {
       int n = r.fates().getOrDefault(fate, 0);
       if (n > 0) {
         fates
@@ -253,7 +253,7 @@
             ? "rules kept"
             : "BROKEN: " + String.join(", ", r.broken()) + " (" + r.breaches().size() + " times)");
     out.printf(Locale.ROOT, "  tries       %d: %s%n", all, fates);
-    Quotas.Figures worst = r.worst();
+    QuotaAudit.Figures worst = r.worst();
     if (worst != null) {
       out.printf(
           Locale.ROOT,
@@ -273,9 +273,9 @@
         r.sha256());
   }
 
-  private void stories(Rehearsal r) {
+  private void stories(ScenarioRun r) {
     int told = 0;
-    for (Breach b : r.breaches()) {
+    for (Violation b : r.breaches()) {
       if (++told > STORIES) {
         out.println(
             "  ... and " + (r.breaches().size() - STORIES) + " more; --report has them all");
@@ -329,12 +329,12 @@
                 left.incrementAndGet();
                 return null;
               }
-              Rehearsal r;
+              ScenarioRun r;
               try {
-                r = Rehearsal.play(day, with);
+                r = ScenarioRun.play(day, with);
               } catch (RuntimeException | Error e) {
                 throw new IllegalStateException(
-                    "rehearse " + day.name() + " --seed " + with + ": " + e.getMessage(), e);
+                    "simulate " + day.name() + " --seed " + with + ": " + e.getMessage(), e);
               }
               return new Played(
                   day.name(),
@@ -388,7 +388,7 @@
     broke.forEach(
         p ->
             out.println(
-                "broken: rehearse " + p.scenario + " --seed " + p.seed + "   # " + p.broken));
+                "broken: simulate " + p.scenario + " --seed " + p.seed + "   # " + p.broken));
     out.printf(
         Locale.ROOT,
         "%d days in %.1f s on %d cores, %.0f an hour; %d broke a rule%s%n",
@@ -406,7 +406,7 @@
           events / took);
     }
     if (left.get() == total) {
-      System.err.println("rehearse: no day was played: --budget is too short");
+      System.err.println("simulate: no day was played: --budget is too short");
       return 2;
     }
     return broke.isEmpty() ? 0 : 1;
--- a/src/main/java/edgenode/simulation/Simulation.java
+++ b/src/main/java/edgenode/simulation/Simulation.java
@@ -1,17 +1,17 @@
 package edgenode.simulation;
 
-import edgenode.config.Config;
-import edgenode.config.Json;
-import edgenode.emulator.Agent;
-import edgenode.emulator.Arrivals;
-import edgenode.emulator.CampusClients;
-import edgenode.emulator.Counter;
-import edgenode.emulator.Discovery;
-import edgenode.emulator.EnrolmentServer;
-import edgenode.emulator.Front;
-import edgenode.emulator.Rack;
-import edgenode.eventloop.LoopThread;
-import edgenode.node.Node;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.ArrivalProcess;
+import edgenode.emulator.ClientLoadBalancer;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.CustomerClients;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.emulator.DiscoveryEmulator;
+import edgenode.emulator.IdempotencyGroupModel;
+import edgenode.eventloop.NettyEdgeEventLoop;
+import edgenode.node.EdgeNode;
 import edgenode.simulation.invariants.Event;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -48,14 +48,15 @@
   /** What the platform grants after SIGTERM (ms), beyond the longest deadline. */
   private static final double KILLED_AFTER = 700;
 
-  private static final CampusClients.Habits HABITS = new CampusClients.Habits(2, 200, true, 100);
+  private static final CustomerClients.Habits HABITS =
+      new CustomerClients.Habits(2, 200, true, 100);
 
   /** One edge node's place: its address stays, its processes come and go. */
   private final class Place {
     private final int number;
     private ProcessLoop process;
-    private Node node;
-    private Config told;
+    private EdgeNode node;
+    private NodeConfig told;
     private long starts;
 
     Place(int number) {
@@ -69,24 +70,24 @@
         throw new IllegalStateException(e); // it was read at the first start
       }
       process = new ProcessLoop(loop, transport, log);
-      node = new Node(told, maker, null, process);
-      Node mine = node;
-      node.begin(part -> {})
+      node = new EdgeNode(told, maker, null, process);
+      EdgeNode mine = node;
+      node.startAsync(part -> {})
           .whenComplete(
               (up, failed) -> {
                 if (failed != null) {
                   log.accept("edge node " + number + ": " + failed);
                 } else if (mine == node) {
-                  events.accept(new Event.NodeUp(day(loop.now()), number));
+                  events.accept(new Event.NodeUp(day(loop.nowMs()), number));
                   front.up(number);
                 }
               });
     }
 
-    private Config configuration() throws IOException {
-      return Config.of(
-          Json.read(
-              World.CONFIG.formatted(
+    private NodeConfig configuration() throws IOException {
+      return NodeConfig.parse(
+          JsonValue.parse(
+              EmulatedWorld.CONFIG.formatted(
                   "n" + number,
                   text(address(3, number)),
                   text(address(1, moved ? 3 : 1)),
@@ -102,10 +103,10 @@
       ProcessLoop gone = process;
       node = null;
       process = null;
-      events.accept(new Event.NodeEnded(day(loop.now()), number, how));
-      front.down(number, loop.now());
+      events.accept(new Event.NodeEnded(day(loop.nowMs()), number, how));
+      front.down(number, loop.nowMs());
       gone.kill();
-      shared.after(startAfter + START, this::start);
+      shared.schedule(startAfter + START, this::start);
     }
 
     void kill(double startAfter) {
@@ -116,7 +117,7 @@
 
     /** SIGTERM, and what the platform grants after it. */
     void restart() {
-      Node leaving = node;
+      EdgeNode leaving = node;
       if (leaving == null) {
         return;
       }
@@ -125,16 +126,16 @@
               .mapToDouble(c -> c.deadlineMs())
               .max()
               .orElse(0);
-      front.down(number, loop.now() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
+      front.down(number, loop.nowMs() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
       leaving
-          .leave()
+          .shutdownAsync()
           .thenRun(
               () -> {
                 if (node == leaving) {
                   end(Event.End.LEFT, 0);
                 }
               });
-      shared.after(
+      shared.schedule(
           most + KILLED_AFTER,
           () -> {
             if (node == leaving) {
@@ -157,23 +158,26 @@
 
   private final Scenario scenario;
   private final long seed;
-  private final Node.Maker maker;
+  private final EdgeNode.PolicyFactory maker;
   private final Consumer<Event> events;
   private final Consumer<String> log;
   private final VirtualLoop loop;
   private final LocalTransport transport = new LocalTransport("world" + WORLDS.incrementAndGet());
-  private final LoopThread shared;
+  private final NettyEdgeEventLoop shared;
   private final Trace trace = new Trace();
   private final Recorder recorder;
   private final Random chance;
-  private final List<EnrolmentServer> servers = new ArrayList<>();
+  private final List<AppServerEmulator> servers = new ArrayList<>();
   private final List<Place> places = new ArrayList<>();
-  private final Discovery discovery;
-  private final Counter counter;
-  private final Front front;
-  private final CampusClients clients;
-  private final Map<CampusClients.Fate, Integer> fates = new EnumMap<>(CampusClients.Fate.class);
-  private final Rack[] racks = {new Rack("a", 0, WINDOW), new Rack("b", 1, WINDOW)};
+  private final DiscoveryEmulator discovery;
+  private final CounterEmulator counter;
+  private final ClientLoadBalancer front;
+  private final CustomerClients clients;
+  private final Map<CustomerClients.Fate, Integer> fates =
+      new EnumMap<>(CustomerClients.Fate.class);
+  private final IdempotencyGroupModel[] racks = {
+    new IdempotencyGroupModel("a", 0, WINDOW), new IdempotencyGroupModel("b", 1, WINDOW)
+  };
 
   /**
    * Discovery and counter answer at their second addresses too; new configurations name those from
@@ -201,7 +205,7 @@
   Simulation(
       Scenario scenario,
       long seed,
-      Node.Maker maker,
+      EdgeNode.PolicyFactory maker,
       Consumer<Event> events,
       Consumer<String> log,
       DoubleConsumer reached)
@@ -216,12 +220,14 @@
         };
     this.log = log;
     loop = new VirtualLoop(ms -> reached.accept(began > 0 ? ms - began : 0));
-    shared = new LoopThread(loop, transport, loop, log);
+    shared = new NettyEdgeEventLoop(loop, transport, loop, log);
     recorder = new Recorder(this.events, this::day);
     chance = new Random(seed ^ 0x5eed);
-    discovery = new Discovery(shared, 0, recorder).start(address(1, 1));
+    discovery = new DiscoveryEmulator(shared, 0, recorder).start(address(1, 1));
     discovery.start(address(1, 3));
-    counter = new Counter(shared, Counter.Size.of(scenario.nodes()), trace).start(address(1, 2));
+    counter =
+        new CounterEmulator(shared, CounterEmulator.Size.of(scenario.nodes()), trace)
+            .start(address(1, 2));
     counter.start(address(1, 4));
     for (int i = 0; i < scenario.servers(); i++) {
       begin("s" + i, i, address(2, i), false);
@@ -230,7 +236,7 @@
     for (int i = 0; i < scenario.nodes(); i++) {
       places.add(new Place(i));
     }
-    front = new Front(scenario.nodes(), scenario.noticeMs(), seed * 17 + 3);
+    front = new ClientLoadBalancer(scenario.nodes(), scenario.noticeMs(), seed * 17 + 3);
     places.forEach(Place::start);
     double until = 0;
     while (places.stream().anyMatch(p -> p.node.address() == null)) {
@@ -242,30 +248,34 @@
     }
     elapsed = until;
     began = until;
-    Arrivals arrivals =
-        new Arrivals(seed, campuses(), World.KINDS, scenario::rate, scenario.most());
+    ArrivalProcess arrivals =
+        new ArrivalProcess(seed, campuses(), EmulatedWorld.KINDS, scenario::rate, scenario.most());
     clients =
-        new CampusClients(
+        new CustomerClients(
             shared,
             arrivals,
             HABITS,
             this::way,
-            new CampusClients.Heard() {
+            new CustomerClients.Heard() {
               @Override
               public void ended(
-                  Arrivals.Arrival of, int retry, CampusClients.Fate fate, double ms) {
+                  ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
                 fates.merge(fate, 1, Integer::sum);
-                trace.ended(shared.now(), of, retry, fate);
+                trace.ended(shared.nowMs(), of, retry, fate);
               }
 
               @Override
               public void asked(
-                  double now, String id, Arrivals.Arrival of, CampusClients.Way way, double wait) {
+                  double now,
+                  String id,
+                  ArrivalProcess.Arrival of,
+                  CustomerClients.Way way,
+                  double wait) {
                 recorder.asked(now, id, of, way, wait);
               }
 
               @Override
-              public void message(double now, String id, CampusClients.Fate kind, String text) {
+              public void message(double now, String id, CustomerClients.Fate kind, String text) {
                 recorder.message(now, id, kind, text);
               }
 
@@ -282,9 +292,9 @@
             seed);
   }
 
-  private CampusClients.Way way(Arrivals.Arrival of, double now) {
+  private CustomerClients.Way way(ArrivalProcess.Arrival of, double now) {
     int node = front.node(of.campus().customer(), now);
-    return new CampusClients.Way(address(3, node), node, scenario.nodes(), 0);
+    return new CustomerClients.Way(address(3, node), node, scenario.nodes(), 0);
   }
 
   private double day(double now) {
@@ -293,19 +303,19 @@
 
   private void begin(String id, int number, InetSocketAddress at, boolean cold)
       throws InterruptedException {
-    EnrolmentServer server =
-        new EnrolmentServer(
+    AppServerEmulator server =
+        new AppServerEmulator(
             shared,
             id,
             racks[number % racks.length],
             scenario.size(),
-            EnrolmentServer.Habits.USUAL,
+            AppServerEmulator.Habits.USUAL,
             recorder,
             seed * 31 + number);
     server.start(at);
     servers.add(server);
     events.accept(
-        new Event.Born(day(loop.now()), id, server.rack().block(), scenario.size(), cold));
+        new Event.Born(day(loop.nowMs()), id, server.rack().block(), scenario.size(), cold));
   }
 
   private static InetSocketAddress address(int net, int number) {
@@ -317,14 +327,14 @@
   }
 
   /** Most campuses use a part of their quota; some ask far more than it holds. */
-  private List<Arrivals.Campus> campuses() {
+  private List<ArrivalProcess.Campus> campuses() {
     Random draw = new Random(seed * 7 + 1);
-    List<Arrivals.Campus> all = new ArrayList<>();
+    List<ArrivalProcess.Campus> all = new ArrayList<>();
     for (int i = 0; i < scenario.campuses(); i++) {
-      World.Plan plan = World.PLANS.get(i % World.PLANS.size());
+      EmulatedWorld.Plan plan = EmulatedWorld.PLANS.get(i % EmulatedWorld.PLANS.size());
       double use = draw.nextInt(6) == 0 ? 3 : 0.2 + 0.6 * draw.nextDouble();
       all.add(
-          new Arrivals.Campus(
+          new ArrivalProcess.Campus(
               String.format("%016x", 0x100000000L + (draw.nextLong() & 0xffffffffL)),
               plan.name(),
               plan.perSecond() * use));
@@ -334,7 +344,7 @@
 
   /** Plays the day to the end of its last request. */
   void play() {
-    scenario.faults().forEach(f -> shared.after(f.at(), () -> strike(f)));
+    scenario.faults().forEach(f -> shared.schedule(f.at(), () -> strike(f)));
     clients.start();
     elapsed += scenario.lengthMs();
     loop.runUntil(elapsed);
@@ -357,14 +367,14 @@
     return trace;
   }
 
-  Map<CampusClients.Fate, Integer> fates() {
+  Map<CustomerClients.Fate, Integer> fates() {
     return fates;
   }
 
   // ---- faults ----
 
   private void done(String what) {
-    events.accept(new Event.Done(day(loop.now()), what));
+    events.accept(new Event.Done(day(loop.nowMs()), what));
   }
 
   private void strike(Scenario.Fault f) {
@@ -386,11 +396,11 @@
     }
   }
 
-  private void server(Scenario.Fault f, EnrolmentServer server, int number) {
+  private void server(Scenario.Fault f, AppServerEmulator server, int number) {
     switch (f.kind()) {
       case DIE -> die(f, server, number);
       case DRAIN -> {
-        shared.after(f.lag(), () -> discovery.set(server.entry("leaving")));
+        shared.schedule(f.lag(), () -> discovery.set(server.entry("leaving")));
         lifted(f, () -> discovery.set(server.entry("active")));
       }
       case NEIGHBOUR -> {
@@ -398,15 +408,15 @@
         lifted(f, () -> server.neighbour(0));
       }
       default -> {
-        server.mood(EnrolmentServer.Mood.valueOf(f.kind().name()));
-        lifted(f, () -> server.mood(EnrolmentServer.Mood.WELL));
+        server.mood(AppServerEmulator.Mood.valueOf(f.kind().name()));
+        lifted(f, () -> server.mood(AppServerEmulator.Mood.WELL));
       }
     }
   }
 
   private void lifted(Scenario.Fault f, Runnable what) {
     if (f.lasts() > 0) {
-      shared.after(
+      shared.schedule(
           f.lasts(),
           () -> {
             done(f.kind().word() + " is over");
@@ -415,12 +425,12 @@
     }
   }
 
-  private void die(Scenario.Fault f, EnrolmentServer server, int number) {
+  private void die(Scenario.Fault f, AppServerEmulator server, int number) {
     server.die();
-    events.accept(new Event.Died(day(loop.now()), server.id()));
-    Agent.Host gone = server.entry("left");
+    events.accept(new Event.Died(day(loop.nowMs()), server.id()));
+    DiscoveryAgentEmulator.Host gone = server.entry("left");
     boolean[] back = new boolean[1];
-    shared.after(
+    shared.schedule(
         f.lag(),
         () -> {
           if (!back[0]) {
@@ -435,8 +445,8 @@
           server.back(f.elsewhere() ? address(4, number) : old);
           events.accept(
               new Event.Born(
-                  day(loop.now()), server.id(), server.rack().block(), scenario.size(), true));
-          shared.after(
+                  day(loop.nowMs()), server.id(), server.rack().block(), scenario.size(), true));
+          shared.schedule(
               f.elsewhere() ? f.lag() : LISTED, () -> discovery.set(server.entry("active")));
           if (f.elsewhere()) {
             follow(old, number);
@@ -452,8 +462,8 @@
       Thread.currentThread().interrupt();
       return;
     }
-    EnrolmentServer another = servers.get(servers.size() - 1);
-    shared.after(LISTED, () -> discovery.set(another.entry("active")));
+    AppServerEmulator another = servers.get(servers.size() - 1);
+    shared.schedule(LISTED, () -> discovery.set(another.entry("active")));
   }
 
   private void node(Scenario.Fault f, int number) {
@@ -488,8 +498,8 @@
       case COUNTER_RESET -> counter.reset();
       case RESHUFFLE -> front.reshuffle();
       default -> {
-        counter.mood(Counter.Mood.valueOf(f.kind().name().substring("COUNTER_".length())));
-        lifted(f, () -> counter.mood(Counter.Mood.WELL));
+        counter.mood(CounterEmulator.Mood.valueOf(f.kind().name().substring("COUNTER_".length())));
+        lifted(f, () -> counter.mood(CounterEmulator.Mood.WELL));
       }
     }
   }
--- a/src/main/java/edgenode/simulation/Kit.java
+++ b/src/main/java/edgenode/simulation/SimulationCommands.java
@@ -1,17 +1,31 @@
 package edgenode.simulation;
 
-import edgenode.benchmark.SlopesCommand;
-import edgenode.simulation.fleet.ScaleCommand;
+import edgenode.benchmark.BenchmarkScalingCommand;
+import edgenode.simulation.fleet.SimulateFleetCommand;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
 import java.util.Arrays;
+import java.util.List;
 import picocli.CommandLine;
 
 /**
- * The kit's commands. Loaded only where one of them is called: {@code serve} must not pay for them.
+ * The commands that run emulated services, simulations and benchmarks. Loaded only when one of them
+ * is called: {@code serve} must not pay for them.
  */
-public final class Kit {
-  private Kit() {}
+public final class SimulationCommands {
+  /** The commands, with the names that they had before behind them. */
+  public static final List<String> NAMES =
+      List.of(
+          "demo",
+          "simulate",
+          "simulate-fleet",
+          "benchmark-scaling",
+          "try",
+          "rehearse",
+          "scale",
+          "slopes");
+
+  private SimulationCommands() {}
 
   /**
    * Runs a command.
@@ -23,10 +37,10 @@
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     Object command =
         switch (args[0]) {
-          case "try" -> new TryCommand();
-          case "scale" -> new ScaleCommand();
-          case "slopes" -> new SlopesCommand();
-          default -> new RehearseCommand();
+          case "demo", "try" -> new DemoCommand();
+          case "simulate-fleet", "scale" -> new SimulateFleetCommand();
+          case "benchmark-scaling", "slopes" -> new BenchmarkScalingCommand();
+          default -> new SimulateCommand();
         };
     return new CommandLine(command)
         .setParameterExceptionHandler(
--- a/src/main/java/edgenode/simulation/Trace.java
+++ b/src/main/java/edgenode/simulation/Trace.java
@@ -1,8 +1,8 @@
 package edgenode.simulation;
 
-import edgenode.emulator.Arrivals;
-import edgenode.emulator.CampusClients;
-import edgenode.emulator.Counter;
+import edgenode.emulator.ArrivalProcess;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.CustomerClients;
 import edgenode.simulation.invariants.Event;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -13,7 +13,7 @@
  * Each event on the stand-ins' sockets as a line, and the SHA-256 of all lines: two runs are one if
  * these are.
  */
-final class Trace implements Counter.Calls {
+final class Trace implements CounterEmulator.Calls {
   private final MessageDigest digest;
   private long events;
 
@@ -52,7 +52,7 @@
     line(now + " counter " + name + " " + amount + " " + total);
   }
 
-  void ended(double now, Arrivals.Arrival of, int retry, CampusClients.Fate fate) {
+  void ended(double now, ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate) {
     line(now + " client " + of.number() + " " + retry + " " + fate);
   }
 }
--- a/src/main/java/edgenode/simulation/VirtualLoop.java
+++ b/src/main/java/edgenode/simulation/VirtualLoop.java
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public double now() {
+  public double nowMs() {
     return START + (ticker.nanoTime() - ticker.initialNanoTime()) / 1e6;
   }
 
@@ -105,7 +105,7 @@
       long next = nextScheduledTaskDeadlineNanos();
       boolean last = next < 0 || next > end;
       ticker.advance((last ? end : next) - ticker.nanoTime());
-      moved.accept(now() - START);
+      moved.accept(nowMs() - START);
       if (last) {
         return;
       }
--- a/src/main/java/edgenode/simulation/fleet/CounterModel.java
+++ b/src/main/java/edgenode/simulation/fleet/CounterModel.java
@@ -29,7 +29,7 @@
   }
 
   /** An add by a node; its outcome is told as the counter's client tells it. */
-  void add(HollowNode node, long name, double amount, double keepFor, boolean cut) {
+  void add(ModelNode node, long name, double amount, double keepFor, boolean cut) {
     tally.counterCalls++;
     tally.counterBytes += forms.add(name, amount, keepFor);
     double sent = agenda.now();
--- a/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
+++ b/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.fleet;
 
-import edgenode.emulator.Agent;
+import edgenode.emulator.DiscoveryAgentEmulator;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -53,7 +53,7 @@
   /** The server that changed at version {@code i + 1}. */
   private final List<Integer> log = new ArrayList<>();
 
-  private final Set<HollowNode> watches = new LinkedHashSet<>();
+  private final Set<ModelNode> watches = new LinkedHashSet<>();
   private long pushed;
   private boolean arming;
   private long pushes;
@@ -90,9 +90,9 @@
     return log.size();
   }
 
-  private Agent.Host host(int index) {
+  private DiscoveryAgentEmulator.Host host(int index) {
     AppServer s = servers[index];
-    return new Agent.Host(
+    return new DiscoveryAgentEmulator.Host(
         "s" + index,
         s.dial,
         s.health.name().toLowerCase(Locale.ROOT),
@@ -107,7 +107,7 @@
    */
   WireForms.Listed whole() {
     if (last == null || last.seq() != seq()) {
-      List<Agent.Host> hosts = new ArrayList<>(size);
+      List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>(size);
       for (int i = from; i < from + size; i++) {
         if (servers[i].health != AppServer.Health.LEFT) {
           hosts.add(host(i));
@@ -131,7 +131,7 @@
     for (int i = from; i < from + size && fault == Fault.ALL_AS_CHANGES; i++) {
       changed.add(i);
     }
-    List<Agent.Host> hosts = new ArrayList<>();
+    List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>();
     for (int index : changed) {
       hosts.add(host(index));
     }
@@ -157,18 +157,18 @@
     if (fault == Fault.TELLS_HALF && ++pushes % 2 == 0) {
       return;
     }
-    for (HollowNode node : watches) {
+    for (ModelNode node : watches) {
       send(node, message);
     }
   }
 
-  private void send(HollowNode node, WireForms.Listed message) {
+  private void send(ModelNode node, WireForms.Listed message) {
     tally.changesDue += message.whole() ? 0 : due;
     agenda.at(link.through(agenda.now(), message.bytes()), () -> node.listed(message));
   }
 
   /** A node's watch stands from now on, from the version that it has; -1 for none. */
-  void watch(HollowNode node, long version) {
+  void watch(ModelNode node, long version) {
     if (version != seq()) {
       send(node, since(version));
     } else {
@@ -177,7 +177,7 @@
     watches.add(node);
   }
 
-  void unwatch(HollowNode node) {
+  void unwatch(ModelNode node) {
     watches.remove(node);
   }
 
@@ -185,7 +185,7 @@
    * It tells something wrong, or right again, to all: the first so many servers as the whole list.
    */
   void tellWrong(double share, long back) {
-    List<Agent.Host> hosts = new ArrayList<>();
+    List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>();
     for (int i = from; i < from + (int) (share * size); i++) {
       if (servers[i].health != AppServer.Health.LEFT) {
         hosts.add(host(i));
@@ -207,7 +207,7 @@
   }
 
   /** A node asks for all of it. */
-  void askAnew(HollowNode node) {
+  void askAnew(ModelNode node) {
     if (watches.contains(node)) {
       agenda.after(2 * Assumed.WAY, () -> send(node, whole()));
     }
--- a/src/main/java/edgenode/simulation/fleet/Fleet.java
+++ b/src/main/java/edgenode/simulation/fleet/Fleet.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.fleet;
 
-import edgenode.node.Node;
+import edgenode.node.EdgeNode;
 import edgenode.policy.CallOutcome;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -28,14 +28,14 @@
   record Tenant(String name, String plan, double planRate, int spread, double[] store) {}
 
   private final Shape shape;
-  private final Node.Maker maker;
+  private final EdgeNode.PolicyFactory maker;
   private final Agenda agenda = new Agenda(START);
   private final Tally tally = new Tally();
   private final WireForms forms = new WireForms();
   private final CounterModel counter;
   private final AppServer[] servers;
   private final DiscoveryModel[] lists;
-  private final HollowNode[] nodes;
+  private final ModelNode[] nodes;
   private final BitSet[] used;
 
   /** By node: its tenants, and the running sum of their rates there (requests a second). */
@@ -58,7 +58,7 @@
   /**
    * @param maker makes the decision module; tests give crooked ones
    */
-  public Fleet(Shape shape, Node.Maker maker) {
+  public Fleet(Shape shape, EdgeNode.PolicyFactory maker) {
     this.shape = shape;
     this.maker = maker;
     int k = shape.detail();
@@ -74,7 +74,7 @@
       lists[i] =
           new DiscoveryModel(agenda, tally, link, servers, i * shape.listed(), shape.listed());
     }
-    nodes = new HollowNode[k];
+    nodes = new ModelNode[k];
     used = new BitSet[k];
     draws = new SplittableRandom[k];
     SplittableRandom seeds = new SplittableRandom(shape.seed());
@@ -184,7 +184,7 @@
     int at = java.util.Arrays.binarySearch(rates, draw.nextDouble() * rates[rates.length - 1]);
     Tenant tenant = tenants[tenantsAt[place][Math.min(rates.length - 1, at < 0 ? -at - 1 : at)]];
     boolean keyed = draw.nextInt(5) == 0;
-    HollowNode node = nodes[place];
+    ModelNode node = nodes[place];
     if (!node.dead() && node.ready()) { // else its clients have gone elsewhere
       node.arrived(node.settings().requestClasses().get(keyed ? 1 : 0), tenant);
     }
@@ -209,7 +209,7 @@
   // ---- app servers ----
 
   /** Brings an attempt to its server and its end back, in virtual time. */
-  void serve(HollowNode node, HollowNode.Attempt a) {
+  void serve(ModelNode node, ModelNode.Attempt a) {
     AppServer s = a.server;
     double now = agenda.now();
     if (!s.up) {
@@ -325,8 +325,8 @@
 
   private void start(int place, boolean known) {
     int me = (int) ((long) place * shape.nodes() / shape.detail());
-    HollowNode node =
-        new HollowNode(
+    ModelNode node =
+        new ModelNode(
             this,
             place,
             lists[place % lists.length],
@@ -350,7 +350,7 @@
     agenda.after(
         Assumed.BEAT,
         () -> {
-          for (HollowNode node : nodes) {
+          for (ModelNode node : nodes) {
             node.heard();
           }
           beat();
@@ -481,7 +481,7 @@
     if (weigh) {
       agenda.clear();
       long before = heap();
-      for (HollowNode node : nodes) {
+      for (ModelNode node : nodes) {
         node.dropCores();
       }
       tally.stateBytes = Math.max(0, before - heap()) / nodes.length;
--- a/src/main/java/edgenode/simulation/fleet/ScaleReport.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetReport.java
@@ -15,7 +15,7 @@
  * What runs came to: a table for people, {@code scale.json} for programs. Fields are only added to
  * it within one {@link #SCHEMA}.
  */
-final class ScaleReport {
+final class FleetReport {
   static final int SCHEMA = 1;
 
   /**
@@ -52,9 +52,9 @@
   /** One line of the table; {@code budget} is NaN where the issue names none. */
   record Line(String name, double value, String unit, Kind kind, double budget) {}
 
-  private ScaleReport() {}
+  private FleetReport() {}
 
-  static List<Line> lines(Verdicts.Run run) {
+  static List<Line> lines(FleetVerdicts.Run run) {
     Tally t = run.tally();
     Shape s = run.shape();
     List<Line> all = new ArrayList<>();
@@ -141,7 +141,7 @@
     all.add(new Line(name, value, unit, Kind.MEASURED, Double.NaN));
   }
 
-  static String title(Verdicts.Run run) {
+  static String title(FleetVerdicts.Run run) {
     Shape s = run.shape();
     return String.format(
         Locale.ROOT,
@@ -164,7 +164,7 @@
             : "all nodes and " + s.modelled() + " servers are run");
   }
 
-  static String text(Verdicts.Run run) {
+  static String text(FleetVerdicts.Run run) {
     StringBuilder out = new StringBuilder(title(run)).append('\n');
     for (Line l : lines(run)) {
       out.append(
@@ -200,7 +200,7 @@
    *
    * @throws IOException where it cannot be written; none is left half written
    */
-  static void write(Path dir, List<Verdicts.Run> runs, List<Verdicts.Verdict> slopes)
+  static void write(Path dir, List<FleetVerdicts.Run> runs, List<FleetVerdicts.Verdict> slopes)
       throws IOException {
     Files.createDirectories(dir);
     Path file = dir.resolve("scale.json");
@@ -209,7 +209,8 @@
     Files.move(part, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  static String json(List<Verdicts.Run> runs, List<Verdicts.Verdict> slopes) throws IOException {
+  static String json(List<FleetVerdicts.Run> runs, List<FleetVerdicts.Verdict> slopes)
+      throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator out = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
       out.writeStartObject();
@@ -220,7 +221,7 @@
       }
       out.writeEndArray();
       out.writeArrayFieldStart("runs");
-      for (Verdicts.Run run : runs) {
+      for (FleetVerdicts.Run run : runs) {
         run(out, run);
       }
       out.writeEndArray();
@@ -230,7 +231,7 @@
     return text.toString();
   }
 
-  private static void run(JsonGenerator out, Verdicts.Run run) throws IOException {
+  private static void run(JsonGenerator out, FleetVerdicts.Run run) throws IOException {
     Shape s = run.shape();
     out.writeStartObject();
     out.writeNumberField("nodes", s.nodes());
@@ -261,14 +262,14 @@
       out.writeEndObject();
     }
     out.writeEndArray();
-    verdicts(out, "verdicts", Verdicts.of(run));
+    verdicts(out, "verdicts", FleetVerdicts.of(run));
     out.writeEndObject();
   }
 
-  private static void verdicts(JsonGenerator out, String name, List<Verdicts.Verdict> all)
+  private static void verdicts(JsonGenerator out, String name, List<FleetVerdicts.Verdict> all)
       throws IOException {
     out.writeArrayFieldStart(name);
-    for (Verdicts.Verdict v : all) {
+    for (FleetVerdicts.Verdict v : all) {
       out.writeStartObject();
       out.writeStringField("name", v.name());
       out.writeStringField("verdict", v.word().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/edgenode/simulation/fleet/Verdicts.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetVerdicts.java
@@ -9,7 +9,7 @@
  * Judges what a run counted: counts, bounds, and how a node's costs grow with the fleet; never how
  * long code took.
  */
-public final class Verdicts {
+public final class FleetVerdicts {
   /**
    * Held, broken, or a cost that is known to grow with the fleet and does: a mechanism is missing.
    */
@@ -89,7 +89,7 @@
               "changes told a node", true, r -> (double) r.tally().changes / r.shape().detail()),
           new Cost("servers sent to a node", true, r -> r.tally().usedServers));
 
-  private Verdicts() {}
+  private FleetVerdicts() {}
 
   /** Of one run. */
   public static List<Verdict> of(Run run) {
--- a/src/main/java/edgenode/simulation/fleet/HollowNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -1,9 +1,9 @@
 package edgenode.simulation.fleet;
 
-import edgenode.membership.Entry;
-import edgenode.membership.Limits;
+import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.Membership;
-import edgenode.node.Node;
+import edgenode.membership.MembershipLimits;
+import edgenode.node.EdgeNode;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
@@ -20,13 +20,13 @@
 
 /**
  * An edge node without its sockets, from its start to its end: the decision module and the
- * membership core as {@code Node} and {@code Members} host them, on virtual time. It counts and
- * decides nothing.
+ * membership core as {@code Node} and {@code MembershipService} host them, on virtual time. It
+ * counts and decides nothing.
  */
-final class HollowNode implements PolicyActions {
+final class ModelNode implements PolicyActions {
   private static final double[] NO_LOAD = new double[0];
 
-  /** Between tries of a server that is dead or held (ms), as {@code Members} has it. */
+  /** Between tries of a server that is dead or held (ms), as {@code MembershipService} has it. */
   private static final double TRY = 250;
 
   /** One event in so many is timed. */
@@ -92,12 +92,12 @@
   private boolean trying;
   private double timerAt = Double.POSITIVE_INFINITY;
 
-  HollowNode(
+  ModelNode(
       Fleet fleet,
       int place,
       DiscoveryModel discovery,
       PolicySettings settings,
-      Node.Maker maker,
+      EdgeNode.PolicyFactory maker,
       long seed) {
     this.fleet = fleet;
     this.place = place;
@@ -110,9 +110,9 @@
     lastUsed = new float[discovery.size()];
     seen = new int[discovery.size()];
     java.util.Arrays.fill(lastUsed, Float.NEGATIVE_INFINITY);
-    members = new Membership(Limits.defaults(settings.rules().warmUpMs()), SPACE);
+    members = new Membership(MembershipLimits.defaults(settings.rules().warmUpMs()), SPACE);
     long from = Tally.cpu();
-    module = maker.start(settings, seed, agenda.now(), this);
+    module = maker.create(settings, seed, agenda.now(), this);
     tally.cpuNs += Tally.cpu() - from;
   }
 
@@ -121,12 +121,13 @@
     if (known) {
       WireForms.Listed list = discovery.whole();
       long from = Tally.cpu();
-      Membership.Changes changes = members.known(agenda.now(), list.seq(), list.entries());
+      Membership.MembershipUpdate changes =
+          members.loadInitialList(agenda.now(), list.seq(), list.entries());
       tally.memberNs += Tally.cpu() - from;
       ready = true;
       apply(changes);
     }
-    discovery.watch(this, members.version());
+    discovery.watch(this, members.resumeVersion());
   }
 
   /** The process is killed: nothing of it speaks any more. */
@@ -147,7 +148,7 @@
     if (on) {
       discovery.unwatch(this);
     } else {
-      discovery.watch(this, members.version());
+      discovery.watch(this, members.resumeVersion());
     }
   }
 
@@ -248,8 +249,8 @@
     tell(() -> module.attemptEnded(now, o.id, a.number, outcome, now - a.sent, o.over, 0, NO_LOAD));
     settle(o);
     if (outcome == CallOutcome.OK) {
-      Membership.Changes changes = members.answered(now, "s" + a.server.index);
-      if (changes != Membership.Changes.NONE) { // as with nearly every answer
+      Membership.MembershipUpdate changes = members.responded(now, "s" + a.server.index);
+      if (changes != Membership.MembershipUpdate.NONE) { // as with nearly every answer
         apply(changes);
       }
     }
@@ -263,7 +264,7 @@
 
   void unreachable(AppServer server, boolean refused) {
     if (!dead) {
-      member(() -> members.unreachable(agenda.now(), "s" + server.index, refused, 0));
+      member(() -> members.connectFailed(agenda.now(), "s" + server.index, refused, 0));
     }
   }
 
@@ -298,9 +299,11 @@
       }
     }
     member(
-        () -> members.told(agenda.now(), SPACE, message.seq(), message.whole(), message.entries()));
-    for (Entry e : message.entries()) {
-      inForce(index(e.server().id()));
+        () ->
+            members.endpointsReceived(
+                agenda.now(), SPACE, message.seq(), message.whole(), message.entries()));
+    for (DiscoveredEndpoint e : message.entries()) {
+      inForce(index(e.info().id()));
     }
   }
 
@@ -308,13 +311,13 @@
   void heard() {
     if (!dead && !cut) {
       tally.beatBytes += Assumed.BEAT_BYTES;
-      member(() -> members.heard(agenda.now(), SPACE));
+      member(() -> members.sourceConfirmed(agenda.now(), SPACE));
     }
   }
 
-  private void member(java.util.function.Supplier<Membership.Changes> event) {
+  private void member(java.util.function.Supplier<Membership.MembershipUpdate> event) {
     long from = Tally.cpu();
-    Membership.Changes changes = event.get();
+    Membership.MembershipUpdate changes = event.get();
     tally.memberNs += Tally.cpu() - from;
     apply(changes);
   }
@@ -323,18 +326,18 @@
     return Integer.parseInt(id, 1, id.length(), 10);
   }
 
-  private void apply(Membership.Changes changes) {
-    if (!changes.entries().isEmpty()) {
-      List<EndpointInfo> list = new ArrayList<>(changes.entries().size());
-      for (Entry e : changes.entries()) {
-        list.add(e.server());
-        int index = index(e.server().id());
-        shownUp.set(index - discovery.from(), e.server().state() == EndpointState.UP);
+  private void apply(Membership.MembershipUpdate changes) {
+    if (!changes.endpoints().isEmpty()) {
+      List<EndpointInfo> list = new ArrayList<>(changes.endpoints().size());
+      for (DiscoveredEndpoint e : changes.endpoints()) {
+        list.add(e.info());
+        int index = index(e.info().id());
+        shownUp.set(index - discovery.from(), e.info().state() == EndpointState.UP);
         inForce(index);
       }
-      tellServers(list, changes.whole());
+      tellServers(list, changes.isComplete());
     }
-    if (changes.askAnew()) {
+    if (changes.mustResync()) {
       discovery.askAnew(this);
     }
     tryOut();
@@ -354,7 +357,7 @@
   }
 
   private void tryOut() {
-    if (trying || members.toTry().isEmpty()) {
+    if (trying || members.endpointsToProbe().isEmpty()) {
       return;
     }
     trying = true;
@@ -365,7 +368,7 @@
           if (dead) {
             return;
           }
-          Collection<String> all = new ArrayList<>(members.toTry());
+          Collection<String> all = new ArrayList<>(members.endpointsToProbe());
           tally.tries += all.size();
           for (String id : all) {
             AppServer s = fleet.server(index(id));
@@ -380,16 +383,16 @@
   private void tried(AppServer s) {
     if (!dead) {
       if (s.up) {
-        member(() -> members.reachable(agenda.now(), "s" + s.index));
+        member(() -> members.connected(agenda.now(), "s" + s.index));
       } else {
-        member(() -> members.unreachable(agenda.now(), "s" + s.index, !s.silent, 0));
+        member(() -> members.connectFailed(agenda.now(), "s" + s.index, !s.silent, 0));
       }
     }
   }
 
   /** One timer for what time alone changes. */
   private void arm() {
-    double at = members.next();
+    double at = members.nextTickMs();
     if (at >= timerAt || at == Double.POSITIVE_INFINITY) {
       return;
     }
--- a/src/main/java/edgenode/simulation/fleet/ScaleCommand.java
+++ b/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
@@ -16,7 +16,7 @@
 
 /** {@code scale}: a fleet of hollow edge nodes in virtual time, judged by what it counts. */
 @Command(
-    name = "scale",
+    name = "simulate-fleet",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
@@ -24,7 +24,7 @@
       "app servers, counter, discovery and clients, and judges counts, bounds and growth. Large fleets are sampled.",
       "The same shape, seed and build give the same digest. Exit code: 0 held, 1 broken, 2 wrong input."
     })
-public final class ScaleCommand implements Callable<Integer> {
+public final class SimulateFleetCommand implements Callable<Integer> {
   private static final int BAR = 30;
 
   @Spec private CommandSpec spec;
@@ -126,7 +126,7 @@
       }
       return run(shapes);
     } catch (IOException e) {
-      System.err.println("scale: " + e.getMessage());
+      System.err.println("simulate-fleet: " + e.getMessage());
       return 2;
     }
   }
@@ -171,33 +171,33 @@
   private int run(List<Shape> shapes) throws IOException {
     out.println("assumed, by no run:");
     Assumed.lines().forEach(line -> out.println("  " + line));
-    List<Verdicts.Run> runs = new ArrayList<>();
+    List<FleetVerdicts.Run> runs = new ArrayList<>();
     boolean broken = false;
     for (Shape shape : shapes) {
       long from = System.nanoTime();
-      Tally tally = new Fleet(shape, PolicyEngine::new).run(ScaleCommand::progress, true);
+      Tally tally = new Fleet(shape, PolicyEngine::new).run(SimulateFleetCommand::progress, true);
       System.err.println();
-      Verdicts.Run run = new Verdicts.Run(shape, tally, (System.nanoTime() - from) / 1e6);
+      FleetVerdicts.Run run = new FleetVerdicts.Run(shape, tally, (System.nanoTime() - from) / 1e6);
       runs.add(run);
       out.println();
-      out.print(ScaleReport.text(run));
-      broken |= told(Verdicts.of(run));
+      out.print(FleetReport.text(run));
+      broken |= told(FleetVerdicts.of(run));
     }
-    List<Verdicts.Verdict> slopes = runs.size() < 3 ? List.of() : Verdicts.slopes(runs);
+    List<FleetVerdicts.Verdict> slopes = runs.size() < 3 ? List.of() : FleetVerdicts.slopes(runs);
     if (!slopes.isEmpty()) {
       out.println();
       broken |= told(slopes);
     }
     if (report != null) {
-      ScaleReport.write(report, runs, slopes);
+      FleetReport.write(report, runs, slopes);
       out.println("report " + report.resolve("scale.json"));
     }
     return broken ? 1 : 0;
   }
 
-  private boolean told(List<Verdicts.Verdict> verdicts) {
+  private boolean told(List<FleetVerdicts.Verdict> verdicts) {
     verdicts.forEach(v -> out.println("  " + v));
-    return verdicts.stream().anyMatch(v -> v.word() == Verdicts.Word.BROKEN);
+    return verdicts.stream().anyMatch(v -> v.word() == FleetVerdicts.Word.BROKEN);
   }
 
   private static void progress(double share) {
--- a/src/main/java/edgenode/simulation/fleet/WireForms.java
+++ b/src/main/java/edgenode/simulation/fleet/WireForms.java
@@ -1,10 +1,10 @@
 package edgenode.simulation.fleet;
 
-import edgenode.emulator.Agent;
-import edgenode.membership.Entry;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.membership.DiscoveredEndpoint;
 import edgenode.net.counter.CounterClient;
-import edgenode.net.discovery.MembersJson;
-import edgenode.net.resp.Resp;
+import edgenode.net.discovery.EndpointListJson;
+import edgenode.net.resp.RespCodec;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
@@ -21,12 +21,12 @@
    * A list or change as told: its entries as the node's own reader has them, and its bytes on the
    * wire.
    */
-  record Listed(long seq, boolean whole, List<Entry> entries, int bytes) {}
+  record Listed(long seq, boolean whole, List<DiscoveredEndpoint> entries, int bytes) {}
 
   private final EmbeddedChannel resp = new EmbeddedChannel();
 
   WireForms() {
-    Resp.codec(resp.pipeline(), 4);
+    RespCodec.addCodec(resp.pipeline(), 4);
   }
 
   private int length(Object message) {
@@ -41,32 +41,32 @@
 
   /** {@code CNT.ADD} as the counter's client writes it. */
   int add(long name, double amount, double keepFor) {
-    return length(Resp.command(resp.alloc(), CounterClient.words(name, amount, keepFor)));
+    return length(RespCodec.command(resp.alloc(), CounterClient.addCommand(name, amount, keepFor)));
   }
 
   /** Its answer. */
   int total(double total) {
-    return length(Resp.bulk(resp.alloc(), CounterClient.plain(total)));
+    return length(RespCodec.bulkString(resp.alloc(), CounterClient.formatAmount(total)));
   }
 
   /** A line of the watch, in its chunk. */
-  static Listed listed(long seq, boolean whole, Iterable<Agent.Host> hosts) {
+  static Listed listed(long seq, boolean whole, Iterable<DiscoveryAgentEmulator.Host> hosts) {
     StringJoiner all =
         new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[", "]}\n");
     hosts.forEach(h -> all.add(h.json()));
     byte[] text = all.toString().getBytes(StandardCharsets.US_ASCII);
     try {
-      MembersJson read =
-          MembersJson.read(
+      EndpointListJson read =
+          EndpointListJson.parse(
               text,
               text.length,
               bad -> {
                 throw new IllegalStateException(bad);
               });
       return new Listed(
-          read.seq(),
-          read.whole(),
-          read.entries(),
+          read.version(),
+          read.isComplete(),
+          read.endpoints(),
           text.length + CHUNK + Integer.toHexString(text.length).length());
     } catch (IOException e) {
       throw new IllegalStateException(e); // it is a text of ours
--- a/src/main/java/edgenode/simulation/invariants/Ceilings.java
+++ b/src/main/java/edgenode/simulation/invariants/CeilingInvariant.java
@@ -13,15 +13,15 @@
  * The fifth rule: a plan's second store, one for a customer over all edge nodes, from which each
  * request takes its units when it is first sent on, never goes below its slack.
  */
-public final class Ceilings implements Judge {
-  private final Terms terms;
+public final class CeilingInvariant implements InvariantChecker {
+  private final InvariantTerms terms;
   private final Map<String, Event.Asked> asked = new HashMap<>();
   private final Map<String, Bucket> stores = new HashMap<>();
   private final Set<String> sent = new HashSet<>();
   private final Set<String> broken = new HashSet<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
 
-  public Ceilings(Terms terms) {
+  public CeilingInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
 
@@ -47,7 +47,7 @@
         store.take(came.at(), a.units());
         if (store.units(came.at()) < -plan.ceilingSlackUnits() - 1e-9 && broken.add(a.customer())) {
           breaches.add(
-              new Breach(
+              new Violation(
                   rule(),
                   came.at(),
                   came.id(),
@@ -64,7 +64,7 @@
   }
 
   @Override
-  public List<Breach> verdict(double at) {
+  public List<Violation> verdict(double at) {
     return List.copyOf(breaches);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/Drains.java
+++ b/src/main/java/edgenode/simulation/invariants/DrainInvariant.java
@@ -11,12 +11,12 @@
  * A send is timed at its last byte here, which is its first one's moment too wherever messages come
  * whole.
  */
-public final class Drains implements Judge {
-  private final Terms terms;
+public final class DrainInvariant implements InvariantChecker {
+  private final InvariantTerms terms;
   private final Map<String, Event.Told> away = new HashMap<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
 
-  public Drains(Terms terms) {
+  public DrainInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
 
@@ -37,7 +37,7 @@
       Event.Told told = away.get(came.server());
       if (told != null && came.at() > told.at() + terms.drainGrace()) {
         breaches.add(
-            new Breach(
+            new Violation(
                 rule(),
                 came.at(),
                 came.id(),
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public List<Breach> verdict(double at) {
+  public List<Violation> verdict(double at) {
     return List.copyOf(breaches);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/Event.java
+++ b/src/main/java/edgenode/simulation/invariants/Event.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.invariants;
 
-import edgenode.emulator.Capacity;
+import edgenode.emulator.CapacityModel;
 
 /**
  * What passed on the sockets of the stand-ins, and what was done to the world: all that the judges
@@ -73,7 +73,7 @@
    *
    * @param cold whether it has just started; else it has run for long
    */
-  record Born(double at, String server, int rack, Capacity.Size size, boolean cold)
+  record Born(double at, String server, int rack, CapacityModel.Size size, boolean cold)
       implements Event {}
 
   record Died(double at, String server) implements Event {}
--- a/src/main/java/edgenode/simulation/invariants/Judge.java
+++ b/src/main/java/edgenode/simulation/invariants/InvariantChecker.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** Sees each event once, in order, and tells what breaks its one rule. */
-public interface Judge {
+public interface InvariantChecker {
   /** Short, with hyphens: it stands in reports. */
   String rule();
 
   void see(Event event);
 
   /** All that it has found, once the last event has been seen; at is when the day ended (ms). */
-  List<Breach> verdict(double at);
+  List<Violation> verdict(double at);
 }
--- a/src/main/java/edgenode/simulation/invariants/Court.java
+++ b/src/main/java/edgenode/simulation/invariants/InvariantSuite.java
@@ -6,25 +6,25 @@
 import java.util.function.Consumer;
 
 /** All judges over one day, and the day's events for the stories of what was broken. */
-public final class Court implements Consumer<Event> {
+public final class InvariantSuite implements Consumer<Event> {
   /** Events of the world that are told with a story, from so long (ms) before its breach. */
   private static final double AROUND = 3000;
 
   private final List<Event> events = new ArrayList<>();
-  private final Quotas quotas;
-  private final List<Judge> judges;
+  private final QuotaAudit quotas;
+  private final List<InvariantChecker> judges;
 
-  public Court(Terms terms, int nodes) {
-    quotas = new Quotas(terms);
+  public InvariantSuite(InvariantTerms terms, int nodes) {
+    quotas = new QuotaAudit(terms);
     judges =
         List.of(
-            new AnswersOnce(terms),
-            new EffectsOnce(terms),
-            new Drains(terms),
-            new ColdServers(terms),
-            new Ceilings(terms),
+            new SingleResponseInvariant(terms),
+            new SingleExecutionInvariant(terms),
+            new DrainInvariant(terms),
+            new SlowStartInvariant(terms),
+            new CeilingInvariant(terms),
             quotas,
-            new Evidence(nodes));
+            new RequestTrace(nodes));
   }
 
   @Override
@@ -38,10 +38,10 @@
   }
 
   public List<String> rules() {
-    return judges.stream().map(Judge::rule).toList();
+    return judges.stream().map(InvariantChecker::rule).toList();
   }
 
-  public List<Quotas.Figures> quotas() {
+  public List<QuotaAudit.Figures> quotas() {
     return quotas.figures();
   }
 
@@ -51,10 +51,10 @@
   }
 
   /** By time. */
-  public List<Breach> verdict(double at) {
+  public List<Violation> verdict(double at) {
     return judges.stream()
         .flatMap(j -> j.verdict(at).stream())
-        .sorted(Comparator.comparingDouble(Breach::at))
+        .sorted(Comparator.comparingDouble(Violation::at))
         .toList();
   }
 
@@ -62,7 +62,7 @@
    * Every event of the request that a breach names, and what was done to the world shortly before
    * it.
    */
-  public List<Event> story(Breach breach) {
+  public List<Event> story(Violation breach) {
     return events.stream()
         .filter(
             e ->
--- a/src/main/java/edgenode/simulation/invariants/Terms.java
+++ b/src/main/java/edgenode/simulation/invariants/InvariantTerms.java
@@ -11,7 +11,7 @@
  * The figures that the rules hold with: those of the settings, each time limit 50 ms longer, as on
  * sockets.
  */
-public final class Terms {
+public final class InvariantTerms {
   /** What sockets and real time are granted on each time limit (ms). */
   public static final double SOCKETS = 50;
 
@@ -19,7 +19,7 @@
   private final Map<String, QuotaPlan> plans = new LinkedHashMap<>();
   private final PolicySettings settings;
 
-  public Terms(PolicySettings settings) {
+  public InvariantTerms(PolicySettings settings) {
     this.settings = settings;
     settings.requestClasses().forEach(c -> classes.put(c.name(), c));
     settings.plans().forEach(p -> plans.put(p.name(), p));
--- a/src/main/java/edgenode/simulation/invariants/Quotas.java
+++ b/src/main/java/edgenode/simulation/invariants/QuotaAudit.java
@@ -17,7 +17,7 @@
  * nodes may each round by; a day that is shorter counts as its minute. What was refused while the
  * store held it (undershoot) is a figure and breaks nothing.
  */
-public final class Quotas implements Judge {
+public final class QuotaAudit implements InvariantChecker {
   /** Beyond the quota within any minute, against what the quota gives in it. */
   public static final double OVER = 0.05;
 
@@ -60,14 +60,14 @@
       double refusedWithRoom,
       double worst) {}
 
-  private final Terms terms;
+  private final InvariantTerms terms;
   private final Map<String, Event.Asked> asked = new HashMap<>();
   private final Map<String, Boolean> sent = new HashMap<>();
   private final Map<String, Account> accounts = new LinkedHashMap<>();
   private double began = Double.NaN;
   private double length = MINUTE;
 
-  public Quotas(Terms terms) {
+  public QuotaAudit(InvariantTerms terms) {
     this.terms = terms;
   }
 
@@ -188,15 +188,15 @@
   }
 
   @Override
-  public List<Breach> verdict(double at) {
+  public List<Violation> verdict(double at) {
     length = Math.max(1, at - (Double.isNaN(began) ? 0 : began));
     double rounding = terms.nodes() * (double) terms.mostUnits();
-    List<Breach> breaches = new ArrayList<>();
+    List<Violation> breaches = new ArrayList<>();
     for (Account a : accounts.values()) {
       double gives = gives(a.plan, length);
       if (a.most > OVER * gives + rounding) {
         breaches.add(
-            new Breach(
+            new Violation(
                 rule(),
                 a.mostAt.at(),
                 a.mostAt.id(),
--- a/src/main/java/edgenode/simulation/invariants/Evidence.java
+++ b/src/main/java/edgenode/simulation/invariants/RequestTrace.java
@@ -9,13 +9,13 @@
  * A day on which nothing was to be seen proves nothing: each edge node was asked, and somebody was
  * served.
  */
-public final class Evidence implements Judge {
+public final class RequestTrace implements InvariantChecker {
   private final int nodes;
   private final Set<Integer> asked = new TreeSet<>();
   private long served;
   private long sent;
 
-  public Evidence(int nodes) {
+  public RequestTrace(int nodes) {
     this.nodes = nodes;
   }
 
@@ -36,18 +36,18 @@
   }
 
   @Override
-  public List<Breach> verdict(double at) {
-    List<Breach> all = new ArrayList<>();
+  public List<Violation> verdict(double at) {
+    List<Violation> all = new ArrayList<>();
     if (asked.size() < nodes) {
       all.add(
-          new Breach(
+          new Violation(
               rule(),
               at,
               null,
               "of " + nodes + " edge nodes " + asked.size() + " were asked anything"));
     }
     if (sent == 0 || served == 0) {
-      all.add(new Breach(rule(), at, null, "nobody was served: a report on no evidence"));
+      all.add(new Violation(rule(), at, null, "nobody was served: a report on no evidence"));
     }
     return all;
   }
--- a/src/main/java/edgenode/simulation/invariants/EffectsOnce.java
+++ b/src/main/java/edgenode/simulation/invariants/SingleExecutionInvariant.java
@@ -14,7 +14,7 @@
  * refused only where nothing has run. A keyed request may go to servers that drop its repeats, and
  * within the window.
  */
-public final class EffectsOnce implements Judge {
+public final class SingleExecutionInvariant implements InvariantChecker {
   private static final class Attempt {
     private final String server;
     private final int rack;
@@ -28,13 +28,13 @@
     }
   }
 
-  private final Terms terms;
+  private final InvariantTerms terms;
   private final Map<String, RequestClass> types = new HashMap<>();
   private final Map<String, Integer> racks = new HashMap<>();
   private final Map<String, List<Attempt>> attempts = new HashMap<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
 
-  public EffectsOnce(Terms terms) {
+  public SingleExecutionInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
 
@@ -67,7 +67,7 @@
                     && type.idempotency() != Idempotency.IDEMPOTENT
                     && !anywhere(type)) {
                   breaches.add(
-                      new Breach(
+                      new Violation(
                           rule(),
                           heard.at(),
                           heard.id(),
@@ -85,7 +85,7 @@
     RequestClass type = types.get(came.id());
     if (type == null) {
       breaches.add(
-          new Breach(rule(), came.at(), came.id(), came.server() + " got what no client asked"));
+          new Violation(rule(), came.at(), came.id(), came.server() + " got what no client asked"));
       return;
     }
     int rack = racks.getOrDefault(came.server(), -1);
@@ -98,10 +98,11 @@
               boolean dropped =
                   type.idempotency() == Idempotency.KEYED
                       && (anywhere(type) || first.rack == rack)
-                      && came.at() - first.at <= type.idempotencyWindowMs() + Terms.SOCKETS;
+                      && came.at() - first.at
+                          <= type.idempotencyWindowMs() + InvariantTerms.SOCKETS;
               if (type.idempotency() != Idempotency.IDEMPOTENT && !dropped) {
                 breaches.add(
-                    new Breach(
+                    new Violation(
                         rule(),
                         came.at(),
                         came.id(),
@@ -118,7 +119,7 @@
   }
 
   @Override
-  public List<Breach> verdict(double at) {
+  public List<Violation> verdict(double at) {
     return List.copyOf(breaches);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/AnswersOnce.java
+++ b/src/main/java/edgenode/simulation/invariants/SingleResponseInvariant.java
@@ -15,7 +15,7 @@
  * answer. What an edge node had open when it was killed outright is not held against it; what it
  * had when it was asked to leave is.
  */
-public final class AnswersOnce implements Judge {
+public final class SingleResponseInvariant implements InvariantChecker {
   /** A send that crossed the answer: both were under way (ms). */
   private static final double CROSSING = 50;
 
@@ -30,12 +30,12 @@
     }
   }
 
-  private final Terms terms;
+  private final InvariantTerms terms;
   private final Map<String, Open> requests = new LinkedHashMap<>();
   private final Map<String, Set<String>> made = new HashMap<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
 
-  public AnswersOnce(Terms terms) {
+  public SingleResponseInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
 
@@ -45,7 +45,7 @@
   }
 
   private void breach(double at, String id, String what) {
-    breaches.add(new Breach(rule(), at, id, what));
+    breaches.add(new Violation(rule(), at, id, what));
   }
 
   private double due(Open r) {
@@ -136,7 +136,7 @@
   }
 
   @Override
-  public List<Breach> verdict(double at) {
+  public List<Violation> verdict(double at) {
     requests.values().stream().filter(r -> due(r) < at).forEach(r -> never(r, at));
     return List.copyOf(breaches);
   }
--- a/src/main/java/edgenode/simulation/invariants/ColdServers.java
+++ b/src/main/java/edgenode/simulation/invariants/SlowStartInvariant.java
@@ -19,7 +19,7 @@
  * at most, which is less from N = 1 on: many nodes that each send one more are no chance here
  * either.
  */
-public final class ColdServers implements Judge {
+public final class SlowStartInvariant implements InvariantChecker {
   /** Requests beyond the budget that chance may bring, at most. */
   private static final int MOST_CHANCE = 4;
 
@@ -52,12 +52,12 @@
     }
   }
 
-  private final Terms terms;
+  private final InvariantTerms terms;
   private final Map<String, Cold> cold = new HashMap<>();
   private final Map<String, Integer> askedOf = new HashMap<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
 
-  public ColdServers(Terms terms) {
+  public SlowStartInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
 
@@ -117,7 +117,7 @@
     if (server.toldSends > most || all > most && server.toldSends > TOLD_SHARE * all) {
       server.broken = true;
       breaches.add(
-          new Breach(
+          new Violation(
               rule(),
               came.at(),
               came.id(),
@@ -142,7 +142,7 @@
   }
 
   @Override
-  public List<Breach> verdict(double at) {
+  public List<Violation> verdict(double at) {
     return List.copyOf(breaches);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/Breach.java
+++ b/src/main/java/edgenode/simulation/invariants/Violation.java
@@ -8,4 +8,4 @@
  * @param id the request, or null where it is none's
  * @param what in a sentence, with figures
  */
-public record Breach(String rule, double at, String id, String what) {}
+public record Violation(String rule, double at, String id, String what) {}
--- a/src/main/java/edgenode/store/Compaction.java
+++ b/src/main/java/edgenode/store/Compaction.java
@@ -1,7 +1,7 @@
 package edgenode.store;
 
-import edgenode.store.Disk.DiskException;
-import edgenode.store.Frames.Stored;
+import edgenode.store.SegmentFormat.StoredRecord;
+import edgenode.store.StoreDirectory.StorageIoException;
 import edgenode.store.StoreException.Reason;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -17,99 +17,107 @@
  * the same reason.
  */
 final class Compaction {
-  final List<Segment> run;
+  final List<Segment> inputs;
   final Segment output;
-  final Map<Slot, Stored> moved = new LinkedHashMap<>();
-  final List<Stored> dropped = new ArrayList<>();
-  private final boolean oldest;
-  private final Function<Stored, Slot> current;
-  private final long now;
-  private final ByteBuffer out = ByteBuffer.allocate(Frames.FRAME + Batch.MOST + (1 << 16));
-  private int segment;
-  private long at = Frames.HEADER;
+  final Map<RecordVersion, StoredRecord> copied = new LinkedHashMap<>();
+  final List<StoredRecord> dropped = new ArrayList<>();
+  private final boolean includesOldest;
+  private final Function<StoredRecord, RecordVersion> currentVersion;
+  private final long nowMs;
+  private final ByteBuffer buffer =
+      ByteBuffer.allocate(
+          SegmentFormat.FRAME_HEADER_BYTES + WriteBatch.MAX_BATCH_BYTES + (1 << 16));
+  private int inputIndex;
+  private long inputOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
 
   Compaction(
-      List<Segment> run, boolean oldest, Segment output, Function<Stored, Slot> current, long now) {
-    this.run = run;
-    this.oldest = oldest;
+      List<Segment> run,
+      boolean oldest,
+      Segment output,
+      Function<StoredRecord, RecordVersion> current,
+      long now) {
+    this.inputs = run;
+    this.includesOldest = oldest;
     this.output = output;
-    this.current = current;
-    this.now = now;
+    this.currentVersion = current;
+    this.nowMs = now;
   }
 
   /**
    * Goes on for about so many bytes of the old segments; false when the new one is whole and lasts.
    */
-  boolean step(int bytes) throws DiskException, StoreException {
+  boolean step(int bytes) throws StorageIoException, StoreException {
     long left = bytes;
-    while (left > 0 && segment < run.size()) {
-      Segment s = run.get(segment);
-      if (at >= s.size) {
-        segment++;
-        at = Frames.HEADER;
+    while (left > 0 && inputIndex < inputs.size()) {
+      Segment s = inputs.get(inputIndex);
+      if (inputOffset >= s.sizeBytes) {
+        inputIndex++;
+        inputOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
         continue;
       }
-      Frames.Reader reader = new Frames.Reader(s.file, s.salt, s.size);
-      while (left > 0 && at < s.size) {
-        Frames.Frame f = reader.frame(at);
+      SegmentFormat.FrameReader reader = new SegmentFormat.FrameReader(s.file, s.salt, s.sizeBytes);
+      while (left > 0 && inputOffset < s.sizeBytes) {
+        SegmentFormat.Frame f = reader.readFrame(inputOffset);
         if (f == null) {
-          throw new StoreException(Reason.DAMAGED, s.name + ", offset " + at + ": no whole frame");
+          throw new StoreException(
+              Reason.DAMAGED, s.fileName + ", offset " + inputOffset + ": no whole frame");
         }
-        copy(s, f);
-        left -= f.end() - at;
-        at = f.end();
+        copyFrame(s, f);
+        left -= f.endOffset() - inputOffset;
+        inputOffset = f.endOffset();
       }
     }
     flush();
-    if (segment < run.size()) {
+    if (inputIndex < inputs.size()) {
       return true;
     }
     output.file.sync();
     return false;
   }
 
-  private void copy(Segment s, Frames.Frame f) throws DiskException, StoreException {
+  private void copyFrame(Segment s, SegmentFormat.Frame f)
+      throws StorageIoException, StoreException {
     int from = -1;
     int count = 0;
-    for (Stored r : f.records()) {
-      Slot slot = current.apply(r);
+    for (StoredRecord r : f.records()) {
+      RecordVersion slot = currentVersion.apply(r);
       if (slot == null) {
         continue;
       }
-      boolean gone = slot.absent(now);
-      if (gone && oldest && slot.prev == null) {
+      boolean gone = slot.isAbsent(nowMs);
+      if (gone && includesOldest && slot.previous == null) {
         dropped.add(r);
         continue;
       }
-      byte[] value = gone ? null : Frames.value(s.file, s.salt, r, s.name);
+      byte[] value = gone ? null : SegmentFormat.readValue(s.file, s.salt, r, s.fileName);
       if (from < 0) {
-        if (out.remaining() < Frames.FRAME + Batch.MOST) {
+        if (buffer.remaining() < SegmentFormat.FRAME_HEADER_BYTES + WriteBatch.MAX_BATCH_BYTES) {
           flush();
         }
-        from = Frames.open(out, f.seq(), f.time(), 0);
+        from = SegmentFormat.beginFrame(buffer, f.sequence(), f.timeMs(), 0);
       }
-      moved.put(
+      copied.put(
           slot,
-          Frames.record(
-              out,
+          SegmentFormat.writeRecord(
+              buffer,
               output.salt,
-              output.size + out.position(),
+              output.sizeBytes + buffer.position(),
               r.key(),
-              r.seq(),
+              r.sequence(),
               value,
-              gone ? 0 : r.expires()));
+              gone ? 0 : r.expiresAtMs()));
       count++;
     }
     if (from >= 0) {
-      Frames.close(out, from, output.salt, output.size + from, count);
+      SegmentFormat.endFrame(buffer, from, output.salt, output.sizeBytes + from, count);
     }
   }
 
-  private void flush() throws DiskException {
-    out.flip();
-    int length = out.limit();
-    output.file.write(out, output.size);
-    output.size += length;
-    out.clear();
+  private void flush() throws StorageIoException {
+    buffer.flip();
+    int length = buffer.limit();
+    output.file.write(buffer, output.sizeBytes);
+    output.sizeBytes += length;
+    buffer.clear();
   }
 }
--- a/src/main/java/edgenode/store/FileDisk.java
+++ b/src/main/java/edgenode/store/FileSystemDirectory.java
@@ -14,14 +14,14 @@
 import java.util.stream.Stream;
 
 /** A folder of the machine's, held by one process at a time. */
-final class FileDisk implements Disk {
-  private static final String LOCK = "LOCK";
+final class FileSystemDirectory implements StoreDirectory {
+  private static final String LOCK_FILE_NAME = "LOCK";
   private final Path folder;
   private final FileChannel lockFile;
   private final FileLock lock;
 
   /** Opens the folder; it is made where it is missing and its parent is there. */
-  FileDisk(Path folder) throws StoreException, DiskException {
+  FileSystemDirectory(Path folder) throws StoreException, StorageIoException {
     this.folder = folder;
     FileChannel channel = null;
     try {
@@ -33,50 +33,50 @@
       }
       channel =
           FileChannel.open(
-              folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+              folder.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       lock = channel.tryLock();
     } catch (OverlappingFileLockException e) {
-      throw locked(channel);
+      throw lockedException(channel);
     } catch (IOException e) {
-      throw failed(folder.toString(), e);
+      throw ioException(folder.toString(), e);
     }
     lockFile = channel;
     if (lock == null) {
-      throw locked(channel);
+      throw lockedException(channel);
     }
   }
 
-  private StoreException locked(FileChannel channel) throws DiskException {
+  private StoreException lockedException(FileChannel channel) throws StorageIoException {
     try {
       channel.close();
     } catch (IOException e) {
-      throw failed(LOCK, e);
+      throw ioException(LOCK_FILE_NAME, e);
     }
     return new StoreException(StoreException.Reason.LOCKED, folder + " is open in another process");
   }
 
-  private static DiskException failed(String name, IOException e) {
-    return new DiskException(
+  private static StorageIoException ioException(String name, IOException e) {
+    return new StorageIoException(
         name + ": " + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage()), e);
   }
 
   @Override
-  public List<String> names() throws DiskException {
+  public List<String> fileNames() throws StorageIoException {
     try (Stream<Path> all = Files.list(folder)) {
       return all.map(p -> p.getFileName().toString())
-          .filter(n -> !n.equals(LOCK))
+          .filter(n -> !n.equals(LOCK_FILE_NAME))
           .sorted()
           .toList();
     } catch (IOException | UncheckedIOException e) {
-      throw failed(
+      throw ioException(
           folder.toString(), e instanceof IOException io ? io : (IOException) e.getCause());
     }
   }
 
   @Override
-  public File open(String name, boolean fresh) throws DiskException {
+  public StoreFile open(String name, boolean fresh) throws StorageIoException {
     try {
-      return new Open(
+      return new OpenFile(
           name,
           fresh
               ? FileChannel.open(
@@ -88,34 +88,34 @@
               : FileChannel.open(
                   folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
     } catch (IOException e) {
-      throw failed(name, e);
+      throw ioException(name, e);
     }
   }
 
   @Override
-  public void rename(String from, String to) throws DiskException {
+  public void rename(String from, String to) throws StorageIoException {
     try {
       Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
-      throw failed(from, e);
+      throw ioException(from, e);
     }
   }
 
   @Override
-  public void delete(String name) throws DiskException {
+  public void delete(String name) throws StorageIoException {
     try {
       Files.delete(folder.resolve(name));
     } catch (IOException e) {
-      throw failed(name, e);
+      throw ioException(name, e);
     }
   }
 
   @Override
-  public void syncFolder() throws DiskException {
+  public void syncDirectory() throws StorageIoException {
     try (FileChannel entries = FileChannel.open(folder)) {
       entries.force(true);
     } catch (IOException e) {
-      throw failed(folder.toString(), e);
+      throw ioException(folder.toString(), e);
     }
   }
 
@@ -129,54 +129,54 @@
     }
   }
 
-  private record Open(String name, FileChannel channel) implements File {
+  private record OpenFile(String name, FileChannel channel) implements StoreFile {
     @Override
-    public void read(ByteBuffer into, long at) throws DiskException {
+    public void read(ByteBuffer into, long at) throws StorageIoException {
       try {
         long from = at;
         for (int n = 0; into.hasRemaining() && n >= 0; from += n) {
           n = channel.read(into, from);
         }
       } catch (IOException e) {
-        throw failed(name, e);
+        throw ioException(name, e);
       }
     }
 
     @Override
-    public void write(ByteBuffer from, long at) throws DiskException {
+    public void write(ByteBuffer from, long at) throws StorageIoException {
       try {
         for (long to = at; from.hasRemaining(); ) {
           to += channel.write(from, to);
         }
       } catch (IOException e) {
-        throw failed(name, e);
+        throw ioException(name, e);
       }
     }
 
     @Override
-    public void sync() throws DiskException {
+    public void sync() throws StorageIoException {
       try {
         channel.force(false); // with the size, which fdatasync writes too where reading needs it
       } catch (IOException e) {
-        throw failed(name, e);
+        throw ioException(name, e);
       }
     }
 
     @Override
-    public long size() throws DiskException {
+    public long size() throws StorageIoException {
       try {
         return channel.size();
       } catch (IOException e) {
-        throw failed(name, e);
+        throw ioException(name, e);
       }
     }
 
     @Override
-    public void truncate(long size) throws DiskException {
+    public void truncate(long size) throws StorageIoException {
       try {
         channel.truncate(size);
       } catch (IOException e) {
-        throw failed(name, e);
+        throw ioException(name, e);
       }
     }
 
--- a/src/main/java/edgenode/store/Manifest.java
+++ b/src/main/java/edgenode/store/Manifest.java
@@ -11,56 +11,64 @@
  * grows. Lines of text, the last of them their CRC32C. Replaced whole: written aside, synced,
  * renamed, the folder synced.
  */
-record Manifest(long next, List<long[]> segments) {
-  static final String NAME = "MANIFEST";
-  private static final String ASIDE = "MANIFEST.new";
-  private static final String FIRST = "nickelstand store ";
+record Manifest(long nextSegmentId, List<long[]> segments) {
+  static final String FILE_NAME = "MANIFEST";
+  private static final String TEMPORARY_FILE_NAME = "MANIFEST.new";
+  private static final String HEADER_PREFIX = "nickelstand store ";
 
   /** Some 40 bytes a segment. */
-  private static final int MOST = 16 << 20;
+  private static final int MAX_BYTES = 16 << 20;
 
-  private static String check(String text) {
+  private static String checksumLine(String text) {
     CRC32C crc = new CRC32C();
     crc.update(text.getBytes(StandardCharsets.UTF_8));
     return String.format("crc32c %08x%n", crc.getValue()).replace("\r", "");
   }
 
-  void write(Disk disk) throws Disk.DiskException {
-    StringBuilder text = new StringBuilder(FIRST + Frames.VERSION + "\nnext " + next + "\n");
+  void write(StoreDirectory disk) throws StoreDirectory.StorageIoException {
+    StringBuilder text =
+        new StringBuilder(
+            HEADER_PREFIX + SegmentFormat.FORMAT_VERSION + "\nnext " + nextSegmentId + "\n");
     segments.forEach(
         s -> text.append("segment ").append(s[0]).append(' ').append(s[1]).append('\n'));
-    text.append(check(text.toString()));
-    Disk.File file = disk.open(ASIDE, true);
+    text.append(checksumLine(text.toString()));
+    StoreDirectory.StoreFile file = disk.open(TEMPORARY_FILE_NAME, true);
     try {
       file.write(ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8)), 0);
       file.sync();
     } finally {
       file.close();
     }
-    disk.rename(ASIDE, NAME);
-    disk.syncFolder();
+    disk.rename(TEMPORARY_FILE_NAME, FILE_NAME);
+    disk.syncDirectory();
   }
 
-  static Manifest read(Disk disk) throws Disk.DiskException, StoreException {
-    Disk.File file = disk.open(NAME, false);
+  static Manifest read(StoreDirectory disk)
+      throws StoreDirectory.StorageIoException, StoreException {
+    StoreDirectory.StoreFile file = disk.open(FILE_NAME, false);
     String text;
     try {
-      ByteBuffer b = ByteBuffer.allocate((int) Math.min(MOST, file.size()));
+      ByteBuffer b = ByteBuffer.allocate((int) Math.min(MAX_BYTES, file.size()));
       file.read(b, 0);
       text = new String(b.array(), 0, b.position(), StandardCharsets.UTF_8);
     } finally {
       file.close();
     }
     int crc = text.lastIndexOf("crc32c ");
-    if (crc < 0 || !text.substring(crc).equals(check(text.substring(0, crc)))) {
-      throw new StoreException(StoreException.Reason.DAMAGED, NAME + ": its check does not fit");
+    if (crc < 0 || !text.substring(crc).equals(checksumLine(text.substring(0, crc)))) {
+      throw new StoreException(
+          StoreException.Reason.DAMAGED, FILE_NAME + ": its check does not fit");
     }
     String[] lines = text.substring(0, crc).split("\n");
-    int version = Integer.parseInt(lines[0].substring(FIRST.length()));
-    if (version > Frames.VERSION) {
+    int version = Integer.parseInt(lines[0].substring(HEADER_PREFIX.length()));
+    if (version > SegmentFormat.FORMAT_VERSION) {
       throw new StoreException(
           StoreException.Reason.NEWER,
-          NAME + " has format " + version + "; this program knows formats up to " + Frames.VERSION);
+          FILE_NAME
+              + " has format "
+              + version
+              + "; this program knows formats up to "
+              + SegmentFormat.FORMAT_VERSION);
     }
     List<long[]> segments = new ArrayList<>();
     for (int i = 2; i < lines.length; i++) {
--- a/src/main/java/edgenode/store/Segment.java
+++ b/src/main/java/edgenode/store/Segment.java
@@ -8,48 +8,48 @@
  */
 final class Segment {
   final long id;
-  final String name;
+  final String fileName;
   final long salt;
-  final Disk.File file;
+  final StoreDirectory.StoreFile file;
 
   /**
    * The writer's: bytes in all, of them those that the index points at, and of these those of
    * tombstones.
    */
-  long size;
+  long sizeBytes;
 
-  long live;
-  long tombstones;
-  boolean hinted;
-  private final AtomicInteger uses = new AtomicInteger(1);
+  long liveBytes;
+  long tombstoneBytes;
+  boolean isHintDone;
+  private final AtomicInteger references = new AtomicInteger(1);
 
-  Segment(long id, long salt, Disk.File file) {
+  Segment(long id, long salt, StoreDirectory.StoreFile file) {
     this.id = id;
     this.salt = salt;
     this.file = file;
-    name = name(id);
-    size = Frames.HEADER;
+    fileName = fileName(id);
+    sizeBytes = SegmentFormat.SEGMENT_HEADER_BYTES;
   }
 
-  static String name(long id) {
+  static String fileName(long id) {
     return String.format("%016x.seg", id);
   }
 
-  String hint() {
-    return hint(id);
+  String hintFileName() {
+    return hintFileName(id);
   }
 
-  static String hint(long id) {
+  static String hintFileName(long id) {
     return String.format("%016x.hint", id);
   }
 
   /** False once it has been taken away: what was sought has moved. */
-  boolean use() {
-    return uses.getAndUpdate(n -> n > 0 ? n + 1 : 0) > 0;
+  boolean tryRetain() {
+    return references.getAndUpdate(n -> n > 0 ? n + 1 : 0) > 0;
   }
 
-  void leave() {
-    if (uses.decrementAndGet() == 0) {
+  void release() {
+    if (references.decrementAndGet() == 0) {
       file.close();
     }
   }
@@ -58,21 +58,21 @@
    * What stays if this is compacted, with the frames that hold it; with no older segment tombstones
    * go too.
    */
-  long kept(boolean oldest) {
-    return live - (oldest ? tombstones : 0);
+  long bytesAfterCompaction(boolean oldest) {
+    return liveBytes - (oldest ? tombstoneBytes : 0);
   }
 
   /** A version that the index points at has come (1) or gone (-1). */
-  void count(Slot s, int sign) {
-    long bytes = s.place.stored().length() + Frames.FRAME;
-    live += sign * bytes;
-    tombstones += s.gone ? sign * bytes : 0;
+  void addVersion(RecordVersion s, int sign) {
+    long bytes = s.location.storedRecord().lengthBytes() + SegmentFormat.FRAME_HEADER_BYTES;
+    liveBytes += sign * bytes;
+    tombstoneBytes += s.isDeletedOrExpired ? sign * bytes : 0;
   }
 
   /** One of them has expired: it is as good as a tombstone from now on. */
-  void expired(Slot s) {
-    count(s, -1);
-    s.gone = true;
-    count(s, 1);
+  void markExpired(RecordVersion s) {
+    addVersion(s, -1);
+    s.isDeletedOrExpired = true;
+    addVersion(s, 1);
   }
 }
