--- a/src/main/java/edgenode/store/StoreCommand.java
+++ b/src/main/java/edgenode/store/StoreCommand.java
@@ -1,6 +1,6 @@
 package edgenode.store;
 
-import edgenode.store.Disk.DiskException;
+import edgenode.store.StoreDirectory.StorageIoException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.security.SecureRandom;
@@ -26,8 +26,8 @@
 public final class StoreCommand {
   @Spec private CommandSpec spec;
 
-  private interface Work {
-    int on(Disk disk) throws DiskException, StoreException;
+  private interface DirectoryTask {
+    int runOn(StoreDirectory disk) throws StorageIoException, StoreException;
   }
 
   /** Runs a command line without its first word; returns the exit code. */
@@ -43,34 +43,34 @@
     return spec.commandLine().getErr();
   }
 
-  private int with(Path folder, Work work) {
-    if (!folder.resolve(Manifest.NAME).toFile().exists()
-        && !folder.resolve(Segment.name(1)).toFile().exists()) {
+  private int withDirectory(Path folder, DirectoryTask work) {
+    if (!folder.resolve(Manifest.FILE_NAME).toFile().exists()
+        && !folder.resolve(Segment.fileName(1)).toFile().exists()) {
       err().println(folder + ": no store there");
       return 2;
     }
-    try (Disk disk = new FileDisk(folder)) {
-      return work.on(disk);
-    } catch (StoreException | DiskException e) {
+    try (StoreDirectory disk = new FileSystemDirectory(folder)) {
+      return work.runOn(disk);
+    } catch (StoreException | StorageIoException e) {
       err().println(e.getMessage());
       return 1;
     }
   }
 
-  private Salvage read(Disk disk) throws DiskException, StoreException {
-    Salvage s = Salvage.of(disk, name -> err().println("reading " + name));
-    s.lost.forEach(
+  private StoreScan scan(StoreDirectory disk) throws StorageIoException, StoreException {
+    StoreScan s = StoreScan.scan(disk, name -> err().println("reading " + name));
+    s.unreadableRanges.forEach(
         l ->
             err()
                 .println(
-                    l.file()
+                    l.fileName()
                         + ", bytes "
-                        + l.from()
+                        + l.startOffset()
                         + " to "
-                        + l.to()
+                        + l.endOffset()
                         + ": "
-                        + l.why()
-                        + (l.torn() ? " (a torn end: the next start cuts it off)" : "")));
+                        + l.reason()
+                        + (l.isTornTail() ? " (a torn end: the next start cuts it off)" : "")));
     return s;
   }
 
@@ -78,41 +78,41 @@
       name = "check",
       description = "Reads every byte and says what is damaged; changes nothing.")
   int check(@Parameters(paramLabel = "DIR") Path folder) {
-    return with(
+    return withDirectory(
         folder,
         disk -> {
-          Salvage s = read(disk);
-          for (Salvage.Found f : s.latest.values()) {
-            s.value(f);
+          StoreScan s = scan(disk);
+          for (StoreScan.ScannedRecord f : s.latestByKey.values()) {
+            s.readValue(f);
           }
           out()
               .println(
-                  (s.damaged() ? "damaged: " : "whole: ")
-                      + s.records
+                  (s.isDamaged() ? "damaged: " : "whole: ")
+                      + s.recordCount
                       + " records in "
-                      + s.frames
+                      + s.frameCount
                       + " batches");
-          return s.damaged() ? 1 : 0;
+          return s.isDamaged() ? 1 : 0;
         });
   }
 
   @Command(name = "stats", description = "Counts keys and bytes; changes nothing.")
   int stats(@Parameters(paramLabel = "DIR") Path folder) {
-    return with(
+    return withDirectory(
         folder,
         disk -> {
-          Salvage s = read(disk);
+          StoreScan s = scan(disk);
           long keys = 0;
           long live = 0;
-          for (Salvage.Found f : s.latest.values()) {
-            keys += f.stored().tombstone() ? 0 : 1;
-            live += f.stored().tombstone() ? 0 : f.stored().length();
+          for (StoreScan.ScannedRecord f : s.latestByKey.values()) {
+            keys += f.storedRecord().isTombstone() ? 0 : 1;
+            live += f.storedRecord().isTombstone() ? 0 : f.storedRecord().lengthBytes();
           }
           out()
               .printf(
                   "keys %d%ntombstones %d%nrecords %d%nbytes %d%nlive_bytes %d%n",
-                  keys, s.latest.size() - keys, s.records, s.bytes, live);
-          return s.damaged() ? 1 : 0;
+                  keys, s.latestByKey.size() - keys, s.recordCount, s.totalBytes, live);
+          return s.isDamaged() ? 1 : 0;
         });
   }
 
@@ -122,49 +122,49 @@
           "Writes the entries in order, a line each: namespace, key and value (base64),"
               + " version, when it expires (ms since 1970, 0 never). Changes nothing.")
   int dump(@Parameters(paramLabel = "DIR") Path folder) {
-    return with(
+    return withDirectory(
         folder,
         disk -> {
-          Salvage s = read(disk);
+          StoreScan s = scan(disk);
           Base64.Encoder base64 = Base64.getEncoder();
-          for (Map.Entry<Key, Salvage.Found> e : s.latest.entrySet()) {
-            if (!e.getValue().stored().tombstone()) {
+          for (Map.Entry<StoreKey, StoreScan.ScannedRecord> e : s.latestByKey.entrySet()) {
+            if (!e.getValue().storedRecord().isTombstone()) {
               out()
                   .println(
-                      e.getKey().space()
+                      e.getKey().namespace()
                           + " "
                           + base64.encodeToString(e.getKey().bytes())
                           + " "
-                          + base64.encodeToString(s.value(e.getValue()))
+                          + base64.encodeToString(s.readValue(e.getValue()))
                           + " "
-                          + e.getValue().stored().seq()
+                          + e.getValue().storedRecord().sequence()
                           + " "
-                          + e.getValue().stored().expires());
+                          + e.getValue().storedRecord().expiresAtMs());
             }
           }
-          return s.damaged() ? 1 : 0;
+          return s.isDamaged() ? 1 : 0;
         });
   }
 
   @Command(name = "compact", description = "Does all the compaction that gains anything.")
   int compact(@Parameters(paramLabel = "DIR") Path folder) {
-    return with(
+    return withDirectory(
         folder,
         disk -> {
-          try (Engine e =
-              new Engine(
+          try (StoreEngine e =
+              new StoreEngine(
                   disk,
-                  Engine.Limits.DEFAULT,
+                  StoreEngine.EngineOptions.DEFAULT,
                   System.currentTimeMillis(),
                   new SecureRandom()::nextLong)) {
-            long before = e.figures().bytes();
-            for (long told = 0; e.tidy(1 << 22, 0); ) {
+            long before = e.metrics().totalBytes();
+            for (long told = 0; e.runMaintenance(1 << 22, 0); ) {
               if (System.nanoTime() - told > 1_000_000_000L) {
                 told = System.nanoTime();
-                err().println(e.figures().bytes() + " bytes");
+                err().println(e.metrics().totalBytes() + " bytes");
               }
             }
-            out().println(before + " bytes before, " + e.figures().bytes() + " after");
+            out().println(before + " bytes before, " + e.metrics().totalBytes() + " after");
             return 0;
           }
         });
@@ -179,18 +179,22 @@
       err().println(into + " is there already");
       return 2;
     }
-    return with(
+    return withDirectory(
         folder,
         disk -> {
-          Salvage s = read(disk);
+          StoreScan s = scan(disk);
           int kept = 0;
-          try (Disk fresh = new FileDisk(into);
-              Engine e =
-                  new Engine(fresh, Engine.Limits.DEFAULT, s.time, new SecureRandom()::nextLong)) {
-            for (Map.Entry<Key, Salvage.Found> f : s.latest.entrySet()) {
+          try (StoreDirectory fresh = new FileSystemDirectory(into);
+              StoreEngine e =
+                  new StoreEngine(
+                      fresh,
+                      StoreEngine.EngineOptions.DEFAULT,
+                      s.latestTimeMs,
+                      new SecureRandom()::nextLong)) {
+            for (Map.Entry<StoreKey, StoreScan.ScannedRecord> f : s.latestByKey.entrySet()) {
               byte[] value;
               try {
-                value = s.value(f.getValue());
+                value = s.readValue(f.getValue());
               } catch (StoreException damaged) {
                 err().println(f.getKey() + ": " + damaged.getMessage());
                 continue;
@@ -198,13 +202,13 @@
               if (value != null) {
                 e.append(
                     List.of(
-                        new Batch()
+                        new WriteBatch()
                             .put(
-                                f.getKey().space(),
+                                f.getKey().namespace(),
                                 f.getKey().bytes(),
                                 value,
-                                f.getValue().stored().expires())),
-                    s.time);
+                                f.getValue().storedRecord().expiresAtMs())),
+                    s.latestTimeMs);
                 e.publish();
                 kept++;
               }
@@ -217,9 +221,9 @@
                       + " keys in "
                       + into
                       + ", "
-                      + s.lost.size()
+                      + s.unreadableRanges.size()
                       + " places lost"
-                      + (s.damaged()
+                      + (s.isDamaged()
                           ? "; a key may have had a later value there, or have been deleted"
                           : ""));
           return 0;
--- a/src/test/java/edgenode/ArchitectureTest.java
+++ b/src/test/java/edgenode/ArchitectureTest.java
@@ -25,12 +25,13 @@
               c.getPackageName().equals("edgenode.membership")
                   || c.getPackageName().equals("edgenode.policy.subset")
                   || c.getName()
-                      .matches("edgenode\\.emulator\\.(Capacity|Rack|Arrivals|Front)(\\$.*)?")
+                      .matches(
+                          "edgenode\\.emulator\\.(CapacityModel|IdempotencyGroupModel|ArrivalProcess|ClientLoadBalancer)(\\$.*)?")
                   || c.getPackageName().equals("edgenode.simulation.invariants")
                   || c.getPackageName().equals("edgenode.drain")
                   || c.getPackageName().equals("edgenode.ledger")
                   || c.getPackageName().equals("edgenode.idempotency")
-                  || c.getName().matches("edgenode\\.net\\.downstream\\.Places(\\$.*)?")
+                  || c.getName().matches("edgenode\\.net\\.downstream\\.EvictionOrder(\\$.*)?")
                   || c.getPackageName().equals("edgenode.policy"));
 
   /** What goes into the policy and what comes out of it. */
@@ -40,16 +41,18 @@
           + "|QuotaPlan|RequestClass|RuleLimits)(\\$.*)?";
 
   /**
-   * What decides in the store: it knows a disk by an interface, and time and chance as arguments.
+   * What decides in the store: all of it but the command, the front with its thread, and the real
+   * file system. It knows a directory by an interface, and time and chance as arguments.
    */
   private static final DescribedPredicate<JavaClass> STORE_CORE =
       DescribedPredicate.describe(
           "are the store's core",
           c ->
-              c.getName()
-                  .matches(
-                      "edgenode\\.store\\.(Engine|Frames|Segment|Slot|Key|Batch|Manifest|Hint|Compaction"
-                          + "|Salvage)(\\$.*)?"));
+              c.getPackageName().equals("edgenode.store")
+                  && !c.getName()
+                      .matches(
+                          "edgenode\\.store\\.(KeyValueStore|StoreCommand|FileSystemDirectory)"
+                              + "(\\$.*)?"));
 
   @ArchTest
   static final ArchRule THE_STORES_CORE_KNOWS_ONLY_A_DISK =
--- a/src/test/java/edgenode/benchmark/SlopesTest.java
+++ b/src/test/java/edgenode/benchmark/BenchmarkScalingTest.java
@@ -7,8 +7,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import edgenode.config.Config;
-import edgenode.net.discovery.MembersJson;
+import edgenode.config.NodeConfig;
+import edgenode.net.discovery.EndpointListJson;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -24,7 +24,7 @@
 
 /** The arithmetic of the slopes, and that the command measures what it says. No time is judged. */
 @Timeout(120)
-class SlopesTest {
+class BenchmarkScalingTest {
   private static final double EXACT = 1e-9;
   private static final int CPU = 1000;
 
@@ -147,18 +147,18 @@
   @Test
   void theListAndTheConfigurationAreInTheirRealForms() throws IOException {
     byte[] list = Cores.list(300, 7, true).getBytes(StandardCharsets.US_ASCII);
-    MembersJson read =
-        MembersJson.read(
+    EndpointListJson read =
+        EndpointListJson.parse(
             list,
             list.length,
             bad -> {
               throw new AssertionError(bad);
             });
-    assertEquals(300, read.entries().size());
-    assertEquals(7, read.seq());
-    assertTrue(read.whole());
-    Config config =
-        Config.again(Wires.configuration(50).getBytes(StandardCharsets.UTF_8), Map.of());
+    assertEquals(300, read.endpoints().size());
+    assertEquals(7, read.version());
+    assertTrue(read.isComplete());
+    NodeConfig config =
+        NodeConfig.reload(Wires.configuration(50).getBytes(StandardCharsets.UTF_8), Map.of());
     assertEquals(50, config.settings().plans().size());
     assertEquals(5500, config.settings().nodeCount());
   }
@@ -199,7 +199,7 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 "edgenode.Main",
-                "slopes",
+                "benchmark-scaling",
                 "--only",
                 "decide,forms",
                 "--servers",
--- a/src/test/java/edgenode/benchmark/ChangeCost.java
+++ b/src/test/java/edgenode/benchmark/ChangeCost.java
@@ -1,8 +1,8 @@
 package edgenode.benchmark;
 
-import edgenode.membership.Entry;
-import edgenode.membership.Limits;
+import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.Membership;
+import edgenode.membership.MembershipLimits;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import java.util.ArrayList;
@@ -20,21 +20,21 @@
 
   private ChangeCost() {}
 
-  private static Entry entry(int i, EndpointState state) {
-    return new Entry(
+  private static DiscoveredEndpoint entry(int i, EndpointState state) {
+    return new DiscoveredEndpoint(
         new EndpointInfo("s" + i, 0, "z", state, "m", 0, 1), "127.0.0.1:" + (1000 + i));
   }
 
   public static void main(String[] args) {
     for (int n : new int[] {10, 1000, 10_000}) {
-      Membership core = new Membership(Limits.defaults(18_000), "a");
-      List<Entry> all = new ArrayList<>();
+      Membership core = new Membership(MembershipLimits.defaults(18_000), "a");
+      List<DiscoveredEndpoint> all = new ArrayList<>();
       for (int i = 0; i < n; i++) {
         all.add(entry(i, EndpointState.UP));
       }
       double now = 1e6;
       long seq = 1;
-      core.told(now, "a", seq, true, all);
+      core.endpointsReceived(now, "a", seq, true, all);
       List<Double> one = new ArrayList<>();
       List<Double> whole = new ArrayList<>();
       int turns = Math.max(20, 200_000 / n);
@@ -44,21 +44,21 @@
         for (int k = 0; k < 2000; k++) {
           now += 200;
           told +=
-              core.told(
+              core.endpointsReceived(
                       now,
                       "a",
                       ++seq,
                       false,
                       List.of(
                           entry(k % n, k / n % 2 == 0 ? EndpointState.DRAINING : EndpointState.UP)))
-                  .entries()
+                  .endpoints()
                   .size();
         }
         long t1 = System.nanoTime();
         for (int k = 0; k < turns; k++) {
           now += 200;
           all.set(k % n, entry(k % n, k % 2 == 0 ? EndpointState.DRAINING : EndpointState.UP));
-          told += core.told(now, "a", ++seq, true, all).entries().size();
+          told += core.endpointsReceived(now, "a", ++seq, true, all).endpoints().size();
         }
         long t2 = System.nanoTime();
         if (r >= 5) {
--- a/src/test/java/edgenode/benchmark/IdleCost.java
+++ b/src/test/java/edgenode/benchmark/IdleCost.java
@@ -1,7 +1,7 @@
 package edgenode.benchmark;
 
-import edgenode.emulator.Agent;
-import edgenode.emulator.AppServer;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.emulator.ThreadedAppServerEmulator;
 import java.io.File;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -41,14 +41,14 @@
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
-    try (Agent agent = new Agent(0);
-        AppServer app = new AppServer(at -> {})) {
+    try (DiscoveryAgentEmulator agent = new DiscoveryAgentEmulator(0);
+        ThreadedAppServerEmulator app = new ThreadedAppServerEmulator(at -> {})) {
       for (int i = 0; i < servers; i++) {
         // nobody listens at the others: only the list is of interest, so they drain
         agent.set(
             i == 0 && load > 0
-                ? new Agent.Host("s0", app.address(), "active", 0)
-                : new Agent.Host("s" + i, "127.0.0.1:1", "leaving", 0));
+                ? new DiscoveryAgentEmulator.Host("s0", app.address(), "active", 0)
+                : new DiscoveryAgentEmulator.Host("s" + i, "127.0.0.1:1", "leaving", 0));
       }
       Files.writeString(
           config,
@@ -93,7 +93,7 @@
           long until = System.nanoTime() + 1_000_000_000L;
           for (int c = 0; c < changes; c++) {
             agent.set(
-                new Agent.Host(
+                new DiscoveryAgentEmulator.Host(
                     "s" + (c * 31 + s) % servers, "127.0.0.1:1", "leaving", s * 1000 + c));
             TimeUnit.NANOSECONDS.sleep((long) (1e9 / changes * 0.9));
           }
--- a/src/test/java/edgenode/benchmark/LedgerCost.java
+++ b/src/test/java/edgenode/benchmark/LedgerCost.java
@@ -1,6 +1,6 @@
 package edgenode.benchmark;
 
-import edgenode.ledger.Ledger;
+import edgenode.ledger.RequestLedger;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -26,7 +26,7 @@
 
   public static void main(String[] args) {
     for (int campuses : new int[] {0, 100, 1000, 10_000}) {
-      Ledger ledger = new Ledger(List.of("seat-lookup", "enrol"), campuses);
+      RequestLedger ledger = new RequestLedger(List.of("seat-lookup", "enrol"), campuses);
       String[] names =
           new String[Math.max(1, campuses + campuses / 5)]; // a fifth more than there is room for
       for (int i = 0; i < names.length; i++) {
@@ -34,7 +34,7 @@
       }
       long before = used();
       for (int i = 0; i < campuses; i++) {
-        ledger.row("enrol", names[i]);
+        ledger.countersFor("enrol", names[i]);
       }
       if (campuses > 0) {
         System.out.printf(
@@ -46,16 +46,16 @@
       for (int r = 0; r < ROUNDS + WARM; r++) {
         long t0 = System.nanoTime();
         for (int k = 0; k < TURNS; k++) {
-          Ledger.Row row =
-              ledger.row(
+          RequestLedger.ClassCounters row =
+              ledger.countersFor(
                   k % 3 == 0 ? "enrol" : "seat-lookup",
                   names[(int) (k * 2_654_435_761L % names.length)]);
-          row.taken();
-          row.attempt();
-          row.ended(Ledger.End.SERVED);
+          row.requestAccepted();
+          row.attemptSent();
+          row.requestEnded(RequestLedger.RequestOutcome.SERVED);
         }
         long t1 = System.nanoTime();
-        wrong += ledger.check(0, 0).size() + ledger.checkCampuses().size();
+        wrong += ledger.audit(0, 0).size() + ledger.auditCustomers().size();
         long t2 = System.nanoTime();
         if (r >= WARM) {
           requests.add((t1 - t0) / (double) TURNS);
--- a/src/test/java/edgenode/benchmark/RepeatCost.java
+++ b/src/test/java/edgenode/benchmark/RepeatCost.java
@@ -2,8 +2,8 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import edgenode.idempotency.Bounds;
-import edgenode.idempotency.Repeats;
+import edgenode.idempotency.IdempotencyIndex;
+import edgenode.idempotency.IdempotencyLimits;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -66,10 +66,11 @@
     byte[] answer = new byte[ANSWER];
     for (int n : new int[] {10_000, 100_000, 1_000_000}) {
       long before = used();
-      Repeats<byte[]> repeats = new Repeats<>(new Bounds(n, 1L << 30, 1e12, 8, false));
+      IdempotencyIndex<byte[]> repeats =
+          new IdempotencyIndex<>(new IdempotencyLimits(n, 1L << 30, 1e12, 8, false));
       for (long id = 1; id <= n; id++) {
-        repeats.arrived(0, -id, key(-id), 1);
-        repeats.ended(0, -id, answer, ANSWER, true);
+        repeats.register(0, -id, key(-id), 1);
+        repeats.complete(0, -id, answer, ANSWER, true);
       }
       System.out.printf(
           Locale.ROOT,
@@ -79,10 +80,10 @@
       round(
           n + " entries, full, first requests and one repeat in " + REPEATED,
           id -> {
-            repeats.arrived(id, id, key(id), 1);
-            repeats.ended(id, id, answer, ANSWER, true);
+            repeats.register(id, id, key(id), 1);
+            repeats.complete(id, id, answer, ANSWER, true);
             if (id % REPEATED == 0) {
-              repeats.arrived(id, id, key(id - 1), 1);
+              repeats.register(id, id, key(id - 1), 1);
             }
           });
       Cache<String, byte[]> cache =
--- a/src/test/java/edgenode/benchmark/StartCost.java
+++ b/src/test/java/edgenode/benchmark/StartCost.java
@@ -1,7 +1,7 @@
 package edgenode.benchmark;
 
-import edgenode.emulator.Agent;
-import edgenode.emulator.AppServer;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.emulator.ThreadedAppServerEmulator;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -45,10 +45,10 @@
   public static void main(String[] args) throws Exception {
     int starts = Integer.parseInt(args[0]);
     Map<String, List<double[]>> parts = new LinkedHashMap<>();
-    try (Agent agent = new Agent(0);
-        AppServer app = new AppServer(at -> {})) {
+    try (DiscoveryAgentEmulator agent = new DiscoveryAgentEmulator(0);
+        ThreadedAppServerEmulator app = new ThreadedAppServerEmulator(at -> {})) {
       for (int i = 0; i < SERVERS; i++) {
-        agent.set(new Agent.Host("s" + i, app.address(), "active", 0));
+        agent.set(new DiscoveryAgentEmulator.Host("s" + i, app.address(), "active", 0));
       }
       for (int i = 0; i < starts; i++) {
         start(agent, Integer.parseInt(args[1]), parts);
@@ -73,7 +73,8 @@
         sorted.get(last));
   }
 
-  private static void start(Agent agent, int clients, Map<String, List<double[]>> parts)
+  private static void start(
+      DiscoveryAgentEmulator agent, int clients, Map<String, List<double[]>> parts)
       throws Exception {
     Path config = Files.createTempFile("start", ".json");
     int port;
--- a/src/test/java/edgenode/benchmark/StoreCost.java
+++ b/src/test/java/edgenode/benchmark/StoreCost.java
@@ -1,7 +1,7 @@
 package edgenode.benchmark;
 
-import edgenode.store.Batch;
-import edgenode.store.Store;
+import edgenode.store.KeyValueStore;
+import edgenode.store.WriteBatch;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -29,7 +29,8 @@
 final class StoreCost {
   private static final int ROUNDS = 5;
   private static final int MILLION = 1_000_000;
-  private static final Store.Options OPTIONS = new Store.Options(16 << 20, 100_000, 100, 1L << 30);
+  private static final KeyValueStore.Options OPTIONS =
+      new KeyValueStore.Options(16 << 20, 100_000, 100, 1L << 30);
   private static final Random RANDOM = new Random(1);
 
   private StoreCost() {}
@@ -79,7 +80,8 @@
   }
 
   /** So many writers, each with one write under way at a time. */
-  private static Object writers(Store store, int writers, int each, byte[] value) throws Exception {
+  private static Object writers(KeyValueStore store, int writers, int each, byte[] value)
+      throws Exception {
     List<CompletableFuture<?>> all = new ArrayList<>();
     for (int w = 0; w < writers; w++) {
       CompletableFuture<Void> done = new CompletableFuture<>();
@@ -91,25 +93,28 @@
   }
 
   private static void next(
-      Store store, int id, int left, byte[] value, CompletableFuture<Void> done) {
+      KeyValueStore store, int id, int left, byte[] value, CompletableFuture<Void> done) {
     if (left == 0) {
       done.complete(null);
       return;
     }
     try {
       store
-          .write(new Batch().put("b", key(id), value), Store.Durability.SYNC)
-          .done()
+          .write(new WriteBatch().put("b", key(id), value), KeyValueStore.Durability.SYNC)
+          .completed()
           .thenAccept(v -> next(store, id + 1, left - 1, value, done));
     } catch (edgenode.store.StoreException e) {
       done.completeExceptionally(e);
     }
   }
 
-  private static Object async(Store store, int n, byte[] value) throws Exception {
+  private static Object async(KeyValueStore store, int n, byte[] value) throws Exception {
     CompletableFuture<Long> last = null;
     for (int i = 0; i < n; i++) {
-      last = store.write(new Batch().put("b", key(i), value), Store.Durability.ASYNC).done();
+      last =
+          store
+              .write(new WriteBatch().put("b", key(i), value), KeyValueStore.Durability.ASYNC)
+              .completed();
       if (i % 1000 == 999) {
         last.join(); // at most so many wait
       }
@@ -140,7 +145,7 @@
           "bare append, a sync for 64 writes",
           200 * 64,
           () -> appends(dir.resolve("bare"), 200, 64 * record));
-      try (Store store = Store.open(dir.resolve("s" + size), OPTIONS)) {
+      try (KeyValueStore store = KeyValueStore.open(dir.resolve("s" + size), OPTIONS)) {
         rounds("SYNC, 1 writer", 200, () -> writers(store, 1, 200, value));
         rounds("SYNC, 64 writers", 200 * 64, () -> writers(store, 64, 200, value));
         rounds("ASYNC", 100_000, () -> async(store, 100_000, value));
@@ -173,7 +178,7 @@
             100_000,
             () -> {
               int[] n = new int[1];
-              try (Store.Snapshot s = store.snapshot()) {
+              try (KeyValueStore.Snapshot s = store.snapshot()) {
                 s.scan("b", new byte[0], null, e -> ++n[0] < 100_000);
               }
               return n[0];
@@ -182,7 +187,7 @@
     }
     Path many = dir.resolve("many");
     long before = used();
-    try (Store store = Store.open(many, OPTIONS)) {
+    try (KeyValueStore store = KeyValueStore.open(many, OPTIONS)) {
       async(store, MILLION, new byte[100]);
       System.out.printf("memory of a million keys: %d bytes each%n", (used() - before) / MILLION);
       async(store, MILLION, new byte[100]);
@@ -200,7 +205,7 @@
         "starts with hints, a million keys",
         1,
         () -> {
-          Store.open(many, OPTIONS).close();
+          KeyValueStore.open(many, OPTIONS).close();
           return null;
         });
     rounds(
@@ -212,7 +217,7 @@
               Files.delete(p);
             }
           }
-          Store.open(many, OPTIONS).close();
+          KeyValueStore.open(many, OPTIONS).close();
           return null;
         });
   }
--- a/src/test/java/edgenode/config/ConfigFileTest.java
+++ b/src/test/java/edgenode/config/ConfigFileWatcherTest.java
@@ -22,14 +22,14 @@
 /**
  * The file of the configuration as writers leave it; the looks are made by hand, so no test waits.
  */
-class ConfigFileTest {
+class ConfigFileWatcherTest {
   @TempDir Path folder;
   private Path path;
-  private final BlockingQueue<Config> taken = new LinkedBlockingQueue<>();
+  private final BlockingQueue<NodeConfig> loaded = new LinkedBlockingQueue<>();
   private final List<String> log = new ArrayList<>();
-  private ConfigFile file;
+  private ConfigFileWatcher watcher;
 
-  private static String text(int port) {
+  private static String configWithDiscoveryPort(int port) {
     return """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d",
              "settings":{"rank":0,"group_size":4,
@@ -39,60 +39,62 @@
   }
 
   @BeforeEach
-  void file() throws IOException {
-    path = Files.writeString(folder.resolve("config.json"), text(1001));
-    file = new ConfigFile(Map.of("EDGE_CONFIG", path.toString()), taken::add, log::add);
-    looks(2);
-    expect(1001);
+  void watcher() throws IOException {
+    path = Files.writeString(folder.resolve("config.json"), configWithDiscoveryPort(1001));
+    watcher = new ConfigFileWatcher(Map.of("EDGE_CONFIG", path.toString()), loaded::add, log::add);
+    poll(2);
+    assertLoadedWithPort(1001);
   }
 
-  private void looks(int times) {
+  private void poll(int times) {
     for (int i = 0; i < times; i++) {
-      file.look();
+      watcher.poll();
     }
   }
 
-  private void expect(int port) {
-    Config told = taken.poll();
-    assertEquals(port, told == null ? 0 : told.discovery().getPort());
+  private void assertLoadedWithPort(int port) {
+    NodeConfig config = loaded.poll();
+    assertEquals(port, config == null ? 0 : config.discoveryAddress().getPort());
   }
 
-  private void nothing() {
-    assertEquals(0, taken.size());
+  private void assertNothingLoaded() {
+    assertEquals(0, loaded.size());
   }
 
   @Test
-  void whatDoesNotChangeIsTakenOnce() {
-    looks(5);
-    nothing();
+  void anUnchangedFileIsLoadedOnce() {
+    poll(5);
+    assertNothingLoaded();
   }
 
   @Test
-  void aFileMovedIntoItsPlaceIsTakenByItsContent() throws IOException {
+  void aFileReplacedByRenameIsLoadedByItsContent() throws IOException {
     FileTime before = Files.getLastModifiedTime(path);
-    Path other = Files.writeString(folder.resolve("other"), text(1002)); // of the same size, too
+    Path other =
+        Files.writeString(
+            folder.resolve("other"), configWithDiscoveryPort(1002)); // of the same size, too
     Files.setLastModifiedTime(other, before);
     Files.move(other, path, StandardCopyOption.ATOMIC_MOVE);
-    looks(2);
-    expect(1002);
-    Files.writeString(path, text(1003)); // in place
+    poll(2);
+    assertLoadedWithPort(1002);
+    Files.writeString(path, configWithDiscoveryPort(1003)); // in place
     Files.setLastModifiedTime(path, before);
-    looks(2);
-    expect(1003);
+    poll(2);
+    assertLoadedWithPort(1003);
   }
 
   /** A writer in place is seen at every length that the file has meanwhile, none of them twice. */
   @Test
-  void aFileInTheMakingIsNotTaken() throws IOException {
-    byte[] whole = text(1002).getBytes(StandardCharsets.US_ASCII);
+  void aPartlyWrittenFileIsNotLoaded() throws IOException {
+    byte[] whole = configWithDiscoveryPort(1002).getBytes(StandardCharsets.US_ASCII);
     for (int n = 0; n < whole.length; n++) {
       Files.write(path, java.util.Arrays.copyOf(whole, n));
-      looks(1);
+      poll(1);
     }
-    nothing();
+    assertNothingLoaded();
     Files.write(path, whole);
-    looks(2);
-    expect(1002);
+    poll(2);
+    assertLoadedWithPort(1002);
     assertEquals(List.of(), log);
   }
 
@@ -102,18 +104,18 @@
    */
   @Test
   void halfAFileChangesNothingAtEveryLength() throws IOException {
-    byte[] whole = text(1002).getBytes(StandardCharsets.US_ASCII);
+    byte[] whole = configWithDiscoveryPort(1002).getBytes(StandardCharsets.US_ASCII);
     for (int n = 0; n < whole.length; n++) {
       Files.write(path, java.util.Arrays.copyOf(whole, n));
       log.clear();
-      looks(3);
-      nothing();
+      poll(3);
+      assertNothingLoaded();
       assertEquals(1, log.size(), "at " + n + ": " + log);
       assertTrue(log.get(0).startsWith("configuration: not taken"), log.get(0));
     }
     Files.write(path, whole);
-    looks(2);
-    expect(1002);
+    poll(2);
+    assertLoadedWithPort(1002);
   }
 
   /**
@@ -122,37 +124,38 @@
    */
   @Test
   void aMixOfOldAndNewIsNotTakenWhileItChanges() throws IOException {
-    String mixed = text(1002).replace("\"rank\":0", "\"rank\":1");
-    Files.writeString(path, text(1002));
-    looks(1);
+    String mixed = configWithDiscoveryPort(1002).replace("\"rank\":0", "\"rank\":1");
+    Files.writeString(path, configWithDiscoveryPort(1002));
+    poll(1);
     Files.writeString(path, mixed);
-    looks(1);
-    nothing();
-    looks(1);
-    expect(1002);
+    poll(1);
+    assertNothingLoaded();
+    poll(1);
+    assertLoadedWithPort(1002);
   }
 
   @Test
   void aFileThatIsMissingChangesNothingAndIsToldOnce() throws IOException {
     Files.delete(path);
-    looks(3);
+    poll(3);
     assertEquals(List.of(), log); // a moment is no news
-    looks(50);
+    poll(50);
     assertEquals(1, log.size());
-    nothing();
-    Files.writeString(path, text(1001));
-    looks(2);
-    nothing(); // back as it was
-    Files.writeString(path, text(1002));
-    looks(2);
-    expect(1002);
+    assertNothingLoaded();
+    Files.writeString(path, configWithDiscoveryPort(1001));
+    poll(2);
+    assertNothingLoaded(); // back as it was
+    Files.writeString(path, configWithDiscoveryPort(1002));
+    poll(2);
+    assertLoadedWithPort(1002);
   }
 
   @Test
-  void aBadSettingIsNamed() throws IOException {
-    Files.writeString(path, text(1002).replace("\"aim\":600", "\"aim\":\"soon\""));
-    file.read();
-    nothing();
+  void anInvalidSettingIsNamed() throws IOException {
+    Files.writeString(
+        path, configWithDiscoveryPort(1002).replace("\"aim\":600", "\"aim\":\"soon\""));
+    watcher.reload();
+    assertNothingLoaded();
     assertEquals(
         List.of(
             "configuration: not taken, what was read before stays: request_classes.0.aim: "
@@ -161,32 +164,32 @@
   }
 
   @Test
-  void aFolderInItsPlaceIsNoConfiguration() throws IOException {
+  void aFolderInPlaceOfTheFileIsNotLoaded() throws IOException {
     Files.delete(path);
     Files.createDirectory(path);
-    file.read();
-    nothing();
+    watcher.reload();
+    assertNothingLoaded();
     assertEquals(1, log.size());
   }
 
   /** The thread of its own: whoever replaces the file needs no signal. */
   @Test
-  void theWatchTakesAReplacedFile() throws Exception {
-    file.watch();
-    Files.writeString(path, text(1002));
-    Config told = taken.poll(10, TimeUnit.SECONDS);
-    file.stop();
-    assertEquals(1002, told == null ? 0 : told.discovery().getPort());
+  void theWatchThreadLoadsAReplacedFile() throws Exception {
+    watcher.watch();
+    Files.writeString(path, configWithDiscoveryPort(1002));
+    NodeConfig config = loaded.poll(10, TimeUnit.SECONDS);
+    watcher.stop();
+    assertEquals(1002, config == null ? 0 : config.discoveryAddress().getPort());
   }
 
   /** Trouble that does not end must not have the file read for ever at the same pace. */
   @Test
-  void suspicionReadsOnceAndThenMoreRarely() throws Exception {
-    Files.writeString(path, text(1002));
-    file.suspect();
-    assertEquals(1002, taken.poll(10, TimeUnit.SECONDS).discovery().getPort());
-    Files.writeString(path, text(1003));
-    file.suspect(); // too soon: no read
-    assertEquals(null, taken.poll(100, TimeUnit.MILLISECONDS));
+  void reloadsAfterFaultsBackOff() throws Exception {
+    Files.writeString(path, configWithDiscoveryPort(1002));
+    watcher.reloadAfterFault();
+    assertEquals(1002, loaded.poll(10, TimeUnit.SECONDS).discoveryAddress().getPort());
+    Files.writeString(path, configWithDiscoveryPort(1003));
+    watcher.reloadAfterFault(); // too soon: no read
+    assertEquals(null, loaded.poll(100, TimeUnit.MILLISECONDS));
   }
 }
--- a/src/test/java/edgenode/config/EdgeSettingsTest.java
+++ b/src/test/java/edgenode/config/OperatorSettingsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import edgenode.idempotency.Bounds;
-import edgenode.membership.Limits;
+import edgenode.idempotency.IdempotencyLimits;
+import edgenode.membership.MembershipLimits;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,55 +17,59 @@
  * The operators' settings: all faults together, each with file, line, key, what was found and what
  * is allowed.
  */
-class EdgeSettingsTest {
+class OperatorSettingsTest {
   @TempDir Path folder;
 
-  private static EdgeSettings read(String text) throws EdgeSettings.Refused {
-    return EdgeSettings.of(new TomlReader("f.toml", text), 18_000);
+  private static OperatorSettings read(String text)
+      throws OperatorSettings.InvalidSettingsException {
+    return OperatorSettings.parse(new TomlReader("f.toml", text), 18_000);
   }
 
-  private static List<String> refused(String text) {
-    return assertThrows(EdgeSettings.Refused.class, () -> read(text)).faults();
+  private static List<String> faultsOf(String text) {
+    return assertThrows(OperatorSettings.InvalidSettingsException.class, () -> read(text)).faults();
   }
 
   @Test
-  void nothingIsTheDefaults() throws Exception {
-    EdgeSettings none = read("");
-    assertEquals(Limits.defaults(18_000), none.limits());
+  void anEmptyFileGivesTheDefaults() throws Exception {
+    OperatorSettings none = read("");
+    assertEquals(MembershipLimits.defaults(18_000), none.membershipLimits());
     assertEquals(List.of("agent"), none.sources());
-    assertNull(none.repeats());
-    assertEquals(0, none.campuses());
-    assertEquals(256, none.subset());
-    assertEquals(64, read("subset.servers = 64").subset());
+    assertNull(none.idempotencyBounds());
+    assertEquals(0, none.trackedCustomers());
+    assertEquals(256, none.subsetMinEndpoints());
+    assertEquals(64, read("subset.servers = 64").subsetMinEndpoints());
   }
 
   /** The documented sample is good as it is, and with every key on. */
   @Test
-  void theSampleIsGood() throws Exception {
+  void theSampleFileIsValid() throws Exception {
     String sample = Files.readString(Path.of("deploy/edge.toml"));
-    assertEquals(read("").limits(), read(sample).limits());
-    String on =
+    assertEquals(read("").membershipLimits(), read(sample).membershipLimits());
+    String enabled =
         sample
             .replaceAll("(?m)^# ([a-z_]+ = )", "$1")
             .replace(
                 "/run/secrets/consul-token",
                 Files.writeString(folder.resolve("token"), "t").toString())
             .replaceAll("/var/lib/", folder + "/");
-    String kept = on.replace("enabled = false", "enabled = true");
-    assertEquals(folder.resolve("nickelstand"), read(kept).store());
-    on = on.replaceAll("(?m)^folder = .*", ""); // it is for what is off here
-    EdgeSettings all = read(on);
-    assertEquals(Limits.defaults(18_000), all.limits());
-    assertEquals(new EdgeSettings.Eds("127.0.0.1:18000", "enrol", "nickelstand", 500), all.eds());
+    String withIdempotency = enabled.replace("enabled = false", "enabled = true");
+    assertEquals(folder.resolve("nickelstand"), read(withIdempotency).storeFolder());
+    enabled = enabled.replaceAll("(?m)^folder = .*", ""); // it is for what is off here
+    OperatorSettings all = read(enabled);
+    assertEquals(MembershipLimits.defaults(18_000), all.membershipLimits());
     assertEquals(
-        new EdgeSettings.DnsSrv("_resp._tcp.enrol.example", List.of("127.0.0.1:53"), 1000, 30_000),
+        new OperatorSettings.EdsSettings("127.0.0.1:18000", "enrol", "nickelstand", 500),
+        all.eds());
+    assertEquals(
+        new OperatorSettings.DnsSrvSettings(
+            "_resp._tcp.enrol.example", List.of("127.0.0.1:53"), 1000, 30_000),
         all.dnsSrv());
-    assertNull(all.repeats()); // the sample has all off
-    assertEquals(Bounds.DEFAULT, read(kept).repeats());
+    assertNull(all.idempotencyBounds()); // the sample has all off
+    assertEquals(IdempotencyLimits.DEFAULT, read(withIdempotency).idempotencyBounds());
   }
 
   @Test
-  void whatIsWrongWithTheStoreOfRepeatsIsTold() {
+  void invalidIdempotencySettingsAreReported() {
     assertEquals(
         List.of(
             "f.toml:2: repeats.enabled: found 'yes', allowed is true or false",
@@ -73,7 +77,7 @@
             "f.toml:4: repeats.when_full: found 'drop', allowed is one of forget, refuse",
             "f.toml:6: figures.campuses: found -1, allowed is a whole number from 0 to 10000",
             "f.toml:8: subset.servers: found 63, allowed is a whole number from 64 to 1000000"),
-        refused(
+        faultsOf(
             """
                 [repeats]
                 enabled = "yes"
@@ -87,7 +91,7 @@
   }
 
   @Test
-  void allFaultsAreToldTogetherEachWithItsPlace() {
+  void allFaultsAreReportedTogetherEachWithItsPosition() {
     assertEquals(
         List.of(
             "f.toml:2: membership.sources: found 'zookeeper', allowed is a list of agent, consul, eds, dns_srv",
@@ -96,7 +100,7 @@
             "f.toml:5: membership.shrink_share: found 1.5, allowed is a number from 0 to 1",
             "f.toml:7: membership.eds.address: found 'localhost:80', allowed is address:port, numeric",
             "f.toml:8: membership.eds.refresh_mss: unknown key, 'membership.eds.refresh_ms' perhaps"),
-        refused(
+        faultsOf(
             """
                 [membership]
                 sources = ["agent", "zookeeper"]
@@ -110,7 +114,7 @@
   }
 
   @Test
-  void settingsThatContradictEachOtherAreRefused() {
+  void contradictorySettingsAreRejected() {
     assertEquals(
         List.of(
             "f.toml:4: membership.up_after_most_ms: is less than membership.up_after_ms, 500",
@@ -118,7 +122,7 @@
             "f.toml:2: membership.sources: names 'consul', and membership.consul.service is not set",
             "f.toml:2: membership.sources: names 'dns_srv', and membership.dns_srv.name is not set",
             "f.toml:2: membership.sources: names 'dns_srv', and membership.dns_srv.servers is not set"),
-        refused(
+        faultsOf(
             """
                 [membership]
                 sources = ["consul", "dns_srv"]
@@ -128,22 +132,22 @@
                 """));
     assertEquals(
         List.of("f.toml:1: membership.sources: names a source twice"),
-        refused("membership.sources = [\"agent\", \"agent\"]"));
+        faultsOf("membership.sources = [\"agent\", \"agent\"]"));
   }
 
   @Test
-  void whatIsNoTomlIsRefusedWithItsLine() {
-    assertEquals("f.toml:2", refused("[membership]\nfail_over_ms = = 3\n").get(0).substring(0, 8));
+  void invalidTomlIsRejectedWithItsLine() {
+    assertEquals("f.toml:2", faultsOf("[membership]\nfail_over_ms = = 3\n").get(0).substring(0, 8));
     assertEquals(
-        List.of("f.toml:1: membership: found 3, allowed is a table"), refused("membership = 3"));
+        List.of("f.toml:1: membership: found 3, allowed is a table"), faultsOf("membership = 3"));
   }
 
   @Test
-  void aSecretsFileMustBeThere() {
+  void aMissingSecretFileIsReported() {
     assertEquals(
         List.of(
             "f.toml:3: membership.consul.token_file: '/nowhere/token' is no file that can be read"),
-        refused(
+        faultsOf(
             """
             [membership.consul]
             service = "enrol"
@@ -152,7 +156,7 @@
   }
 
   @Test
-  void aFileThatIsMissingIsAnError() {
-    assertThrows(IOException.class, () -> EdgeSettings.read(folder.resolve("none"), 0));
+  void aMissingSettingsFileIsAnIoError() {
+    assertThrows(IOException.class, () -> OperatorSettings.read(folder.resolve("none"), 0));
   }
 }
--- a/src/test/java/edgenode/drain/DrainProperties.java
+++ b/src/test/java/edgenode/drain/DrainControllerProperties.java
@@ -12,27 +12,27 @@
  * Calls in any order, against the plain reading: the last word counts, and time runs from the first
  * no.
  */
-class DrainProperties {
+class DrainControllerProperties {
   @Property(tries = 300, seed = "1")
   void theLastWordCountsAndStepsComeInTheirOrder(@ForAll long seed) {
     Random random = new Random(seed);
-    Drain drain = new Drain();
+    DrainController drain = new DrainController();
     double now = 1000;
     Double no = null;
     boolean ending = false;
     for (int i = 0; i < 60; i++) {
       switch (random.nextInt(8)) {
         case 0, 1 -> {
-          drain.evacuate(now);
+          drain.startDrain(now);
           no = no == null ? (Double) now : no;
         }
         case 2 -> {
-          assertEquals(!ending, drain.rejoin());
+          assertEquals(!ending, drain.cancelDrain());
           no = ending ? no : null;
         }
         case 3 -> {
           if (random.nextInt(6) == 0) {
-            drain.end(now);
+            drain.startShutdown(now);
             ending = true;
             no = no == null ? (Double) now : no;
           }
@@ -40,13 +40,13 @@
         default ->
             now +=
                 random.nextInt(4) == 0
-                    ? Math.max(0, Math.min(1e6, drain.next(now)) - now)
+                    ? Math.max(0, Math.min(1e6, drain.nextPhaseChangeMs(now)) - now)
                     : random.nextInt(700);
       }
-      assertEquals(no == null, drain.welcomes());
-      assertEquals(ending, drain.forGood());
+      assertEquals(no == null, drain.isAccepting());
+      assertEquals(ending, drain.isShuttingDown());
       assertEquals(plain(no, ending, now), drain.phase(now));
-      double next = drain.next(now);
+      double next = drain.nextPhaseChangeMs(now);
       if (next < Double.POSITIVE_INFINITY) {
         assertTrue(next > now);
         assertEquals(drain.phase(now), drain.phase(Math.nextDown(next)));
@@ -57,13 +57,15 @@
     }
   }
 
-  private static Drain.Phase plain(Double no, boolean ending, double now) {
+  private static DrainController.Phase plain(Double no, boolean ending, double now) {
     if (no == null) {
-      return Drain.Phase.OPEN;
+      return DrainController.Phase.ACCEPTING;
     }
     if (now < no + 450) {
-      return Drain.Phase.TOLD;
+      return DrainController.Phase.NOT_READY;
     }
-    return !ending && now >= no + 1900 ? Drain.Phase.CUT : Drain.Phase.ENDING;
+    return !ending && now >= no + 1900
+        ? DrainController.Phase.READING_STOPPED
+        : DrainController.Phase.CLOSING_CONNECTIONS;
   }
 }
--- a/src/test/java/edgenode/emulator/ArrivalsTest.java
+++ b/src/test/java/edgenode/emulator/ArrivalProcessTest.java
@@ -12,19 +12,21 @@
 import org.junit.jupiter.api.Test;
 
 /** What clients ask, drawn ahead; and what a rack remembers. */
-class ArrivalsTest {
-  private static final List<Arrivals.Campus> CAMPUSES =
+class ArrivalProcessTest {
+  private static final List<ArrivalProcess.Campus> CAMPUSES =
       List.of(
-          new Arrivals.Campus("0000000000000001", "p", 1),
-          new Arrivals.Campus("0000000000000002", "p", 3));
-  private static final List<Arrivals.Kind> KINDS =
-      List.of(new Arrivals.Kind("read", false, 900, 1), new Arrivals.Kind("write", true, 900, 1));
+          new ArrivalProcess.Campus("0000000000000001", "p", 1),
+          new ArrivalProcess.Campus("0000000000000002", "p", 3));
+  private static final List<ArrivalProcess.Kind> KINDS =
+      List.of(
+          new ArrivalProcess.Kind("read", false, 900, 1),
+          new ArrivalProcess.Kind("write", true, 900, 1));
 
-  private static List<Arrivals.Arrival> draw(
-      long seed, double until, Arrivals.Rate rate, double most) {
-    Arrivals arrivals = new Arrivals(seed, CAMPUSES, KINDS, rate, most);
-    List<Arrivals.Arrival> all = new ArrayList<>();
-    for (Arrivals.Arrival a = arrivals.next(); a.at() < until; a = arrivals.next()) {
+  private static List<ArrivalProcess.Arrival> draw(
+      long seed, double until, ArrivalProcess.Rate rate, double most) {
+    ArrivalProcess arrivals = new ArrivalProcess(seed, CAMPUSES, KINDS, rate, most);
+    List<ArrivalProcess.Arrival> all = new ArrayList<>();
+    for (ArrivalProcess.Arrival a = arrivals.next(); a.at() < until; a = arrivals.next()) {
       all.add(a);
     }
     return all;
@@ -33,7 +35,7 @@
   /** Ten times the load from second 10 on: the counts follow, within four standard deviations. */
   @Test
   void theRateFollowsItsCurve() {
-    List<Arrivals.Arrival> all = draw(5, 20_000, ms -> ms < 10_000 ? 20 : 200, 200);
+    List<ArrivalProcess.Arrival> all = draw(5, 20_000, ms -> ms < 10_000 ? 20 : 200, 200);
     long before = all.stream().filter(a -> a.at() < 10_000).count();
     assertEquals(200, before, 4 * Math.sqrt(200));
     assertEquals(2000, all.size() - before, 4 * Math.sqrt(2000));
@@ -41,7 +43,7 @@
     assertEquals(0.75 * all.size(), second, 4 * Math.sqrt(all.size() * 0.75 * 0.25));
     double at = 0;
     Set<String> keys = new HashSet<>();
-    for (Arrivals.Arrival a : all) {
+    for (ArrivalProcess.Arrival a : all) {
       assertTrue(a.at() >= at);
       at = a.at();
       assertEquals(a.kind().keyed(), a.key() != null);
@@ -58,16 +60,18 @@
   @Test
   void whatIsNoCustomerIsRefused() {
     assertThrows(
-        IllegalArgumentException.class, () -> new Arrivals.Campus("00000002b4d65521", "p", 1));
+        IllegalArgumentException.class,
+        () -> new ArrivalProcess.Campus("00000002b4d65521", "p", 1));
     assertThrows(
-        IllegalArgumentException.class, () -> new Arrivals.Campus("0000000000000001", "p", 0));
+        IllegalArgumentException.class,
+        () -> new ArrivalProcess.Campus("0000000000000001", "p", 0));
     assertThrows(
-        IllegalArgumentException.class, () -> new Arrivals(1, List.of(), KINDS, ms -> 1, 1));
+        IllegalArgumentException.class, () -> new ArrivalProcess(1, List.of(), KINDS, ms -> 1, 1));
   }
 
   @Test
   void aRackKnowsRepeatsForTheWindowOnly() {
-    Rack rack = new Rack("a", 0, 7500);
+    IdempotencyGroupModel rack = new IdempotencyGroupModel("a", 0, 7500);
     assertEquals(false, rack.repeated(0, "c1", "k"));
     assertEquals(false, rack.repeated(10, "c2", "k"), "keys are per customer");
     assertEquals(true, rack.repeated(7499, "c1", "k"));
--- a/src/test/java/edgenode/emulator/CapacityTest.java
+++ b/src/test/java/edgenode/emulator/CapacityModelTest.java
@@ -17,15 +17,16 @@
 import org.junit.jupiter.api.Test;
 
 /** A server's capacity: what runs, what waits, what a cold start and a neighbour take. */
-class CapacityTest {
+class CapacityModelTest {
   private static final double WARM = Double.NEGATIVE_INFINITY;
 
-  private static Capacity of(double cores, int slots, int room) {
-    return new Capacity(new Capacity.Size(cores, slots, room, 10, 0.25, 1000), 1, 0, WARM);
+  private static CapacityModel of(double cores, int slots, int room) {
+    return new CapacityModel(
+        new CapacityModel.Size(cores, slots, room, 10, 0.25, 1000), 1, 0, WARM);
   }
 
   /** Lets all end; the time at which the last did. */
-  private static double drain(Capacity c) {
+  private static double drain(CapacityModel c) {
     double at = 0;
     for (double next = c.next(); next < Double.POSITIVE_INFINITY; next = c.next()) {
       at = next;
@@ -36,7 +37,7 @@
 
   @Test
   void whatDoesNotFitIsTurnedAway() {
-    Capacity c = of(1, 2, 3);
+    CapacityModel c = of(1, 2, 3);
     for (int i = 0; i < 5; i++) {
       assertNotNull(c.offer(0, i));
     }
@@ -50,13 +51,13 @@
    */
   @Test
   void theCoresAreShared() {
-    Capacity c = of(2, 8, 100);
+    CapacityModel c = of(2, 8, 100);
     for (int i = 0; i < 100; i++) {
       c.offer(0, i);
     }
     double end = drain(c);
     assertEquals(end * 2, c.busy(end), 0.05 * end * 2); // only the last few leave a core idle
-    Capacity one = of(2, 8, 100);
+    CapacityModel one = of(2, 8, 100);
     one.offer(0, "alone");
     double alone = drain(one);
     assertEquals(alone, one.busy(alone), 1e-6); // no job is faster than one core
@@ -64,8 +65,8 @@
 
   @Test
   void aNeighbourTakesItsShare() {
-    Capacity free = of(1, 1, 200);
-    Capacity crowded = of(1, 1, 200);
+    CapacityModel free = of(1, 1, 200);
+    CapacityModel crowded = of(1, 1, 200);
     crowded.neighbour(0, 0.75);
     for (int i = 0; i < 200; i++) {
       free.offer(0, i);
@@ -81,7 +82,8 @@
    */
   @Test
   void aColdStartIsSlowAndGetsWarm() {
-    Capacity c = new Capacity(new Capacity.Size(1, 4, 1000, 10, 0.25, 1000), 3, 0, 0);
+    CapacityModel c =
+        new CapacityModel(new CapacityModel.Size(1, 4, 1000, 10, 0.25, 1000), 3, 0, 0);
     for (int i = 0; i < 500; i++) {
       c.offer(0, i);
     }
@@ -91,8 +93,8 @@
 
   @Test
   void aDroppedJobMakesRoom() {
-    Capacity c = of(1, 1, 1);
-    Capacity.Job first = c.offer(0, "a");
+    CapacityModel c = of(1, 1, 1);
+    CapacityModel.Job first = c.offer(0, "a");
     c.offer(0, "b");
     c.drop(1, first);
     assertEquals(1, c.running());
@@ -103,11 +105,11 @@
 
   @Test
   void sizesOutOfRangeAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new Capacity.Size(0, 1, 1, 1, 1, 0));
-    assertThrows(IllegalArgumentException.class, () -> new Capacity.Size(1, 0, 1, 1, 1, 0));
-    assertThrows(IllegalArgumentException.class, () -> new Capacity.Size(1, 1, 1, 1, 0, 0));
+    assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(0, 1, 1, 1, 1, 0));
+    assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(1, 0, 1, 1, 1, 0));
+    assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(1, 1, 1, 1, 0, 0));
     assertThrows(
-        IllegalArgumentException.class, () -> new Capacity.Size(1, 1, 1, Double.NaN, 1, 0));
+        IllegalArgumentException.class, () -> new CapacityModel.Size(1, 1, 1, Double.NaN, 1, 0));
   }
 
   /**
@@ -119,8 +121,8 @@
     Random r = new Random(seed);
     double cores = 0.5 + r.nextInt(6) * 0.5;
     int slots = 1 + r.nextInt(6);
-    Capacity.Size size = new Capacity.Size(cores, slots, 3, 2, 1, 0);
-    Capacity c = new Capacity(size, seed, 0, WARM);
+    CapacityModel.Size size = new CapacityModel.Size(cores, slots, 3, 2, 1, 0);
+    CapacityModel c = new CapacityModel(size, seed, 0, WARM);
     Random work = new Random(seed);
     Map<Integer, Double> ends = new LinkedHashMap<>();
     Map<Integer, Double> naive = new LinkedHashMap<>();
@@ -163,7 +165,7 @@
         running.add(waiting.remove(0));
       }
       for (double next = c.next(); next <= now + step; next = c.next()) {
-        for (Capacity.Job job : c.done(next)) {
+        for (CapacityModel.Job job : c.done(next)) {
           ends.put((Integer) job.what, next);
         }
       }
@@ -179,7 +181,7 @@
   void theSameSeedGivesTheSame() {
     List<Double> ends = new ArrayList<>();
     for (int turn = 0; turn < 2; turn++) {
-      Capacity c = of(1, 3, 50);
+      CapacityModel c = of(1, 3, 50);
       for (int i = 0; i < 50; i++) {
         c.offer(i, i);
       }
@@ -195,8 +197,9 @@
   @Test
   void whatIsDueNextLiesAheadOfTheClock() {
     double now = 1_700_000_000_000.0;
-    Capacity capacity =
-        new Capacity(new Capacity.Size(2, 16, 1000, 8, 1, 0), 3, now, Double.NEGATIVE_INFINITY);
+    CapacityModel capacity =
+        new CapacityModel(
+            new CapacityModel.Size(2, 16, 1000, 8, 1, 0), 3, now, Double.NEGATIVE_INFINITY);
     java.util.Random random = new java.util.Random(5);
     for (int i = 0; i < 20_000; i++) {
       capacity.offer(now, i);
--- a/src/test/java/edgenode/emulator/FrontTest.java
+++ b/src/test/java/edgenode/emulator/ClientLoadBalancerTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The front deals by customer, unevenly, and knows of a death only after a while. */
-class FrontTest {
+class ClientLoadBalancerTest {
   private static final String CUSTOMER = "00000000b4d65521";
-  private final Front front = new Front(3, 1000, 5);
+  private final ClientLoadBalancer front = new ClientLoadBalancer(3, 1000, 5);
 
   private int[] deal(double now) {
     int[] all = new int[3];
@@ -64,8 +64,8 @@
       moved = Math.max(moved, Math.abs(three[i] - one[i]));
     }
     assertTrue(moved > 200, Arrays.toString(one) + Arrays.toString(three));
-    Front same = new Front(3, 1000, 5);
-    Front other = new Front(3, 1000, 6);
+    ClientLoadBalancer same = new ClientLoadBalancer(3, 1000, 5);
+    ClientLoadBalancer other = new ClientLoadBalancer(3, 1000, 6);
     int[] dealt = new int[3];
     int[] otherwise = new int[3];
     for (int i = 0; i < 3000; i++) {
@@ -78,6 +78,6 @@
 
   @Test
   void aFrontOfNoNodesIsRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new Front(0, 1000, 1));
+    assertThrows(IllegalArgumentException.class, () -> new ClientLoadBalancer(0, 1000, 1));
   }
 }
--- a/src/test/java/edgenode/emulator/StandInTest.java
+++ b/src/test/java/edgenode/emulator/EmulatorTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgenode.eventloop.Clock;
-import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.eventloop.Transport;
-import edgenode.node.Peer;
+import edgenode.node.FakePeer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -22,11 +22,12 @@
 
 /** App server and counter by the protocol page, and each of their faults, over sockets. */
 @Timeout(60)
-class StandInTest {
+class EmulatorTest {
   private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
   private static final String CUSTOMER = "00000000b4d65521";
-  private final LoopThread loop =
-      new LoopThread(Transport.loop(), Transport.SOCKETS, Clock.system(), line -> {});
+  private final NettyEdgeEventLoop loop =
+      new NettyEdgeEventLoop(
+          Transport.newEventLoopGroup(), Transport.SOCKETS, Clock.system(), line -> {});
   private final List<String> seen = Collections.synchronizedList(new ArrayList<>());
   private final Effects effects =
       new Effects() {
@@ -59,27 +60,29 @@
         }
       };
 
-  private EnrolmentServer server(Capacity.Size size, EnrolmentServer.Habits habits)
+  private AppServerEmulator server(CapacityModel.Size size, AppServerEmulator.Habits habits)
       throws InterruptedException {
-    return new EnrolmentServer(loop, "s0", new Rack("a", 0, 7500), size, habits, effects, 1)
+    return new AppServerEmulator(
+            loop, "s0", new IdempotencyGroupModel("a", 0, 7500), size, habits, effects, 1)
         .start(ANY);
   }
 
-  private EnrolmentServer server() throws InterruptedException {
-    return server(new Capacity.Size(1, 1, 1, 0.5, 1, 0), EnrolmentServer.Habits.USUAL);
+  private AppServerEmulator server() throws InterruptedException {
+    return server(new CapacityModel.Size(1, 1, 1, 0.5, 1, 0), AppServerEmulator.Habits.USUAL);
   }
 
   private void on(Runnable what) {
     CompletableFuture.runAsync(what, loop.group()).join();
   }
 
-  private static Peer.Line to(InetSocketAddress at) throws IOException {
-    return Peer.Line.to(at.getPort());
+  private static FakePeer.Connection to(InetSocketAddress at) throws IOException {
+    return FakePeer.Connection.connect(at.getPort());
   }
 
-  private static List<String> call(Peer.Line line, String id, String list) throws IOException {
-    line.command("CALL.POST", CUSTOMER, id, list, "body");
-    return line.message();
+  private static List<String> call(FakePeer.Connection line, String id, String list)
+      throws IOException {
+    line.writeCommand("CALL.POST", CUSTOMER, id, list, "body");
+    return line.readMessage();
   }
 
   @AfterEach
@@ -89,21 +92,21 @@
 
   @Test
   void aCallIsAnsweredWithValueAndReport() throws Exception {
-    EnrolmentServer server = server();
-    try (Peer.Line line = to(server.address())) {
+    AppServerEmulator server = server();
+    try (FakePeer.Connection line = to(server.address())) {
       List<String> answer = call(line, "7", "c=w,t=p,d=900,k=1");
       assertEquals(3, answer.size());
       assertEquals("ok 7 by s0", answer.get(0));
       assertEquals(null, answer.get(1));
       assertTrue(answer.get(2).matches("inflight=\\d+,queue=\\d+,util=[\\d.]+"), answer.get(2));
-      line.command("PING");
-      assertEquals(List.of("+PONG"), line.message());
-      line.command("INFO", "load");
-      assertTrue(line.message().get(0).startsWith("inflight="));
-      line.command("HELLO", "3");
-      assertTrue(line.message().get(0).startsWith("-ERR"));
-      line.command("CALL.GET", CUSTOMER, "8");
-      assertEquals(List.of("-SYNTAX"), line.message());
+      line.writeCommand("PING");
+      assertEquals(List.of("+PONG"), line.readMessage());
+      line.writeCommand("INFO", "load");
+      assertTrue(line.readMessage().get(0).startsWith("inflight="));
+      line.writeCommand("HELLO", "3");
+      assertTrue(line.readMessage().get(0).startsWith("-ERR"));
+      line.writeCommand("CALL.GET", CUSTOMER, "8");
+      assertEquals(List.of("-SYNTAX"), line.readMessage());
     }
     assertEquals(
         List.of(
@@ -121,8 +124,8 @@
   /** The second one with its key is known in the rack, and has no effect of its own. */
   @Test
   void aRepeatInTheRackDoesNotRun() throws Exception {
-    EnrolmentServer server = server();
-    try (Peer.Line line = to(server.address())) {
+    AppServerEmulator server = server();
+    try (FakePeer.Connection line = to(server.address())) {
       call(line, "1", "c=w,t=p,d=900,k=abc");
       call(line, "2", "c=w,t=p,d=900,k=abc,r=1");
       call(line, "3", "c=w,t=p,d=900,k=abd");
@@ -134,36 +137,36 @@
 
   @Test
   void aFullServerTurnsAway() throws Exception {
-    EnrolmentServer server =
-        server(new Capacity.Size(1, 1, 1, 400, 1, 0), EnrolmentServer.Habits.USUAL);
+    AppServerEmulator server =
+        server(new CapacityModel.Size(1, 1, 1, 400, 1, 0), AppServerEmulator.Habits.USUAL);
     InetSocketAddress at = server.address();
-    try (Peer.Line a = to(at);
-        Peer.Line b = to(at);
-        Peer.Line c = to(at)) {
-      a.command("CALL.GET", CUSTOMER, "1", "c=r,t=p,d=900");
-      b.command("CALL.GET", CUSTOMER, "2", "c=r,t=p,d=900");
+    try (FakePeer.Connection a = to(at);
+        FakePeer.Connection b = to(at);
+        FakePeer.Connection c = to(at)) {
+      a.writeCommand("CALL.GET", CUSTOMER, "1", "c=r,t=p,d=900");
+      b.writeCommand("CALL.GET", CUSTOMER, "2", "c=r,t=p,d=900");
       while (!seen.contains("came 1 ran") || !seen.contains("came 2 ran")) {
         Thread.sleep(1);
       }
-      c.command("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
-      assertEquals(List.of("-BUSY"), c.message());
+      c.writeCommand("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
+      assertEquals(List.of("-BUSY"), c.readMessage());
       assertTrue(seen.contains("came 3 not"));
     }
   }
 
   @Test
   void itDiesAndReturnsColdAtItsAddress() throws Exception {
-    EnrolmentServer server = server();
+    AppServerEmulator server = server();
     InetSocketAddress at = server.address();
     assertEquals(0, server.entry("active").bornMs());
-    try (Peer.Line line = to(at)) {
+    try (FakePeer.Connection line = to(at)) {
       call(line, "1", "c=w,t=p,d=900,k=1");
       on(server::die);
-      assertTrue(line.ended());
+      assertTrue(line.isClosedByPeer());
     }
     assertThrows(IOException.class, () -> to(at).close());
     on(() -> server.back(at));
-    Peer.Line again = null;
+    FakePeer.Connection again = null;
     while (again == null) {
       try {
         again = to(at);
@@ -178,65 +181,66 @@
 
   @Test
   void itsMoods() throws Exception {
-    EnrolmentServer server = server();
-    try (Peer.Line line = to(server.address())) {
-      on(() -> server.mood(EnrolmentServer.Mood.FAILING));
+    AppServerEmulator server = server();
+    try (FakePeer.Connection line = to(server.address())) {
+      on(() -> server.mood(AppServerEmulator.Mood.FAILING));
       assertEquals(List.of("-ERR failed"), call(line, "1", "c=w,t=p,d=9,k=1"));
-      on(() -> server.mood(EnrolmentServer.Mood.DRAINING));
+      on(() -> server.mood(AppServerEmulator.Mood.DRAINING));
       assertEquals(List.of("-BUSY"), call(line, "2", "c=w,t=p,d=9,k=2"));
-      on(() -> server.mood(EnrolmentServer.Mood.DEAF));
-      line.command("PING");
+      on(() -> server.mood(AppServerEmulator.Mood.DEAF));
+      line.writeCommand("PING");
       line.socket().setSoTimeout(200);
-      assertThrows(java.net.SocketTimeoutException.class, line::message);
-      on(() -> server.mood(EnrolmentServer.Mood.WELL));
-      assertEquals(List.of("+PONG"), line.message());
-      on(() -> server.mood(EnrolmentServer.Mood.SILENT));
-      line.command("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
-      assertThrows(java.net.SocketTimeoutException.class, line::message);
+      assertThrows(java.net.SocketTimeoutException.class, line::readMessage);
+      on(() -> server.mood(AppServerEmulator.Mood.WELL));
+      assertEquals(List.of("+PONG"), line.readMessage());
+      on(() -> server.mood(AppServerEmulator.Mood.SILENT));
+      line.writeCommand("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
+      assertThrows(java.net.SocketTimeoutException.class, line::readMessage);
       assertTrue(seen.contains("came 3 ran"), "silent, and it ran");
     }
-    on(() -> server.mood(EnrolmentServer.Mood.NOISE));
-    try (Peer.Line line = to(server.address())) {
+    on(() -> server.mood(AppServerEmulator.Mood.NOISE));
+    try (FakePeer.Connection line = to(server.address())) {
       assertEquals(List.of("\u0001noise"), call(line, "4", "c=w,t=p,d=9,k=4"));
-      assertTrue(line.ended());
+      assertTrue(line.isClosedByPeer());
     }
   }
 
   @Test
   void itHoldsSoManyConnectionsAndClosesIdleOnes() throws Exception {
-    EnrolmentServer server =
-        server(new Capacity.Size(1, 1, 1, 1, 1, 0), new EnrolmentServer.Habits(1, 100, 200, 0));
-    try (Peer.Line first = to(server.address())) {
-      first.command("PING");
-      first.message();
-      try (Peer.Line second = to(server.address())) {
-        assertTrue(second.ended(), "one too many");
+    AppServerEmulator server =
+        server(
+            new CapacityModel.Size(1, 1, 1, 1, 1, 0), new AppServerEmulator.Habits(1, 100, 200, 0));
+    try (FakePeer.Connection first = to(server.address())) {
+      first.writeCommand("PING");
+      first.readMessage();
+      try (FakePeer.Connection second = to(server.address())) {
+        assertTrue(second.isClosedByPeer(), "one too many");
       }
-      assertTrue(first.ended(), "idle for longer than it holds one");
+      assertTrue(first.isClosedByPeer(), "idle for longer than it holds one");
     }
   }
 
   // ---- the counter ----
 
-  private Counter counter(Counter.Size size) throws InterruptedException {
-    return new Counter(
+  private CounterEmulator counter(CounterEmulator.Size size) throws InterruptedException {
+    return new CounterEmulator(
             loop, size, (now, name, amount, total) -> seen.add(name + " " + amount + " " + total))
         .start(ANY);
   }
 
   @Test
   void itAddsAndForgetsANameAtItsEnd() throws Exception {
-    Counter counter = counter(Counter.Size.USUAL);
-    try (Peer.Line line = to(counter.address())) {
+    CounterEmulator counter = counter(CounterEmulator.Size.USUAL);
+    try (FakePeer.Connection line = to(counter.address())) {
       for (String[] step : new String[][] {{"2.5", "60000", "2.5"}, {"-1", "60000", "1.5"}}) {
-        line.command("CNT.ADD", "n", step[0], step[1]);
-        assertEquals(List.of(step[2]), line.message());
+        line.writeCommand("CNT.ADD", "n", step[0], step[1]);
+        assertEquals(List.of(step[2]), line.readMessage());
       }
-      line.command("CNT.ADD", "short", "1", "1");
-      line.message();
+      line.writeCommand("CNT.ADD", "short", "1", "1");
+      line.readMessage();
       Thread.sleep(5);
-      line.command("CNT.ADD", "short", "1", "1");
-      assertEquals(List.of("1"), line.message());
+      line.writeCommand("CNT.ADD", "short", "1", "1");
+      assertEquals(List.of("1"), line.readMessage());
       for (String[] bad :
           new String[][] {
             {"CNT.ADD", "n", "x", "1"},
@@ -246,8 +250,8 @@
             {"CNT.ADD", "n"},
             {"GET", "n"}
           }) {
-        line.command(bad);
-        assertTrue(line.message().get(0).startsWith("-ERR"), Arrays.toString(bad));
+        line.writeCommand(bad);
+        assertTrue(line.readMessage().get(0).startsWith("-ERR"), Arrays.toString(bad));
       }
     }
     assertEquals(List.of("n 2.5 2.5", "n -1.0 1.5"), seen.subList(0, 2));
@@ -259,8 +263,8 @@
    */
   @Test
   void itTakesSoManyCallsASecond() throws Exception {
-    Counter counter = counter(new Counter.Size(100, 5, 8));
-    try (Peer.Line line = to(counter.address())) {
+    CounterEmulator counter = counter(new CounterEmulator.Size(100, 5, 8));
+    try (FakePeer.Connection line = to(counter.address())) {
       long from = System.nanoTime();
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 50; i++) {
@@ -270,7 +274,7 @@
       int added = 0;
       int busy = 0;
       for (int i = 0; i < 50; i++) {
-        String answer = line.message().get(0);
+        String answer = line.readMessage().get(0);
         if (answer.equals("-BUSY")) {
           busy++;
         } else {
@@ -286,28 +290,28 @@
 
   @Test
   void itsFaults() throws Exception {
-    Counter counter = counter(Counter.Size.USUAL);
-    try (Peer.Line line = to(counter.address())) {
-      line.command("CNT.ADD", "n", "5", "60000");
-      assertEquals(List.of("5"), line.message());
-      on(() -> counter.mood(Counter.Mood.FULL));
-      line.command("CNT.ADD", "n", "5", "60000");
-      assertEquals(List.of("-BUSY"), line.message());
-      on(() -> counter.mood(Counter.Mood.NOISE));
-      line.command("CNT.ADD", "n", "5", "60000");
-      assertEquals(List.of("+noise"), line.message());
-      on(() -> counter.mood(Counter.Mood.SILENT));
-      line.command("CNT.ADD", "n", "5", "60000");
+    CounterEmulator counter = counter(CounterEmulator.Size.USUAL);
+    try (FakePeer.Connection line = to(counter.address())) {
+      line.writeCommand("CNT.ADD", "n", "5", "60000");
+      assertEquals(List.of("5"), line.readMessage());
+      on(() -> counter.mood(CounterEmulator.Mood.FULL));
+      line.writeCommand("CNT.ADD", "n", "5", "60000");
+      assertEquals(List.of("-BUSY"), line.readMessage());
+      on(() -> counter.mood(CounterEmulator.Mood.NOISE));
+      line.writeCommand("CNT.ADD", "n", "5", "60000");
+      assertEquals(List.of("+noise"), line.readMessage());
+      on(() -> counter.mood(CounterEmulator.Mood.SILENT));
+      line.writeCommand("CNT.ADD", "n", "5", "60000");
       line.socket().setSoTimeout(200);
-      assertThrows(java.net.SocketTimeoutException.class, line::message);
-      on(() -> counter.mood(Counter.Mood.WELL)); // however late, a call has its turn
-      assertEquals(List.of("10"), line.message());
+      assertThrows(java.net.SocketTimeoutException.class, line::readMessage);
+      on(() -> counter.mood(CounterEmulator.Mood.WELL)); // however late, a call has its turn
+      assertEquals(List.of("10"), line.readMessage());
       on(counter::restart);
-      assertTrue(line.ended());
+      assertTrue(line.isClosedByPeer());
     }
-    try (Peer.Line line = to(counter.address())) {
-      line.command("CNT.ADD", "n", "1", "60000");
-      assertEquals(List.of("1"), line.message(), "started again empty");
+    try (FakePeer.Connection line = to(counter.address())) {
+      line.writeCommand("CNT.ADD", "n", "1", "60000");
+      assertEquals(List.of("1"), line.readMessage(), "started again empty");
     }
   }
 }
--- a/src/test/java/edgenode/eventloop/AcceptTest.java
+++ b/src/test/java/edgenode/eventloop/AcceptTest.java
@@ -19,22 +19,22 @@
 /** Connections that come while the loop is busy. */
 @Timeout(30)
 class AcceptTest {
-  private static final int CLIENTS = 8;
+  private static final int CLIENT_COUNT = 8;
 
   /**
    * With one accepted in each pass of the loop the last of a burst waited for as many passes as
    * there were.
    */
   @Test
-  void allThatWaitAreAcceptedInOnePassOfTheLoop() throws Exception {
-    EventLoopGroup group = Transport.loop();
+  void allPendingConnectionsAreAcceptedInOnePassOfTheLoop() throws Exception {
+    EventLoopGroup group = Transport.newEventLoopGroup();
     CompletableFuture<Integer> inFirstPass = new CompletableFuture<>();
     CountDownLatch busy = new CountDownLatch(1);
     List<Socket> clients = new ArrayList<>();
     try {
       Channel listener =
           Transport.SOCKETS
-              .accepting(group, CLIENTS)
+              .newServerBootstrap(group, CLIENT_COUNT)
               .childHandler(
                   new ChannelInitializer<Channel>() {
                     private int accepted;
@@ -57,13 +57,13 @@
               Thread.currentThread().interrupt();
             }
           });
-      for (int i = 0; i < CLIENTS; i++) {
+      for (int i = 0; i < CLIENT_COUNT; i++) {
         InetSocketAddress at = (InetSocketAddress) listener.localAddress();
         clients.add(
             new Socket(at.getAddress(), at.getPort())); // the system takes it in; the loop is busy
       }
       busy.countDown();
-      assertEquals(CLIENTS, inFirstPass.get(10, TimeUnit.SECONDS));
+      assertEquals(CLIENT_COUNT, inFirstPass.get(10, TimeUnit.SECONDS));
     } finally {
       for (Socket client : clients) {
         client.close();
--- a/src/test/java/edgenode/eventloop/LoopDelayProperties.java
+++ b/src/test/java/edgenode/eventloop/QueueingDelayEstimatorProperties.java
@@ -12,20 +12,21 @@
  * The estimate beside a plain model that keeps every sample: the greatest of them, each decayed by
  * its age.
  */
-class LoopDelayProperties {
-  private record Sample(double at, double delay) {
-    double by(double now) {
-      return Math.max(0, delay) * Math.pow(0.5, (now - at) / LoopDelay.HALF_LIFE);
+class QueueingDelayEstimatorProperties {
+  private record Sample(double atMs, double delayMs) {
+    double decayedMs(double nowMs) {
+      return Math.max(0, delayMs)
+          * Math.pow(0.5, (nowMs - atMs) / QueueingDelayEstimator.HALF_LIFE_MS);
     }
   }
 
   @Property(tries = 500, seed = "1")
-  void itIsTheGreatestOfAllSamplesEachDecayedByItsAge(@ForAll long seed) {
+  void theEstimateIsTheGreatestSampleDecayedByItsAge(@ForAll long seed) {
     Random random = new Random(seed);
-    LoopDelay delay = new LoopDelay();
+    QueueingDelayEstimator delay = new QueueingDelayEstimator();
     List<Sample> samples = new ArrayList<>();
     double now = 1_700_000_000_000.0;
-    assertEquals(0, delay.estimate(now));
+    assertEquals(0, delay.estimateMs(now));
     for (int i = 0; i < 100; i++) {
       now += random.nextInt(4) == 0 ? random.nextInt(2000) : random.nextInt(20);
       if (random.nextBoolean()) {
@@ -36,7 +37,9 @@
       }
       double at = now;
       assertEquals(
-          samples.stream().mapToDouble(s -> s.by(at)).max().orElse(0), delay.estimate(now), 1e-6);
+          samples.stream().mapToDouble(s -> s.decayedMs(at)).max().orElse(0),
+          delay.estimateMs(now),
+          1e-6);
     }
   }
 }
--- a/src/test/java/edgenode/net/discovery/BackoffTest.java
+++ b/src/test/java/edgenode/net/discovery/ExponentialBackoffPolicyTest.java
@@ -9,7 +9,7 @@
 /**
  * Waits between failed calls: bounded by the operators' term, and not the same for a whole fleet.
  */
-class BackoffTest {
+class ExponentialBackoffPolicyTest {
   private static final double GIVEN_UP = 1000;
   private static final double CONNECT = 1000;
 
@@ -24,14 +24,16 @@
   void theNextCallIsAnsweredWithinTheTerm() {
     for (double first : new double[] {50, 200}) {
       for (int seed = 0; seed < 100; seed++) {
-        Backoff backoff = new Backoff(first, 1_700_000_000_000.0 + seed);
+        ExponentialBackoffPolicy backoff =
+            new ExponentialBackoffPolicy(first, 1_700_000_000_000.0 + seed);
         for (int i = 0; i < 20; i++) {
-          double wait = backoff.next();
+          double wait = backoff.nextDelayMs();
           assertTrue(wait >= first / 2, wait + " ms");
-          assertTrue(GIVEN_UP + wait + CONNECT + ANSWER < AgentSource.TERM, wait + " ms");
+          assertTrue(
+              GIVEN_UP + wait + CONNECT + ANSWER < AgentSource.RECOVERY_LIMIT_MS, wait + " ms");
         }
         backoff.reset();
-        assertTrue(backoff.next() <= first);
+        assertTrue(backoff.nextDelayMs() <= first);
       }
     }
   }
@@ -41,10 +43,11 @@
   void aFleetComesBackSpread() {
     Set<Integer> at = new HashSet<>();
     for (int node = 0; node < 100; node++) {
-      Backoff backoff = new Backoff(50, 1_700_000_000_000.0 + node * 9.7);
+      ExponentialBackoffPolicy backoff =
+          new ExponentialBackoffPolicy(50, 1_700_000_000_000.0 + node * 9.7);
       double wait = 0;
       for (int i = 0; i < 10; i++) {
-        wait = backoff.next();
+        wait = backoff.nextDelayMs();
       }
       at.add((int) (wait / 100));
     }
--- a/src/test/java/edgenode/net/resp/LongValuesTest.java
+++ b/src/test/java/edgenode/net/resp/LongValueDecoderTest.java
@@ -24,16 +24,17 @@
  * Answers that come in pieces cut at any point: long values in parts, the others whole, and each
  * byte counted.
  */
-class LongValuesTest {
-  private static final int LONG = Resp.VALUE + 10;
+class LongValueDecoderTest {
+  private static final int LONG_VALUE_BYTES = RespCodec.MAX_VALUE_BYTES + 10;
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final Resp.Raw raw = Resp.answers(channel.pipeline(), 16);
+  private final RespCodec.UndecodedByteCounter undecodedBytes =
+      RespCodec.addResponseCodec(channel.pipeline(), 16);
   private final StringBuilder value = new StringBuilder();
 
   /** As a connection does: each message is told as whole before the next one is read. */
   @BeforeEach
-  void connection() {
+  void addMessageReader() {
     channel
         .pipeline()
         .addLast(
@@ -41,7 +42,7 @@
               @Override
               public void channelRead(ChannelHandlerContext ctx, Object msg) {
                 if (msg instanceof RedisMessage message) {
-                  raw.whole(message);
+                  undecodedBytes.messageDecoded(message);
                 }
                 ctx.fireChannelRead(msg);
               }
@@ -52,12 +53,12 @@
   private List<String> read() {
     List<String> all = new ArrayList<>();
     for (Object o = channel.readInbound(); o != null; o = channel.readInbound()) {
-      if (o instanceof LongValues.Begin begin) {
-        all.add("begin " + begin.length());
-      } else if (o instanceof LongValues.Part part) {
+      if (o instanceof LongValueDecoder.ValueStart begin) {
+        all.add("begin " + begin.lengthBytes());
+      } else if (o instanceof LongValueDecoder.ValueChunk part) {
         value.append(part.bytes().toString(StandardCharsets.ISO_8859_1));
         part.bytes().release();
-        if (part.last()) {
+        if (part.isLast()) {
           all.add("value " + value.length() + " " + value.toString().hashCode());
           value.setLength(0);
         }
@@ -87,8 +88,8 @@
     return text.toString();
   }
 
-  private static boolean inside(int at) {
-    return at > 60 && at < LONG - 160;
+  private static boolean isInsideLongValue(int at) {
+    return at > 60 && at < LONG_VALUE_BYTES - 160;
   }
 
   /**
@@ -96,67 +97,68 @@
    * begins or ends.
    */
   @Test
-  void eachAnswerIsTheSameWhereverItIsCut() {
-    String value = value(LONG);
+  void responsesDecodeTheSameWhereverTheBytesAreCut() {
+    String value = value(LONG_VALUE_BYTES);
     String whole =
         "*3\r\n$"
-            + LONG
+            + LONG_VALUE_BYTES
             + "\r\n"
             + value
             + "\r\n$1\r\n7\r\n$9\r\nutil=0.61\r\n"
             + "*3\r\n$5\r\nshort\r\n$-1\r\n$-1\r\n"
             + "-BUSY\r\n"
             + "*3\r\n$"
-            + LONG
+            + LONG_VALUE_BYTES
             + "\r\n"
             + value
             + "\r\n$-1\r\n*3\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n";
     List<String> expected =
         List.of(
-            "begin " + LONG,
-            "value " + LONG + " " + value.hashCode(),
+            "begin " + LONG_VALUE_BYTES,
+            "value " + LONG_VALUE_BYTES + " " + value.hashCode(),
             "array 2",
             "array 3",
             "BUSY",
-            "begin " + LONG,
-            "value " + LONG + " " + value.hashCode(),
+            "begin " + LONG_VALUE_BYTES,
+            "value " + LONG_VALUE_BYTES + " " + value.hashCode(),
             "array 2");
     int cases = 0;
     int first = whole.indexOf(value);
     int second = whole.lastIndexOf(value);
     for (int cut = 1;
         cut < whole.length();
-        cut += inside(cut - first) || inside(cut - second) ? 97 : 1) {
+        cut += isInsideLongValue(cut - first) || isInsideLongValue(cut - second) ? 97 : 1) {
       channel.writeInbound(bytes(whole.substring(0, cut)));
       List<String> seen = read();
       channel.writeInbound(bytes(whole.substring(cut)));
       seen.addAll(read());
       assertEquals(expected, seen, "cut at " + cut);
-      assertEquals(0, raw.pending(), "cut at " + cut);
+      assertEquals(0, undecodedBytes.pendingBytes(), "cut at " + cut);
       cases++;
     }
     assertTrue(cases > 1000, cases + " cuts");
   }
 
   @Test
-  void bytesOfAHalfReadLongValueAreNotPending() {
-    channel.writeInbound(bytes("*3\r\n$" + LONG + "\r\n" + value(1000)));
-    assertEquals(List.of("begin " + LONG), read());
-    assertEquals(0, raw.pending());
+  void bytesOfAPartlyReadLongValueAreNotPending() {
+    channel.writeInbound(bytes("*3\r\n$" + LONG_VALUE_BYTES + "\r\n" + value(1000)));
+    assertEquals(List.of("begin " + LONG_VALUE_BYTES), read());
+    assertEquals(0, undecodedBytes.pendingBytes());
   }
 
   @Test
-  void aValueThatIsSaidToBeEndlessIsMalformed() {
+  void aValueOverTheLongLimitIsMalformed() {
     assertThrows(
         CodecException.class,
-        () -> channel.writeInbound(bytes("*3\r\n$" + (Resp.LONG_VALUE + 1) + "\r\n")));
+        () ->
+            channel.writeInbound(bytes("*3\r\n$" + (RespCodec.MAX_LONG_VALUE_BYTES + 1) + "\r\n")));
   }
 
   /** Only the first of three is a value; a long one elsewhere is as malformed as ever. */
   @Test
-  void aLongValueElsewhereIsMalformed() {
+  void aLongValueOutsideTheFirstElementIsMalformed() {
     assertThrows(
         CodecException.class,
-        () -> channel.writeInbound(bytes("*3\r\n$1\r\na\r\n$" + LONG + "\r\n")));
+        () -> channel.writeInbound(bytes("*3\r\n$1\r\na\r\n$" + LONG_VALUE_BYTES + "\r\n")));
   }
 }
--- a/src/test/java/edgenode/node/Calls.java
+++ b/src/test/java/edgenode/node/AdminClient.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 
 /** Operators' calls, over plain sockets. */
-final class Calls {
+final class AdminClient {
   /**
    * @param status of the answer's first line
    */
-  record Answer(int status, String head, String body) {
+  record Response(int status, String headers, String body) {
     /** The answer's values by their paths, as text. */
     Map<String, String> values() throws IOException {
       Map<String, String> values = new LinkedHashMap<>();
@@ -39,21 +39,21 @@
     }
   }
 
-  private Calls() {}
+  private AdminClient() {}
 
-  static Socket to(SocketAddress at) throws IOException {
-    InetSocketAddress address = (InetSocketAddress) at;
+  static Socket connect(SocketAddress socketAddress) throws IOException {
+    InetSocketAddress address = (InetSocketAddress) socketAddress;
     Socket socket = new Socket(address.getAddress(), address.getPort());
     socket.setSoTimeout(5_000);
     return socket;
   }
 
-  static Answer call(SocketAddress at, String what) throws IOException {
-    return raw(at, what + " HTTP/1.1\r\nHost: x\r\n\r\n");
+  static Response call(SocketAddress address, String requestLine) throws IOException {
+    return sendRaw(address, requestLine + " HTTP/1.1\r\nHost: x\r\n\r\n");
   }
 
   /** Whether the other side has ended this connection, which it may take a while to do. */
-  static boolean ended(Socket socket) throws IOException {
+  static boolean isClosedByNode(Socket socket) throws IOException {
     try {
       return socket.getInputStream().read() < 0;
     } catch (SocketTimeoutException stays) {
@@ -64,20 +64,22 @@
   }
 
   /** Writes it and reads to the end of the connection. */
-  static Answer raw(SocketAddress at, String text) throws IOException {
-    try (Socket socket = to(at)) {
+  static Response sendRaw(SocketAddress address, String text) throws IOException {
+    try (Socket socket = connect(address)) {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-      return read(socket);
+      return readResponse(socket);
     }
   }
 
-  static Answer read(Socket socket) throws IOException {
-    String all = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    int split = all.indexOf("\r\n\r\n");
+  static Response readResponse(Socket socket) throws IOException {
+    String text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    int split = text.indexOf("\r\n\r\n");
     if (split < 0) {
-      throw new IOException("no whole answer: '" + all + "'");
+      throw new IOException("no whole answer: '" + text + "'");
     }
-    return new Answer(
-        Integer.parseInt(all.substring(9, 12)), all.substring(0, split), all.substring(split + 4));
+    return new Response(
+        Integer.parseInt(text.substring(9, 12)),
+        text.substring(0, split),
+        text.substring(split + 4));
   }
 }
--- a/src/test/java/edgenode/node/LateConnects.java
+++ b/src/test/java/edgenode/node/DelayedConnectTransport.java
@@ -18,44 +18,45 @@
 
 /**
  * Sockets on which connects come up when a test says so: the network's SYN is held back until
- * {@link #release}.
+ * {@link #releaseNext}.
  */
-final class LateConnects implements Transport {
-  private final BlockingQueue<Consumer<Runnable>> held = new LinkedBlockingQueue<>();
+final class DelayedConnectTransport implements Transport {
+  private final BlockingQueue<Consumer<Runnable>> heldConnects = new LinkedBlockingQueue<>();
 
   /** Connects to this port are held. */
-  volatile int port = -1;
+  volatile int heldPort = -1;
 
   /** Lets the connect go that has been held for longest; waits for one. */
-  void release() throws InterruptedException {
+  void releaseNext() throws InterruptedException {
     releaseAndThen(() -> {});
   }
 
   /**
-   * As {@link #release}; right after the connect the loop does this, before it hears how that went.
+   * As {@link #releaseNext}; right after the connect the loop does this, before it hears how that
+   * went.
    */
-  void releaseAndThen(Runnable then) throws InterruptedException {
-    Consumer<Runnable> next = held.poll(10, TimeUnit.SECONDS);
+  void releaseAndThen(Runnable action) throws InterruptedException {
+    Consumer<Runnable> next = heldConnects.poll(10, TimeUnit.SECONDS);
     if (next == null) {
       throw new AssertionError("no connect was begun");
     }
-    next.accept(then);
+    next.accept(action);
   }
 
   /** Waits until a connect is held. */
-  void begun() throws InterruptedException {
-    Rig.await("a connect is held", () -> !held.isEmpty());
+  void awaitHeldConnect() throws InterruptedException {
+    DiscoveryFixture.await("a connect is held", () -> !heldConnects.isEmpty());
   }
 
-  private final class Holding extends ChannelOutboundHandlerAdapter {
+  private final class HoldingHandler extends ChannelOutboundHandlerAdapter {
     @Override
     public void connect(
         ChannelHandlerContext ctx,
         SocketAddress remote,
         SocketAddress local,
         ChannelPromise promise) {
-      if (((InetSocketAddress) remote).getPort() == port) {
-        held.add(
+      if (((InetSocketAddress) remote).getPort() == heldPort) {
+        heldConnects.add(
             then ->
                 ctx.executor()
                     .execute(
@@ -70,34 +71,34 @@
   }
 
   @Override
-  public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+  public Bootstrap newClientBootstrap(EventLoopGroup group, int timeoutMs) {
     return new Bootstrap()
         .group(group)
         .channelFactory(
             () -> {
               try {
-                Channel channel = SOCKETS.stream().getConstructor().newInstance();
-                channel.pipeline().addFirst(new Holding());
+                Channel channel = SOCKETS.streamChannelType().getConstructor().newInstance();
+                channel.pipeline().addFirst(new HoldingHandler());
                 return channel;
               } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException(e);
               }
             })
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, withinMs);
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs);
   }
 
   @Override
-  public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
-    return SOCKETS.accepting(group, backlog);
+  public ServerBootstrap newServerBootstrap(EventLoopGroup group, int backlog) {
+    return SOCKETS.newServerBootstrap(group, backlog);
   }
 
   @Override
-  public boolean ended(Channel connection) {
-    return SOCKETS.ended(connection);
+  public boolean isClosedByPeer(Channel connection) {
+    return SOCKETS.isClosedByPeer(connection);
   }
 
   @Override
-  public SocketAddress at(InetSocketAddress address) {
+  public SocketAddress toSocketAddress(InetSocketAddress address) {
     return address;
   }
 }
--- a/src/test/java/edgenode/node/WatchTest.java
+++ b/src/test/java/edgenode/node/DiscoveryWatchTest.java
@@ -5,16 +5,16 @@
 import org.junit.jupiter.api.Test;
 
 /** A watch that breaks off or stalls: what it had to tell may be a drain, and that has 250 ms. */
-class WatchTest extends NodeFixture {
+class DiscoveryWatchTest extends EdgeNodeFixture {
   /** Half a line, and no end of the connection either: 5 s passed before it was taken for dead. */
   @Test
-  void halfALineThatStallsIsAskedForAnew() throws Exception {
+  void stalledPartialLineRenewsTheWatch() throws Exception {
     start();
-    String line = list(42, false, entry("s0", app.address(), "leaving"));
-    watch.write(
+    String line = endpointListJson(42, false, endpointJson("s0", appServer.address(), "leaving"));
+    watchConnection.write(
         Integer.toHexString(line.length() + 1) + "\r\n" + line.substring(0, line.length() / 2));
-    nextWatch(discovery, 41);
-    assertTrue(watch.ended());
+    acceptWatch(discovery, 41);
+    assertTrue(watchConnection.isClosedByPeer());
   }
 
   /**
@@ -22,18 +22,22 @@
    * had.
    */
   @Test
-  void aWatchThatBreaksOffIsBackAtOnce() throws Exception {
+  void brokenWatchIsRenewedAtOnce() throws Exception {
     start();
     long least = Long.MAX_VALUE;
     for (int i = 0; i < 3; i++) { // the least of three: a busy machine only adds
       long ended = System.nanoTime();
-      watch.close();
+      watchConnection.close();
       answerWatch(41 + i);
       least = Math.min(least, (System.nanoTime() - ended) / 1_000_000);
-      expect("discovery failed");
-      push(list(42 + i, false, entry("s" + i, app.address(), i == 0 ? "leaving" : "active")));
+      expectPolicyEvent("discovery failed");
+      pushToWatch(
+          endpointListJson(
+              42 + i,
+              false,
+              endpointJson("s" + i, appServer.address(), i == 0 ? "leaving" : "active")));
       // it works: the next is the first
-      expect(i == 0 ? "changes s0 DRAINING" : "changes s" + i + " UP");
+      expectPolicyEvent(i == 0 ? "changes s0 DRAINING" : "changes s" + i + " UP");
     }
     assertTrue(least < 190, "took " + least + " ms; 200 and more before");
   }
@@ -43,16 +47,16 @@
    * broke off.
    */
   @Test
-  void anIndentedListOnTheWatchIsTaken() throws Exception {
+  void indentedListOnTheWatchIsAccepted() throws Exception {
     start();
     String indented =
-        list(42, false, entry("s0", app.address(), "leaving"))
+        endpointListJson(42, false, endpointJson("s0", appServer.address(), "leaving"))
             .replace(",", ",\n  ")
             .replace("{", "{\n")
             .replace("\"m\"", "\"m} \\\" {\"");
-    push(indented);
-    expect("changes s0 DRAINING");
-    push(list(43, false, entry("s1", app.address(), "active")));
-    expect("changes s1 UP");
+    pushToWatch(indented);
+    expectPolicyEvent("changes s0 DRAINING");
+    pushToWatch(endpointListJson(43, false, endpointJson("s1", appServer.address(), "active")));
+    expectPolicyEvent("changes s1 UP");
   }
 }
--- a/src/test/java/edgenode/node/NodeFixture.java
+++ b/src/test/java/edgenode/node/EdgeNodeFixture.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.config.Config;
-import edgenode.config.EdgeSettings;
-import edgenode.config.Json;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.config.OperatorSettings;
 import edgenode.eventloop.Clock;
-import edgenode.eventloop.LoopThread;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.eventloop.Transport;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
@@ -33,35 +33,35 @@
 
 /** A real edge node between peers on loopback sockets, with a scripted module for the decisions. */
 @Timeout(30)
-abstract class NodeFixture {
+abstract class EdgeNodeFixture {
   static final String CUSTOMER = "00000000b4d65521";
 
   /** Notes what it is told and acts by the class of a request: most go to server s0. */
-  final class Script implements PolicyEvents {
-    PolicyActions act;
+  final class ScriptedPolicy implements PolicyEvents {
+    PolicyActions actions;
 
     /** Requests that are sent once more when their first attempt has ended. */
-    private final Set<Long> again = new HashSet<>();
+    private final Set<Long> retried = new HashSet<>();
 
     /** Requests that are sent when their timer comes. */
-    private final Set<Long> later = new HashSet<>();
+    private final Set<Long> delayed = new HashSet<>();
 
     @Override
     public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {
       StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
       list.forEach(s -> text.append(' ').append(s.id()).append(' ').append(s.state()));
-      told.add(text.toString());
+      policyEvents.add(text.toString());
     }
 
     @Override
     public void discoveryFailed(double now) {
-      told.add("discovery failed");
+      policyEvents.add("discovery failed");
     }
 
     @Override
     public void requestArrived(double now, IncomingRequest r) {
-      patience = r.remainingMs();
-      told.add(
+      lastTimeBudgetMs = r.remainingMs();
+      policyEvents.add(
           "arrived "
               + r.id()
               + " "
@@ -79,33 +79,33 @@
               + " "
               + r.isClientRetry());
       switch (r.className()) {
-        case "refuse" -> act.reject(r.id(), 1500);
-        case "fail" -> act.fail(r.id());
+        case "refuse" -> actions.reject(r.id(), 1500);
+        case "fail" -> actions.fail(r.id());
         case "throw" -> throw new IllegalStateException("on purpose");
         case "hold" -> {}
-        case "stall" -> await(stall);
+        case "stall" -> await(stallLatch);
         case "later" -> {
-          later.add(r.id());
-          act.setTimer(100, r.id());
+          delayed.add(r.id());
+          actions.setTimer(100, r.id());
         }
         case "again" -> {
-          again.add(r.id());
-          act.send(r.id(), "s0", 0);
+          retried.add(r.id());
+          actions.send(r.id(), "s0", 0);
         }
         case "drop" -> {
-          act.send(r.id(), "s0", 0);
-          act.fail(r.id());
+          actions.send(r.id(), "s0", 0);
+          actions.fail(r.id());
         }
         case "count" -> {
-          act.addToCounter(77, -2.5, 4000);
-          act.addToCounter(77, 1, 4000);
+          actions.addToCounter(77, -2.5, 4000);
+          actions.addToCounter(77, 1, 4000);
         }
-        case "probe" -> act.checkHealth("s0");
+        case "probe" -> actions.checkHealth("s0");
         case "cancel" -> {
-          act.send(r.id(), "s0", 0);
-          act.setTimer(300, r.id());
+          actions.send(r.id(), "s0", 0);
+          actions.setTimer(300, r.id());
         }
-        default -> act.send(r.id(), "s0", 0);
+        default -> actions.send(r.id(), "s0", 0);
       }
     }
 
@@ -122,77 +122,77 @@
         boolean over,
         int trueUnits,
         double[] load) {
-      told.add("ended " + id + " " + attempt + " " + outcome + " " + over);
-      if (!over && again.remove(id)) {
-        act.send(id, "s0", 0);
+      policyEvents.add("ended " + id + " " + attempt + " " + outcome + " " + over);
+      if (!over && retried.remove(id)) {
+        actions.send(id, "s0", 0);
       } else if (!over) {
-        act.fail(id);
+        actions.fail(id);
       }
     }
 
     @Override
     public void clientDisconnected(double now, long id) {
-      told.add("gone " + id);
+      policyEvents.add("gone " + id);
     }
 
     @Override
     public void timerFired(double now, long token) {
-      if (failTimers-- > 0) {
+      if (timersToFail-- > 0) {
         throw new IllegalStateException("timer on purpose");
       }
-      if (later.remove(token)) {
-        told.add("timer " + token);
-        act.send(token, "s0", 0);
+      if (delayed.remove(token)) {
+        policyEvents.add("timer " + token);
+        actions.send(token, "s0", 0);
         return;
       }
-      act.cancel(token, 0);
+      actions.cancel(token, 0);
     }
 
     @Override
     public void healthCheckEnded(
         double now, String server, CallOutcome outcome, double took, double[] load) {
-      told.add("probed " + server + " " + outcome + " " + java.util.Arrays.toString(load));
+      policyEvents.add("probed " + server + " " + outcome + " " + java.util.Arrays.toString(load));
     }
 
     @Override
     public void counterCallEnded(
         double now, long name, CallOutcome outcome, double took, double total) {
-      told.add("counted " + name + " " + outcome + " " + total);
+      policyEvents.add("counted " + name + " " + outcome + " " + total);
     }
   }
 
-  final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-  final List<AutoCloseable> open = new ArrayList<>();
-  Peer app;
-  Peer discovery;
-  Peer counter;
-  Peer.Line watch;
-  Peer.Line server;
-  Node node;
-  boolean drained;
+  final BlockingQueue<String> policyEvents = new LinkedBlockingQueue<>();
+  final List<AutoCloseable> resources = new ArrayList<>();
+  FakePeer appServer;
+  FakePeer discovery;
+  FakePeer counter;
+  FakePeer.Connection watchConnection;
+  FakePeer.Connection serverConnection;
+  EdgeNode node;
+  boolean isShutDown;
 
   /** Under the node's sockets. */
   Transport transport = Transport.SOCKETS;
 
-  int sockets = 256;
-  int keepAlive = 15_000;
+  int maxDescriptors = 256;
+  int keepAliveMs = 15_000;
 
   /** Where clients come; 0 is any free port. */
-  int port;
+  int listenPort;
 
   /** The operators' own settings, as in their file; null where there are none. */
-  String own;
+  String edgeSettingsToml;
 
   /** Whether operators may call. */
-  boolean admin;
+  boolean hasAdminAddress;
 
-  volatile int failTimers;
+  volatile int timersToFail;
 
   /** How long (ms) the last request that the module was told of could be worked on. */
-  volatile double patience;
+  volatile double lastTimeBudgetMs;
 
   /** Until it falls a request of class stall keeps the loop busy. */
-  final CountDownLatch stall = new CountDownLatch(1);
+  final CountDownLatch stallLatch = new CountDownLatch(1);
 
   static void await(CountDownLatch latch) {
     try {
@@ -204,7 +204,7 @@
     }
   }
 
-  static String entry(String id, String dial, String health) {
+  static String endpointJson(String id, String dial, String health) {
     return "{\"host\":\""
         + id
         + "\",\"dial\":\""
@@ -215,7 +215,7 @@
         + "\",\"share\":1.0,\"born_ms\":0}";
   }
 
-  static String list(int seq, boolean whole, String... entries) {
+  static String endpointListJson(int seq, boolean whole, String... entries) {
     return "{\"seq\":"
         + seq
         + ",\"whole\":"
@@ -225,31 +225,31 @@
         + "]}";
   }
 
-  void push(String line) throws IOException {
-    watch.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+  void pushToWatch(String line) throws IOException {
+    watchConnection.write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
   }
 
   /**
    * The next connection that asks for a watch; looks at the list in between are left unanswered.
    */
-  Peer.Line nextWatch(Peer at, int since) throws Exception {
+  FakePeer.Connection acceptWatch(FakePeer discovery, int since) throws Exception {
     while (true) {
-      Peer.Line line = at.accept();
-      String asked = line.line();
-      while (!line.line().isEmpty()) {
-        assertTrue(line.socket.isConnected());
+      FakePeer.Connection connection = discovery.accept();
+      String requestLine = connection.readLine();
+      while (!connection.readLine().isEmpty()) {
+        assertTrue(connection.socket.isConnected());
       }
-      if (!asked.equals("GET /catalog/members HTTP/1.1")) {
-        assertEquals("GET /catalog/members?follow=1&since=" + since + " HTTP/1.1", asked);
-        return line;
+      if (!requestLine.equals("GET /catalog/members HTTP/1.1")) {
+        assertEquals("GET /catalog/members?follow=1&since=" + since + " HTTP/1.1", requestLine);
+        return connection;
       }
     }
   }
 
   void answerWatch(int since) throws Exception {
-    watch = nextWatch(discovery, since);
-    watch.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-    push("");
+    watchConnection = acceptWatch(discovery, since);
+    watchConnection.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+    pushToWatch("");
   }
 
   void answerWatch() throws Exception {
@@ -257,11 +257,11 @@
   }
 
   @BeforeEach
-  void peers() throws IOException {
-    app = new Peer();
-    discovery = new Peer();
-    counter = new Peer();
-    open.addAll(List.of(app, discovery, counter));
+  void startPeers() throws IOException {
+    appServer = new FakePeer();
+    discovery = new FakePeer();
+    counter = new FakePeer();
+    resources.addAll(List.of(appServer, discovery, counter));
   }
 
   String config() {
@@ -276,79 +276,81 @@
                 {"name":"again","effect":"idempotency_key","aim":600,"hard_limit":2000,"repeat_window":300}],
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""
         .formatted(
-            port,
-            admin ? "\"admin_addr\":\"127.0.0.1:0\"," : "",
+            listenPort,
+            hasAdminAddress ? "\"admin_addr\":\"127.0.0.1:0\"," : "",
             discovery.address(),
-            sockets,
+            maxDescriptors,
             counter.address(),
-            list(41, true, entry("s0", app.address(), "active")),
-            keepAlive);
+            endpointListJson(41, true, endpointJson("s0", appServer.address(), "active")),
+            keepAliveMs);
   }
 
-  static EdgeSettings settings(String text) throws Exception {
+  static OperatorSettings settings(String text) throws Exception {
     Path file = Files.createTempFile("edge", ".toml");
     try {
-      return EdgeSettings.read(Files.writeString(file, text), 18_000);
+      return OperatorSettings.read(Files.writeString(file, text), 18_000);
     } finally {
       Files.delete(file);
     }
   }
 
   void start() throws Exception {
-    Script script = new Script();
-    Config config = Config.of(Json.read(config()), Map.of());
+    ScriptedPolicy policy = new ScriptedPolicy();
+    NodeConfig config = NodeConfig.parse(JsonValue.parse(config()), Map.of());
     node =
-        new Node(
+        new EdgeNode(
             config,
             (settings, seed, now, actions) -> {
-              script.act = actions;
+              policy.actions = actions;
               assertEquals(4, settings.nodeCount());
               assertEquals(List.of("utilization", "outstanding"), settings.loadReportFields());
-              return script;
+              return policy;
             },
-            own == null ? null : settings(own),
-            new LoopThread(Transport.loop(), transport, Clock.system(), System.err::println));
+            edgeSettingsToml == null ? null : settings(edgeSettingsToml),
+            new NettyEdgeEventLoop(
+                Transport.newEventLoopGroup(), transport, Clock.system(), System.err::println));
     Thread watching =
         new Thread(
             () -> {
               try {
                 answerWatch();
               } catch (Exception e) {
-                told.add("watch: " + e);
+                policyEvents.add("watch: " + e);
               }
             });
     watching.start();
-    node.answerOperators();
+    node.startAdmin();
     node.start();
     watching.join();
-    server = app.accept(); // the connection made ahead
-    expect("whole s0 UP");
+    serverConnection = appServer.accept(); // the connection made ahead
+    expectPolicyEvent("whole s0 UP");
   }
 
   @AfterEach
-  void end() throws Exception {
-    for (AutoCloseable each : open) {
+  void shutDown() throws Exception {
+    for (AutoCloseable each : resources) {
       each.close();
     }
-    if (node != null && !drained) {
-      node.drain();
+    if (node != null && !isShutDown) {
+      node.shutdown();
     }
   }
 
-  Peer.Line client() throws IOException {
-    Peer.Line line = Peer.Line.to(((InetSocketAddress) node.address()).getPort());
-    open.add(line);
-    return line;
+  FakePeer.Connection connectClient() throws IOException {
+    FakePeer.Connection connection =
+        FakePeer.Connection.connect(((InetSocketAddress) node.address()).getPort());
+    resources.add(connection);
+    return connection;
   }
 
   /** A figure as operators read it; its path's parts are the names in the answer. */
   String figure(String path) throws IOException {
-    return Calls.call(node.adminAddress(), "GET /api/telemetry").values().get(path);
+    return AdminClient.call(node.adminAddress(), "GET /api/telemetry").values().get(path);
   }
 
   /** Until a figure is what it should be. */
   void figure(String path, String value) throws Exception {
-    Rig.await(
+    DiscoveryFixture.await(
         path + " " + value,
         () -> {
           try {
@@ -360,15 +362,15 @@
   }
 
   /** Has the node end, on a thread of its own, and waits until it has begun to. */
-  Thread ending() throws InterruptedException {
-    drained = true;
-    Thread draining = new Thread(node::drain);
+  Thread beginShutdown() throws InterruptedException {
+    isShutDown = true;
+    Thread draining = new Thread(node::shutdown);
     draining.start();
-    Rig.await(
+    DiscoveryFixture.await(
         "the end has begun",
         () -> {
           try {
-            return Calls.call(node.adminAddress(), "GET /api/ready").status() == 503;
+            return AdminClient.call(node.adminAddress(), "GET /api/ready").status() == 503;
           } catch (IOException e) {
             throw new AssertionError(e);
           }
@@ -376,17 +378,21 @@
     return draining;
   }
 
-  static void get(Peer.Line client, String id, String type, int wait) throws IOException {
-    client.command(
-        "CALL.GET", CUSTOMER, id, "c=" + type + ",t=p,d=" + wait + ",units=2,spread=3,first=1");
+  static void sendGet(FakePeer.Connection client, String id, String className, int waitMs)
+      throws IOException {
+    client.writeCommand(
+        "CALL.GET",
+        CUSTOMER,
+        id,
+        "c=" + className + ",t=p,d=" + waitMs + ",units=2,spread=3,first=1");
   }
 
   /** The next thing told to the module. */
-  void expect(String text) throws InterruptedException {
-    assertEquals(text, told.poll(10, TimeUnit.SECONDS));
+  void expectPolicyEvent(String event) throws InterruptedException {
+    assertEquals(event, policyEvents.poll(10, TimeUnit.SECONDS));
   }
 
-  void arrived(int id, String type) throws InterruptedException {
-    expect("arrived " + id + " " + type + " p " + CUSTOMER + " 2 3 1 false");
+  void expectArrival(int id, String className) throws InterruptedException {
+    expectPolicyEvent("arrived " + id + " " + className + " p " + CUSTOMER + " 2 3 1 false");
   }
 }
--- a/src/test/java/edgenode/node/Peer.java
+++ b/src/test/java/edgenode/node/FakePeer.java
@@ -18,55 +18,55 @@
  * The other side for tests: plain blocking sockets of the loopback address; the test reads and
  * writes.
  */
-public final class Peer implements Closeable {
+public final class FakePeer implements Closeable {
   /** One connection, with the commands or lines that are read from it by hand. */
-  public static final class Line implements Closeable {
+  public static final class Connection implements Closeable {
     final Socket socket;
-    final InputStream in;
+    final InputStream input;
 
-    Line(Socket socket) throws IOException {
+    Connection(Socket socket) throws IOException {
       this.socket = socket;
       socket.setSoTimeout(10_000);
-      in = new BufferedInputStream(socket.getInputStream());
+      input = new BufferedInputStream(socket.getInputStream());
     }
 
     public Socket socket() {
       return socket;
     }
 
-    public static Line to(int port) throws IOException {
-      return new Line(new Socket(InetAddress.getLoopbackAddress(), port));
+    public static Connection connect(int port) throws IOException {
+      return new Connection(new Socket(InetAddress.getLoopbackAddress(), port));
     }
 
-    public String line() throws IOException {
+    public String readLine() throws IOException {
       StringBuilder text = new StringBuilder();
-      for (int c = in.read(); c != '\n'; c = in.read()) {
-        if (c < 0) {
+      for (int character = input.read(); character != '\n'; character = input.read()) {
+        if (character < 0) {
           throw new EOFException();
         }
-        text.append((char) c);
+        text.append((char) character);
       }
       return text.toString().replace("\r", "");
     }
 
     /** Reads one RESP message: an array as its parts, a bulk string as one part, else the line. */
-    public List<String> message() throws IOException {
-      String head = line();
+    public List<String> readMessage() throws IOException {
+      String header = readLine();
       List<String> parts = new ArrayList<>();
-      if (head.startsWith("*")) {
-        for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
-          parts.addAll(message());
+      if (header.startsWith("*")) {
+        for (int i = Integer.parseInt(header.substring(1)); i > 0; i--) {
+          parts.addAll(readMessage());
         }
-      } else if (head.startsWith("$")) {
-        int length = Integer.parseInt(head.substring(1));
-        if (length < 0) {
+      } else if (header.startsWith("$")) {
+        int lengthBytes = Integer.parseInt(header.substring(1));
+        if (lengthBytes < 0) {
           parts.add(null);
           return parts;
         }
-        byte[] value = in.readNBytes(length + 2);
+        byte[] value = input.readNBytes(lengthBytes + 2);
         parts.add(new String(value, 0, value.length - 2, StandardCharsets.ISO_8859_1));
       } else {
-        parts.add(head);
+        parts.add(header);
       }
       return parts;
     }
@@ -75,7 +75,7 @@
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    public void command(String... words) throws IOException {
+    public void writeCommand(String... words) throws IOException {
       StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
       for (String word : words) {
         text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
@@ -84,13 +84,13 @@
     }
 
     /** An app server's answer. */
-    void value(String value) throws IOException {
+    void writeAppServerValue(String value) throws IOException {
       write("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
     }
 
-    public boolean ended() throws IOException {
+    public boolean isClosedByPeer() throws IOException {
       try {
-        return in.read() < 0;
+        return input.read() < 0;
       } catch (java.net.SocketException reset) {
         return true;
       }
@@ -104,18 +104,18 @@
 
   private final ServerSocket server;
   private final Thread accepting;
-  private final BlockingQueue<Line> accepted = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Connection> accepted = new LinkedBlockingQueue<>();
 
-  Peer() throws IOException {
+  FakePeer() throws IOException {
     server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     accepting =
         new Thread(
             () -> {
               try {
                 while (true) {
-                  accepted.add(new Line(server.accept()));
+                  accepted.add(new Connection(server.accept()));
                 }
-              } catch (IOException closed) {
+              } catch (IOException e) {
                 // the test is over
               }
             });
@@ -131,17 +131,17 @@
     return "127.0.0.1:" + port();
   }
 
-  Line accept() throws InterruptedException {
-    Line line = accepted.poll(10, java.util.concurrent.TimeUnit.SECONDS);
-    if (line == null) {
+  Connection accept() throws InterruptedException {
+    Connection connection = accepted.poll(10, java.util.concurrent.TimeUnit.SECONDS);
+    if (connection == null) {
       throw new AssertionError("no connection came");
     }
-    return line;
+    return connection;
   }
 
   /** A connection that comes within so many milliseconds, or null. */
-  Line poll(long wait) throws InterruptedException {
-    return accepted.poll(wait, java.util.concurrent.TimeUnit.MILLISECONDS);
+  Connection poll(long waitMs) throws InterruptedException {
+    return accepted.poll(waitMs, java.util.concurrent.TimeUnit.MILLISECONDS);
   }
 
   @Override
@@ -152,8 +152,8 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    for (Line line : accepted) {
-      line.close();
+    for (Connection connection : accepted) {
+      connection.close();
     }
   }
 }
--- a/src/test/java/edgenode/node/DescriptorsTest.java
+++ b/src/test/java/edgenode/node/FileDescriptorLimitTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.emulator.Agent;
-import edgenode.emulator.AppServer;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.emulator.ThreadedAppServerEmulator;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -32,17 +32,17 @@
  * discovery, counter and app servers stays free.
  */
 @Timeout(90)
-class DescriptorsTest {
+class FileDescriptorLimitTest {
   private static final String CUSTOMER = "00000000b4d65521";
-  private static final int HELD = 60;
+  private static final int MAX_WAITING_REQUESTS = 60;
 
   /** Names at one address: each has connections of its own. */
-  private static final int SERVERS = 12;
+  private static final int ENDPOINTS = 12;
 
   private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-  private final List<AutoCloseable> open = new ArrayList<>();
+  private final List<AutoCloseable> resources = new ArrayList<>();
   private int port;
-  private int ids;
+  private int lastRequestId;
 
   private Process start(Path folder, int limit, String agent, String counter) throws Exception {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -88,48 +88,48 @@
     return process;
   }
 
-  private Peer.Line client() throws IOException {
-    Peer.Line line = Peer.Line.to(port);
-    line.socket.setSoTimeout(40_000);
-    open.add(line);
-    return line;
+  private FakePeer.Connection connectClient() throws IOException {
+    FakePeer.Connection connection = FakePeer.Connection.connect(port);
+    connection.socket.setSoTimeout(40_000);
+    resources.add(connection);
+    return connection;
   }
 
-  private boolean serves() {
-    try (Peer.Line line = Peer.Line.to(port)) {
-      line.command("PING");
-      return line.message().get(0).equals("+PONG");
+  private boolean isServing() {
+    try (FakePeer.Connection connection = FakePeer.Connection.connect(port)) {
+      connection.writeCommand("PING");
+      return connection.readMessage().get(0).equals("+PONG");
     } catch (IOException e) {
       return false;
     }
   }
 
-  private void ask(Peer.Line line) throws IOException {
-    line.command(
+  private void sendRequest(FakePeer.Connection connection) throws IOException {
+    connection.writeCommand(
         "CALL.GET",
         CUSTOMER,
-        Integer.toHexString(++ids),
+        Integer.toHexString(++lastRequestId),
         "c=read,t=p,d=30000,units=1,spread=1,first=0");
   }
 
   /** A request that is asked once more where its connection ended unread, as clients do. */
-  private String asked() throws IOException {
-    for (int turn = 0; ; turn++) {
-      Peer.Line line = client();
+  private String sendUntilAnswered() throws IOException {
+    for (int attempt = 0; ; attempt++) {
+      FakePeer.Connection connection = connectClient();
       try {
-        ask(line);
-        return line.message().get(0);
+        sendRequest(connection);
+        return connection.readMessage().get(0);
       } catch (IOException e) {
-        if (turn == 20) {
+        if (attempt == 20) {
           throw e;
         }
       }
     }
   }
 
-  private static long descriptors(Process process) throws IOException {
-    try (Stream<Path> all = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
-      return all.count();
+  private static long countDescriptors(Process process) throws IOException {
+    try (Stream<Path> files = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
+      return files.count();
     }
   }
 
@@ -137,12 +137,12 @@
    * Those that stay, whatever becomes of their connections: idle ones after a PING, and silent
    * ones.
    */
-  private void crowd(int clients) throws IOException {
+  private void connectCrowd(int clients) throws IOException {
     for (int i = 0; i < clients; i++) {
-      Peer.Line line = client();
+      FakePeer.Connection connection = connectClient();
       if (i % 2 == 0) {
         try {
-          line.command("PING");
+          connection.writeCommand("PING");
         } catch (IOException e) {
           continue; // shut unread
         }
@@ -152,63 +152,77 @@
 
   @ParameterizedTest
   @ValueSource(ints = {160, 256, 1024})
-  void aCrowdLeavesFreeWhatTheNodeNeeds(int limit, @TempDir Path folder) throws Exception {
-    CountDownLatch gate = new CountDownLatch(1);
-    AtomicInteger held = new AtomicInteger();
-    AtomicInteger elsewhere = new AtomicInteger();
-    Agent first = new Agent(40);
-    try (Peer counter = new Peer();
-        AppServer app =
-            new AppServer(
+  void crowdOfClientsLeavesReservedDescriptorsFree(int limit, @TempDir Path folder)
+      throws Exception {
+    CountDownLatch releaseResponses = new CountDownLatch(1);
+    AtomicInteger heldRequests = new AtomicInteger();
+    AtomicInteger requestsAtOtherServer = new AtomicInteger();
+    DiscoveryAgentEmulator firstDiscovery = new DiscoveryAgentEmulator(40);
+    try (FakePeer counter = new FakePeer();
+        ThreadedAppServerEmulator appServer =
+            new ThreadedAppServerEmulator(
                 at -> {
-                  held.incrementAndGet();
+                  heldRequests.incrementAndGet();
                   try {
-                    gate.await();
+                    releaseResponses.await();
                   } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
                 });
-        AppServer other = new AppServer(at -> elsewhere.incrementAndGet())) {
-      for (int i = 0; i < SERVERS; i++) {
-        first.set(new Agent.Host("s" + i, app.address(), "active", 0));
+        ThreadedAppServerEmulator otherAppServer =
+            new ThreadedAppServerEmulator(at -> requestsAtOtherServer.incrementAndGet())) {
+      for (int i = 0; i < ENDPOINTS; i++) {
+        firstDiscovery.set(
+            new DiscoveryAgentEmulator.Host("s" + i, appServer.address(), "active", 0));
       }
-      int at = Integer.parseInt(first.address().substring(first.address().indexOf(':') + 1));
-      Process process = start(folder, limit, first.address(), counter.address());
+      int at =
+          Integer.parseInt(
+              firstDiscovery.address().substring(firstDiscovery.address().indexOf(':') + 1));
+      Process process = start(folder, limit, firstDiscovery.address(), counter.address());
       try {
-        Rig.await("the node serves", this::serves);
-        long alone = descriptors(process);
-        List<Peer.Line> waiting = new ArrayList<>();
-        for (int i = 0; i < Math.min(HELD, limit / 6); i++) {
-          Peer.Line line = client();
-          ask(line);
-          waiting.add(line);
+        DiscoveryFixture.await("the node serves", this::isServing);
+        long descriptorsAtStart = countDescriptors(process);
+        List<FakePeer.Connection> waiting = new ArrayList<>();
+        for (int i = 0; i < Math.min(MAX_WAITING_REQUESTS, limit / 6); i++) {
+          FakePeer.Connection connection = connectClient();
+          sendRequest(connection);
+          waiting.add(connection);
         }
-        Rig.await("some are held", () -> held.get() > 0);
-        first.close(); // what it held in the node is free now, and the crowd takes what it can
-        crowd(2 * limit);
-        long most = descriptors(process);
-        try (Agent back = new Agent("127.0.0.1", at, 50)) {
-          for (int i = 0; i < SERVERS; i++) {
-            back.set(new Agent.Host("s" + i, app.address(), "leaving", 0));
+        DiscoveryFixture.await("some are held", () -> heldRequests.get() > 0);
+        firstDiscovery
+            .close(); // what it held in the node is free now, and the crowd takes what it can
+        connectCrowd(2 * limit);
+        long maxDescriptors = countDescriptors(process);
+        try (DiscoveryAgentEmulator secondDiscovery =
+            new DiscoveryAgentEmulator("127.0.0.1", at, 50)) {
+          for (int i = 0; i < ENDPOINTS; i++) {
+            secondDiscovery.set(
+                new DiscoveryAgentEmulator.Host("s" + i, appServer.address(), "leaving", 0));
           }
-          back.set(new Agent.Host("other", other.address(), "active", 0));
-          long since = System.nanoTime();
-          crowd(limit / 4);
-          Rig.await("the list is asked for" + log, () -> back.requests() > 0);
+          secondDiscovery.set(
+              new DiscoveryAgentEmulator.Host("other", otherAppServer.address(), "active", 0));
+          long sinceNanos = System.nanoTime();
+          connectCrowd(limit / 4);
+          DiscoveryFixture.await(
+              "the list is asked for" + log, () -> secondDiscovery.requests() > 0);
           for (int i = 0; i < 10; i++) {
-            assertEquals("ok", asked());
+            assertEquals("ok", sendUntilAnswered());
           }
-          most = Math.max(most, descriptors(process));
+          maxDescriptors = Math.max(maxDescriptors, countDescriptors(process));
           System.out.printf(
               "limit of %d descriptors: %d at the start, %d at most, list "
                   + "and ten answers after %.0f ms, %d held at app servers%n",
-              limit, alone, most, (System.nanoTime() - since) / 1e6, held.get());
-          assertTrue(elsewhere.get() >= 10, "the new list's server has them");
-          gate.countDown();
-          for (Peer.Line line : waiting) { // none is lost that was taken
-            assertEquals("ok", line.message().get(0));
+              limit,
+              descriptorsAtStart,
+              maxDescriptors,
+              (System.nanoTime() - sinceNanos) / 1e6,
+              heldRequests.get());
+          assertTrue(requestsAtOtherServer.get() >= 10, "the new list's server has them");
+          releaseResponses.countDown();
+          for (FakePeer.Connection connection : waiting) { // none is lost that was taken
+            assertEquals("ok", connection.readMessage().get(0));
           }
-          assertTrue(most < limit, most + " of " + limit);
+          assertTrue(maxDescriptors < limit, maxDescriptors + " of " + limit);
           assertTrue(
               log.stream().noneMatch(l -> l.contains("Too many open files")), log.toString());
         }
@@ -217,10 +231,10 @@
             "limit " + limit + ", the node " + (process.isAlive() ? "lives " : "has ended ") + log,
             e);
       } finally {
-        gate.countDown();
+        releaseResponses.countDown();
         process.destroyForcibly();
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : resources) {
           each.close();
         }
       }
--- a/src/test/java/edgenode/node/WarmupTest.java
+++ b/src/test/java/edgenode/node/JitWarmUpTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.config.Config;
-import edgenode.config.Json;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.IncomingRequest;
 import edgenode.policy.PolicyEvents;
@@ -16,12 +16,12 @@
 /**
  * The warm-up must go the ordinary path to its end: a module that is never answered warms little.
  */
-class WarmupTest {
+class JitWarmUpTest {
   @Test
-  void eachClassArrivesAndEnds() throws Exception {
-    Config config =
-        Config.of(
-            Json.read(
+  void eachRequestClassArrivesAndEnds() throws Exception {
+    NodeConfig config =
+        NodeConfig.parse(
+            JsonValue.parse(
                 """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","name":"n",
              "settings":{"rank":0,"group_size":1,
@@ -31,7 +31,7 @@
             Map.of());
     Set<String> seen = new TreeSet<>();
     int[] ended = {0};
-    Warmup.run(
+    JitWarmUp.run(
         config.settings(),
         (settings, seed, now, act) ->
             (PolicyEvents)
--- /dev/null
+++ b/src/test/java/edgenode/node/MalformedResponseTest.java
@@ -0,0 +1,273 @@
+package edgenode.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Answers of app servers and of the counter that are spoilt, or bring more than belongs to them.
+ */
+class MalformedResponseTest extends EdgeNodeFixture {
+  private FakePeer.Connection sendAndAcceptNext(FakePeer.Connection client, int id)
+      throws Exception {
+    sendGet(client, "0" + id, "read", 5000);
+    expectArrival(id, "read");
+    FakePeer.Connection connection = appServer.accept();
+    assertEquals("0" + id, connection.readMessage().get(2));
+    return connection;
+  }
+
+  /** A second copy, or half a message, right behind an answer is not the next request's value. */
+  @Test
+  void trailingBytesCloseTheConnection() throws Exception {
+    start();
+    FakePeer.Connection client = connectClient();
+    sendGet(client, "01", "read", 5000);
+    expectArrival(1, "read");
+    serverConnection.readMessage();
+    String[] trailers = {"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n", "*3\r\n$3", "noise"};
+    FakePeer.Connection connection = serverConnection;
+    for (int i = 1; i <= trailers.length; i++) {
+      connection.write("*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n" + trailers[i - 1]);
+      assertEquals(List.of("one"), client.readMessage());
+      expectPolicyEvent("ended " + i + " 0 OK true");
+      assertTrue(connection.isClosedByPeer(), trailers[i - 1]);
+      connection = sendAndAcceptNext(client, i + 1);
+    }
+    connection.writeAppServerValue("own");
+    assertEquals(List.of("own"), client.readMessage());
+  }
+
+  /**
+   * A second answer some milliseconds late was taken for the next request's, which went out on the
+   * connection 2 ms after the first. A round counts in which this machine was quick enough to have
+   * it come within 8 ms.
+   */
+  @Test
+  void lateDuplicateResponseIsNotUsedForNextRequest() throws Exception {
+    start();
+    FakePeer.Connection client = connectClient();
+    FakePeer.Connection connection = serverConnection;
+    sendGet(client, "01", "read", 5000);
+    connection.readMessage();
+    int counted = 0;
+    for (int id = 2; counted < 3 && id < 100; id++) {
+      long from = System.nanoTime();
+      connection.writeAppServerValue("one");
+      assertEquals(List.of("one"), client.readMessage());
+      sendGet(client, "0" + id, "read", 5000);
+      Thread.sleep(5); // it is late by so much: that is what is tested
+      connection.writeAppServerValue("one");
+      if (System.nanoTime() - from >= 8_000_000) { // the next may have gone out on it: begin anew
+        connection.close();
+        client = connectClient();
+        sendGet(client, "x" + id, "read", 5000);
+        connection = connectionCarrying("x" + id);
+        continue;
+      }
+      counted++;
+      connection = connectionCarrying("0" + id);
+    }
+    connection.writeAppServerValue("own");
+    assertEquals(List.of("own"), client.readMessage());
+    assertEquals(3, counted, "this machine is too slow to tell");
+  }
+
+  /** The connection on which this request comes. */
+  private FakePeer.Connection connectionCarrying(String id) throws Exception {
+    while (true) {
+      FakePeer.Connection connection = appServer.accept();
+      if (id.equals(connection.readMessage().get(2))) {
+        return connection;
+      }
+    }
+  }
+
+  /** Also when nothing is asked on the connection: the decoder keeps half a message to itself. */
+  @Test
+  void bytesOnIdleConnectionCloseIt() throws Exception {
+    start();
+    serverConnection.write("*3\r\n$5\r\nst");
+    assertTrue(serverConnection.isClosedByPeer());
+    FakePeer.Connection connection = sendAndAcceptNext(connectClient(), 1);
+    connection.writeAppServerValue("v");
+    expectPolicyEvent("ended 1 0 OK true");
+  }
+
+  /** It may have run, and what comes next on the connection belongs to nobody. */
+  @Test
+  void malformedResponseIsAnErrorAndClosesConnection() throws Exception {
+    start();
+    serverConnection.close();
+    FakePeer.Connection client = connectClient();
+    String[] forms = {
+      "*-1\r\n",
+      "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+      "+OK\r\n",
+      ":1\r\n",
+      "$3\r\nabc\r\n",
+      "*4\r\n$1\r\na\r\n$-1\r\n$-1\r\n$-1\r\n",
+      "*2\r\n$1\r\na\r\n$-1\r\n",
+      "-BUSYNESS\r\n",
+      "noise\r\n",
+      "*3\r\n$3\r\nabcde\r\n$-1\r\n$-1\r\n",
+      "*3\r\n$3000000000\r\nabc",
+      "*3\r\n$-7\r\n"
+    };
+    for (int i = 1; i <= forms.length; i++) {
+      FakePeer.Connection connection = sendAndAcceptNext(client, i);
+      connection.write(forms[i - 1]);
+      expectPolicyEvent("ended " + i + " 0 ERROR false");
+      assertEquals(List.of("-ERR failed"), client.readMessage());
+      assertTrue(connection.isClosedByPeer(), forms[i - 1]);
+    }
+  }
+
+  /**
+   * A value whose length is longer than what comes kept its request until the client's time was up.
+   */
+  @Test
+  void invalidResponseLengthFailsAtOnce() throws Exception {
+    start();
+    FakePeer.Connection client = connectClient();
+    sendGet(client, "01", "read", 60_000);
+    expectArrival(1, "read");
+    serverConnection.readMessage();
+    serverConnection.write("*3\r\n$50\r\nabc\r\n$-1\r\n$-1\r\n");
+    expectPolicyEvent("ended 1 0 ERROR false");
+    assertEquals(List.of("-ERR failed"), client.readMessage());
+    assertTrue(serverConnection.isClosedByPeer());
+  }
+
+  /** A report that cannot be read spoils no value, and the connection is as good as before. */
+  @Test
+  void malformedLoadReportDoesNotAffectValue() throws Exception {
+    start();
+    FakePeer.Connection client = connectClient();
+    for (int i = 1; i <= 2; i++) {
+      sendGet(client, "0" + i, "read", 5000);
+      expectArrival(i, "read");
+      serverConnection.readMessage();
+      serverConnection.write("*3\r\n$1\r\nv\r\n$2\r\n?%\r\n$12\r\nutil=x,=,,ab\r\n");
+      expectPolicyEvent("ended " + i + " 0 OK true");
+      assertEquals(List.of("v"), client.readMessage());
+    }
+  }
+
+  /**
+   * No number in it: the amount was added; the line is of no use, and NaN would stay in all sums.
+   */
+  @Test
+  void nonNumericCounterResponseClosesConnection() throws Exception {
+    start();
+    List<FakePeer.Connection> connections = new ArrayList<>();
+    for (int i = 0; i < 4; i++) {
+      connections.add(counter.accept());
+    }
+    FakePeer.Connection client = connectClient();
+    FakePeer.Connection connection = connections.get((int) Math.floorMod(77L, 4L));
+    String[] malformed = {
+      "$3\r\nNaN\r\n",
+      "$8\r\nInfinity\r\n",
+      "$3\r\n3x4\r\n",
+      "$-1\r\n",
+      ":5\r\n",
+      "+OK\r\n",
+      "noise\r\n",
+      "$4\r\n0x1p\r\n",
+      "$9\r\n12"
+    };
+    for (int i = 1; i <= malformed.length; i++) {
+      sendGet(client, "0" + i, "count", 5000);
+      expectArrival(i, "count");
+      for (List<String> words = connection.readMessage();
+          words.get(0).equals("PING");
+          words = connection.readMessage()) {
+        connection.write("+PONG\r\n");
+      }
+      connection.write(malformed[i - 1]);
+      expectPolicyEvent("counted 77 ERROR 0.0");
+      expectPolicyEvent("counted 77 RESET 0.0"); // the second call was behind it
+      connection = counter.accept();
+    }
+  }
+
+  /**
+   * The library tells of half an array behind the end of its line: no exception may leave the
+   * handler.
+   */
+  @Test
+  void partialArrayAtConnectionEndIsHarmless() throws Exception {
+    List<String> warned = new java.util.concurrent.CopyOnWriteArrayList<>();
+    java.util.logging.Logger library = java.util.logging.Logger.getLogger("io.netty");
+    java.util.logging.Handler noting =
+        new java.util.logging.Handler() {
+          @Override
+          public void publish(java.util.logging.LogRecord record) {
+            warned.add(record.getMessage());
+          }
+
+          @Override
+          public void flush() {}
+
+          @Override
+          public void close() {}
+        };
+    library.addHandler(noting);
+    try {
+      start();
+      List<FakePeer.Connection> connections = new ArrayList<>();
+      for (int i = 0; i < 4; i++) {
+        connections.add(counter.accept());
+      }
+      FakePeer.Connection client = connectClient();
+      sendGet(client, "01", "count", 5000);
+      expectArrival(1, "count");
+      FakePeer.Connection connection = connections.get((int) Math.floorMod(77L, 4L));
+      connection.readMessage();
+      connection.readMessage();
+      connection.write("*2\r\n$1\r\n5\r\n");
+      connection.close();
+      expectPolicyEvent("counted 77 RESET 0.0");
+      expectPolicyEvent("counted 77 RESET 0.0");
+      sendGet(client, "02", "count", 5000);
+      expectArrival(2, "count");
+      connection = counter.accept();
+      assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), connection.readMessage());
+      connection.readMessage();
+      connection.write("$1\r\n5\r\n$1\r\n6\r\n");
+      expectPolicyEvent("counted 77 OK 5.0");
+      expectPolicyEvent("counted 77 OK 6.0");
+      assertEquals(List.of(), warned);
+    } finally {
+      library.removeHandler(noting);
+    }
+  }
+
+  /** A line that was reset was down for 100 ms, and all calls of its names were lost. */
+  @Test
+  void brokenCounterConnectionReconnectsAtOnce() throws Exception {
+    start();
+    List<FakePeer.Connection> connections = new ArrayList<>();
+    for (int i = 0; i < 4; i++) {
+      connections.add(counter.accept());
+    }
+    FakePeer.Connection client = connectClient();
+    sendGet(client, "01", "count", 5000);
+    expectArrival(1, "count");
+    connections.get((int) Math.floorMod(77L, 4L)).close();
+    expectPolicyEvent("counted 77 RESET 0.0");
+    expectPolicyEvent("counted 77 RESET 0.0");
+    sendGet(client, "02", "count", 5000);
+    expectArrival(2, "count");
+    FakePeer.Connection connection = counter.accept();
+    assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), connection.readMessage());
+    connection.readMessage();
+    connection.write("$1\r\n5\r\n$1\r\n6\r\n");
+    expectPolicyEvent("counted 77 OK 5.0");
+    expectPolicyEvent("counted 77 OK 6.0");
+  }
+}
--- a/src/test/java/edgenode/node/QuietEvents.java
+++ b/src/test/java/edgenode/node/NoOpPolicyEvents.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** A module for tests that does nothing of itself: each test says what it is about. */
-public abstract class QuietEvents implements PolicyEvents {
+public abstract class NoOpPolicyEvents implements PolicyEvents {
   @Override
   public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {}
 
--- a/src/test/java/edgenode/node/LastingTest.java
+++ b/src/test/java/edgenode/node/PersistentIdempotencyKeysTest.java
@@ -23,28 +23,29 @@
  * Idempotency keys through crashes: a real process is killed under load, before a server that would
  * enrol twice.
  */
-class LastingTest extends NodeFixture {
+class PersistentIdempotencyKeysTest extends EdgeNodeFixture {
   private static final int STUDENTS = 8;
   private static final int CRASHES = 3;
-  private static final String MEMORY = "[repeats]\nenabled = true\nkeep_ms = 30000\n";
+  private static final String IN_MEMORY_SETTINGS = "[repeats]\nenabled = true\nkeep_ms = 30000\n";
   private final Map<String, AtomicInteger> enrolments = new ConcurrentHashMap<>();
-  private final AtomicInteger answered = new AtomicInteger();
-  private final AtomicInteger unknown = new AtomicInteger();
-  private volatile boolean ending;
+  private final AtomicInteger answeredRequests = new AtomicInteger();
+  private final AtomicInteger unknownOutcomes = new AtomicInteger();
+  private volatile boolean isFinished;
   @TempDir private Path folder;
 
   /** Answers each connection that comes. */
-  private void answers(Peer peer, boolean enrols) {
+  private void acceptConnections(FakePeer peer, boolean countsEnrolments) {
     Thread accepting =
         new Thread(
             () -> {
-              while (!ending) {
+              while (!isFinished) {
                 try {
-                  Peer.Line line = peer.poll(100);
-                  if (line != null) {
-                    Thread one = new Thread(() -> answer(line, enrols));
-                    one.setDaemon(true);
-                    one.start();
+                  FakePeer.Connection connection = peer.poll(100);
+                  if (connection != null) {
+                    Thread serving =
+                        new Thread(() -> serveConnection(connection, countsEnrolments));
+                    serving.setDaemon(true);
+                    serving.start();
                   }
                 } catch (InterruptedException e) {
                   return;
@@ -55,19 +56,19 @@
     accepting.start();
   }
 
-  private void answer(Peer.Line line, boolean enrols) {
+  private void serveConnection(FakePeer.Connection connection, boolean countsEnrolments) {
     Random random = new Random(1);
     try {
-      line.socket.setSoTimeout(0);
+      connection.socket.setSoTimeout(0);
       while (true) {
-        List<String> words = line.message();
+        List<String> words = connection.readMessage();
         if (!words.get(0).startsWith("CALL.")) {
-          line.write("+PONG\r\n");
-        } else if (enrols) {
+          connection.write("+PONG\r\n");
+        } else if (countsEnrolments) {
           String key = words.get(3).replaceAll(".*k=([^,]*).*", "$1");
           enrolments.computeIfAbsent(key, k -> new AtomicInteger()).incrementAndGet();
           Thread.sleep(random.nextInt(30));
-          line.value("seat of " + key);
+          connection.writeAppServerValue("seat of " + key);
         }
       }
     } catch (IOException | InterruptedException e) {
@@ -76,23 +77,23 @@
   }
 
   /** Presses until an answer comes, with one key after the other. */
-  private void student(int who, int port) {
-    for (int i = 0; !ending; i++) {
-      String key = who + "-" + i;
-      for (int press = 0; !ending; press++) {
-        try (Peer.Line line = Peer.Line.to(port)) {
-          line.command(
+  private void submitUntilAnswered(int student, int port) {
+    for (int i = 0; !isFinished; i++) {
+      String key = student + "-" + i;
+      for (int press = 0; !isFinished; press++) {
+        try (FakePeer.Connection connection = FakePeer.Connection.connect(port)) {
+          connection.writeCommand(
               "CALL.POST",
               CUSTOMER,
-              "e" + who + "x" + i + "x" + press,
+              "e" + student + "x" + i + "x" + press,
               "c=write,t=p,d=2000,k=" + key + ",units=1,spread=1,first=0",
               "seat 7");
-          String answer = line.message().get(0);
-          if (answer.startsWith("-BUSY")) {
+          String response = connection.readMessage().get(0);
+          if (response.startsWith("-BUSY")) {
             continue;
           }
-          unknown.addAndGet(answer.contains("not known") ? 1 : 0);
-          answered.incrementAndGet();
+          unknownOutcomes.addAndGet(response.contains("not known") ? 1 : 0);
+          answeredRequests.incrementAndGet();
           break;
         } catch (IOException e) {
           pause(); // the node is away: the student presses again
@@ -109,26 +110,26 @@
     }
   }
 
-  private String lasting() {
-    return MEMORY + "[store]\nfolder = \"" + folder.resolve("store") + "\"\n";
+  private String persistentSettings() {
+    return IN_MEMORY_SETTINGS + "[store]\nfolder = \"" + folder.resolve("store") + "\"\n";
   }
 
   /** Returns how many keys were enrolled more than once. */
-  private long killedUnderLoad(String settings) throws Exception {
+  private long duplicatesAfterKillsUnderLoad(String settings) throws Exception {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = free.getLocalPort();
+      listenPort = free.getLocalPort();
     }
-    answers(app, true);
-    answers(counter, false);
+    acceptConnections(appServer, true);
+    acceptConnections(counter, false);
     Path config =
         Files.writeString(
             folder.resolve("config.json"),
             config().replace("\"per_second\":8,\"depth\":8", "\"per_second\":8000,\"depth\":8000"));
-    Path own = Files.writeString(folder.resolve("edge.toml"), settings);
+    Path settingsFile = Files.writeString(folder.resolve("edge.toml"), settings);
     List<Thread> students = new ArrayList<>();
-    for (int who = 0; who < STUDENTS; who++) {
-      int me = who;
-      students.add(new Thread(() -> student(me, port)));
+    for (int number = 0; number < STUDENTS; number++) {
+      int student = number;
+      students.add(new Thread(() -> submitUntilAnswered(student, listenPort)));
     }
     students.forEach(Thread::start);
     for (int round = 0; round <= CRASHES; round++) {
@@ -141,19 +142,21 @@
               "edgenode.Main",
               "serve",
               "--settings",
-              own.toString());
+              settingsFile.toString());
       start.environment().put("EDGE_CONFIG", config.toString());
       Process process =
           start.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
       try {
-        int until = answered.get() + 150;
-        Rig.await("answers, round " + round, () -> answered.get() >= until || !process.isAlive());
+        int answersToAwait = answeredRequests.get() + 150;
+        DiscoveryFixture.await(
+            "answers, round " + round,
+            () -> answeredRequests.get() >= answersToAwait || !process.isAlive());
         assertTrue(process.isAlive(), Files.readString(folder.resolve("log")));
       } finally {
         process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
       }
     }
-    ending = true;
+    isFinished = true;
     for (Thread t : students) {
       t.join(TimeUnit.SECONDS.toMillis(10));
     }
@@ -162,41 +165,42 @@
 
   @Timeout(90)
   @Test
-  void nobodyIsEnrolledTwiceHoweverOftenTheNodeIsKilled() throws Exception {
-    assertEquals(0, killedUnderLoad(lasting()));
-    assertTrue(unknown.get() > 0, "a request was running at a crash, and its student was told so");
+  void noDuplicateEnrolmentWhenNodeIsKilledRepeatedly() throws Exception {
+    assertEquals(0, duplicatesAfterKillsUnderLoad(persistentSettings()));
+    assertTrue(
+        unknownOutcomes.get() > 0, "a request was running at a crash, and its student was told so");
   }
 
   /** The test of the test: with keys in memory only, those that ran at a crash run again. */
   @Timeout(90)
   @Test
-  void withoutAStoreACrashEnrolsTwice() throws Exception {
-    assertTrue(killedUnderLoad(MEMORY) > 0);
+  void withoutAStoreACrashCausesDuplicates() throws Exception {
+    assertTrue(duplicatesAfterKillsUnderLoad(IN_MEMORY_SETTINGS) > 0);
   }
 
   @Test
-  void answersAreGivenAgainAfterAGoodEndAndSettingsAreChecked() throws Exception {
-    admin = true;
-    own = lasting();
+  void responsesAreReplayedAfterGracefulShutdown() throws Exception {
+    hasAdminAddress = true;
+    edgeSettingsToml = persistentSettings();
     for (int round = 0; round < 2; round++) {
       start();
-      Peer.Line client = client();
-      client.command(
+      FakePeer.Connection client = connectClient();
+      client.writeCommand(
           "CALL.POST",
           CUSTOMER,
           "e" + round,
           "c=write,t=p,d=900,k=1,units=1,spread=1,first=0",
           "7");
       if (round == 0) {
-        assertEquals("e0", server.message().get(2));
-        server.value("done");
+        assertEquals("e0", serverConnection.readMessage().get(2));
+        serverConnection.writeAppServerValue("done");
       }
-      assertEquals(List.of("done"), client.message());
+      assertEquals(List.of("done"), client.readMessage());
       assertEquals("serving", figure("/store/state"));
       client.close();
-      node.drain();
-      told.clear();
+      node.shutdown();
+      policyEvents.clear();
     }
-    drained = true;
+    isShutDown = true;
   }
 }
--- a/src/test/java/edgenode/node/ReloadTest.java
+++ b/src/test/java/edgenode/node/ReloadTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.config.Config;
-import edgenode.config.ConfigFile;
-import edgenode.config.Json;
+import edgenode.config.ConfigFileWatcher;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,40 +18,44 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** SIGHUP and new configurations while the edge node runs. */
-class ReloadTest extends NodeFixture {
+class ReloadTest extends EdgeNodeFixture {
   @TempDir Path folder;
 
-  private Config moved(Peer toDiscovery, Peer toCounter) throws IOException {
-    return Config.of(
-        Json.read(
+  private NodeConfig configWithAddresses(FakePeer toDiscovery, FakePeer toCounter)
+      throws IOException {
+    return NodeConfig.parse(
+        JsonValue.parse(
             config()
                 .replace(discovery.address(), toDiscovery.address())
                 .replace(counter.address(), toCounter.address())),
         Map.of());
   }
 
-  private static void answerLists(Peer.Line line, String list) throws IOException {
+  private static void answerListRequest(FakePeer.Connection connection, String list)
+      throws IOException {
     assertEquals(
-        "GET /catalog/members HTTP/1.1", line.line()); // versions are of one place: all of it
-    while (!line.line().isEmpty()) {
-      assertTrue(line.socket.isConnected());
+        "GET /catalog/members HTTP/1.1",
+        connection.readLine()); // versions are of one place: all of it
+    while (!connection.readLine().isEmpty()) {
+      assertTrue(connection.socket.isConnected());
     }
-    line.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
+    connection.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
   }
 
   /** The old watch counts until the new place has told its list; then it is left. */
   @Test
-  void discoveryMoves() throws Exception {
+  void discoveryAddressChanges() throws Exception {
     start();
-    try (Peer next = new Peer()) {
-      node.reload(moved(next, counter));
-      Peer.Line line = next.accept();
-      push(list(42, false, entry("s0", app.address(), "leaving")));
-      expect("changes s0 DRAINING");
-      answerLists(line, list(7, true, entry("s9", app.address(), "active")));
-      expect("changes s9 UP s0 GONE");
-      assertTrue(watch.ended());
-      assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.line());
+    try (FakePeer next = new FakePeer()) {
+      node.reload(configWithAddresses(next, counter));
+      FakePeer.Connection connection = next.accept();
+      pushToWatch(endpointListJson(42, false, endpointJson("s0", appServer.address(), "leaving")));
+      expectPolicyEvent("changes s0 DRAINING");
+      answerListRequest(
+          connection, endpointListJson(7, true, endpointJson("s9", appServer.address(), "active")));
+      expectPolicyEvent("changes s9 UP s0 GONE");
+      assertTrue(watchConnection.isClosedByPeer());
+      assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", connection.readLine());
     }
   }
 
@@ -59,29 +63,29 @@
    * Calls go to the new counter once it is up, and the old lines end once nothing is owed on them.
    */
   @Test
-  void theCounterMoves() throws Exception {
+  void counterAddressChanges() throws Exception {
     start();
-    Peer.Line[] old = new Peer.Line[4];
+    FakePeer.Connection[] oldConnections = new FakePeer.Connection[4];
     for (int i = 0; i < 4; i++) {
-      old[i] = counter.accept();
+      oldConnections[i] = counter.accept();
     }
-    try (Peer next = new Peer()) {
-      node.reload(moved(discovery, next));
-      Peer.Line[] lines = new Peer.Line[4];
+    try (FakePeer next = new FakePeer()) {
+      node.reload(configWithAddresses(discovery, next));
+      FakePeer.Connection[] connections = new FakePeer.Connection[4];
       for (int i = 0; i < 4; i++) {
-        lines[i] = next.accept();
+        connections[i] = next.accept();
       }
-      for (Peer.Line line : old) {
-        assertTrue(line.ended()); // nothing is owed on it
+      for (FakePeer.Connection connection : oldConnections) {
+        assertTrue(connection.isClosedByPeer()); // nothing is owed on it
       }
-      Peer.Line client = client();
-      get(client, "01", "count", 900);
-      arrived(1, "count");
-      expect("counted 77 OVERDUE 0.0");
-      expect("counted 77 OVERDUE 0.0");
+      FakePeer.Connection client = connectClient();
+      sendGet(client, "01", "count", 900);
+      expectArrival(1, "count");
+      expectPolicyEvent("counted 77 OVERDUE 0.0");
+      expectPolicyEvent("counted 77 OVERDUE 0.0");
       int called = 0;
-      for (Peer.Line line : lines) {
-        List<String> words = line.message();
+      for (FakePeer.Connection connection : connections) {
+        List<String> words = connection.readMessage();
         called += words.get(0).equals("CNT.ADD") ? 1 : 0;
       }
       assertEquals(1, called);
@@ -90,34 +94,42 @@
 
   /** The variables are those of the start: the file's discovery wins when it is read again. */
   @Test
-  void theFileWinsOverTheVariableOfTheStart() throws Exception {
+  void reloadedFileOverridesEnvironmentVariable() throws Exception {
     Path file = Files.writeString(folder.resolve("config.json"), config());
     Map<String, String> env =
         Map.of("EDGE_CONFIG", file.toString(), "EDGE_DISCOVERY", "127.0.0.9:1");
-    assertEquals("127.0.0.9:1", Config.fromEnvironment(env).discovery().toString().substring(1));
     assertEquals(
-        discovery.port(), Config.again(Files.readAllBytes(file), env).discovery().getPort());
+        "127.0.0.9:1", NodeConfig.fromEnvironment(env).discoveryAddress().toString().substring(1));
+    assertEquals(
+        discovery.port(),
+        NodeConfig.reload(Files.readAllBytes(file), env).discoveryAddress().getPort());
   }
 
   /** An address that refuses everything: the file is read again, though no signal came. */
   @Test
-  void discoveryThatRefusesHasTheFileReadAgain() throws Exception {
+  void rejectedDiscoveryConnectionsReloadTheFile() throws Exception {
     start();
     Path file = Files.writeString(folder.resolve("config.json"), config());
-    try (Peer next = new Peer()) {
-      node.whenLost(
-          new ConfigFile(Map.of("EDGE_CONFIG", file.toString()), node::reload, told::add)::suspect);
+    try (FakePeer next = new FakePeer()) {
+      node.onDiscoveryRejected(
+          new ConfigFileWatcher(
+                  Map.of("EDGE_CONFIG", file.toString()), node::reload, policyEvents::add)
+              ::reloadAfterFault);
       Files.writeString(file, config().replace(discovery.address(), next.address()));
       discovery.close();
-      watch.close();
-      answerLists(next.accept(), list(7, true, entry("s9", app.address(), "active")));
-      for (String each = told.take(); !each.equals("changes s9 UP s0 GONE"); each = told.take()) {
+      watchConnection.close();
+      answerListRequest(
+          next.accept(),
+          endpointListJson(7, true, endpointJson("s9", appServer.address(), "active")));
+      for (String each = policyEvents.take();
+          !each.equals("changes s9 UP s0 GONE");
+          each = policyEvents.take()) {
         assertEquals("discovery failed", each);
       }
     }
   }
 
-  private Process serve(Path file, String... before) throws IOException {
+  private Process startProcess(Path file, String... before) throws IOException {
     List<String> command = new ArrayList<>(List.of(before));
     command.addAll(
         List.of(
@@ -136,20 +148,23 @@
    * is.
    */
   @Test
-  void aHangupDuringTheStartIsNotLost() throws Exception {
+  void hangupDuringStartIsNotLost() throws Exception {
     String unknowing = config().replaceFirst("\"known\":.*\n", "\"known\":null,\n");
     Path file = Files.writeString(folder.resolve("config.json"), unknowing);
-    Process process = serve(file);
-    try (Peer next = new Peer()) {
-      Peer.Line asked =
+    Process process = startProcess(file);
+    try (FakePeer next = new FakePeer()) {
+      FakePeer.Connection asked =
           discovery.accept(); // not answered: with no list known the start waits for it
       counter.accept();
       Files.writeString(file, unknowing.replace(discovery.address(), next.address()));
       assertEquals(
           0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
       assertTrue(next.poll(300) == null, "there is nothing to move yet");
-      answerLists(asked, list(41, true, entry("s0", app.address(), "active")));
-      answerLists(next.accept(), list(7, true, entry("s9", app.address(), "active")));
+      answerListRequest(
+          asked, endpointListJson(41, true, endpointJson("s0", appServer.address(), "active")));
+      answerListRequest(
+          next.accept(),
+          endpointListJson(7, true, endpointJson("s9", appServer.address(), "active")));
     } finally {
       process.destroy();
       assertTrue(process.waitFor(10, TimeUnit.SECONDS));
@@ -161,20 +176,22 @@
    * ever.
    */
   @Test
-  void aReloadIsHeardWhereHangupIsIgnored() throws Exception {
+  void reloadWorksWhereHangupIsIgnored() throws Exception {
     Path file = Files.writeString(folder.resolve("config.json"), config());
-    Process process = serve(file, "/bin/sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
-    try (Peer next = new Peer()) {
+    Process process = startProcess(file, "/bin/sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
+    try (FakePeer next = new FakePeer()) {
       answerWatch();
       counter.accept();
-      app.accept();
+      appServer.accept();
       Path other =
           Files.writeString(
               folder.resolve("other.json"), config().replace(discovery.address(), next.address()));
       Files.move(other, file, StandardCopyOption.ATOMIC_MOVE);
       assertEquals(
           0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
-      answerLists(next.accept(), list(7, true, entry("s9", app.address(), "active")));
+      answerListRequest(
+          next.accept(),
+          endpointListJson(7, true, endpointJson("s9", appServer.address(), "active")));
       assertTrue(process.isAlive());
       long said =
           Files.readAllLines(folder.resolve("log")).stream()
@@ -189,23 +206,26 @@
 
   /** A JVM without a handler ends with 129 at SIGHUP. Here a child process of its own gets one. */
   @Test
-  void aHangupDoesNotEndTheProcess() throws Exception {
+  void hangupDoesNotEndTheProcess() throws Exception {
     Path file = Files.writeString(folder.resolve("config.json"), config());
-    Process process = serve(file);
-    try (Peer next = new Peer()) {
+    Process process = startProcess(file);
+    try (FakePeer next = new FakePeer()) {
       answerWatch(); // it runs, and has caught the signal before
       counter.accept();
-      app.accept();
+      appServer.accept();
       Files.writeString(file, config().replace(discovery.address(), next.address()));
-      Peer.Line line = null;
-      for (int i = 0; i < 50 && line == null; i++) { // asked before it is up it has nothing to move
+      FakePeer.Connection connection = null;
+      for (int i = 0;
+          i < 50 && connection == null;
+          i++) { // asked before it is up it has nothing to move
         assertEquals(
             0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
-        line = next.poll(200);
+        connection = next.poll(200);
         assertTrue(process.isAlive(), () -> "ended with " + process.exitValue());
       }
-      answerLists(line, list(7, true, entry("s9", app.address(), "active")));
-      assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", line.line());
+      answerListRequest(
+          connection, endpointListJson(7, true, endpointJson("s9", appServer.address(), "active")));
+      assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", connection.readLine());
     } finally {
       process.destroy();
       assertTrue(process.waitFor(10, TimeUnit.SECONDS));
--- /dev/null
+++ b/src/test/java/edgenode/node/RollingUpgradeTest.java
@@ -0,0 +1,162 @@
+package edgenode.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.policy.IncomingRequest;
+import edgenode.policy.PolicyActions;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+
+/** A new version takes over the address of one that serves. */
+class RollingUpgradeTest extends EdgeNodeFixture {
+  /** A node at the address of the first, which counts what comes to it. */
+  private EdgeNode startSecondNode(AtomicInteger arrivedCount) throws Exception {
+    EdgeNode next =
+        new EdgeNode(
+            NodeConfig.parse(JsonValue.parse(config()), Map.of()),
+            (settings, seed, now, actions) -> new RejectingPolicy(actions, arrivedCount));
+    next.startAdmin();
+    Thread starting =
+        new Thread(
+            () -> {
+              try {
+                next.start();
+              } catch (IOException e) {
+                policyEvents.add("second: " + e);
+              }
+            });
+    starting.start();
+    FakePeer.Connection watch = acceptWatch(discovery, 41);
+    watch.write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n");
+    appServer.accept();
+    starting.join();
+    return next;
+  }
+
+  private void startFirstNode() throws Exception {
+    hasAdminAddress = true;
+    start();
+    listenPort = ((InetSocketAddress) node.address()).getPort();
+  }
+
+  /**
+   * One request on a connection of its own; what refuses, resets or ends unread is counted as not
+   * taken.
+   */
+  private boolean sendRequest(int id, Consumer<IOException> onFailure) {
+    try (FakePeer.Connection connection = FakePeer.Connection.connect(listenPort)) {
+      sendGet(connection, "a" + id, "refuse", 900);
+      return connection.readMessage().get(0).startsWith("-BUSY");
+    } catch (IOException e) {
+      onFailure.accept(e);
+      return false;
+    }
+  }
+
+  /** Without the program in the kernel half of them would come to the first. */
+  @Test
+  void newConnectionsGoToSecondNodeOnceFirstShutsDown() throws Exception {
+    startFirstNode();
+    AtomicInteger arrivedCount = new AtomicInteger();
+    EdgeNode next = startSecondNode(arrivedCount);
+    try {
+      Thread draining = beginShutdown();
+      int before = arrivedCount.get();
+      for (int i = 0; i < 40; i++) {
+        assertTrue(sendRequest(i, e -> {}));
+      }
+      assertEquals(40, arrivedCount.get() - before);
+      draining.join();
+    } finally {
+      next.shutdown();
+    }
+  }
+
+  /** Clients that connect anew for each request, without a pause, while the first one ends. */
+  @Test
+  void noConnectionIsLostDuringHandover() throws Exception {
+    startFirstNode();
+    AtomicInteger arrivedCount = new AtomicInteger();
+    EdgeNode next = startSecondNode(arrivedCount);
+    AtomicInteger served = new AtomicInteger();
+    AtomicInteger lost = new AtomicInteger();
+    try {
+      Thread draining = new Thread(node::shutdown);
+      isShutDown = true;
+      draining.start();
+      for (int i = 0; draining.isAlive(); i++) {
+        if (sendRequest(i, e -> lost.incrementAndGet())) {
+          served.incrementAndGet();
+        }
+      }
+      assertTrue(served.get() > 100, served + " served");
+      assertEquals(0, lost.get());
+      assertTrue(sendRequest(1_000_000, e -> {}));
+    } finally {
+      next.shutdown();
+    }
+  }
+
+  /**
+   * One that ends with nobody beside it listens on as ever: the program's choice has nobody behind
+   * it.
+   */
+  @Test
+  void singleNodeKeepsAcceptingDuringShutdown() throws Exception {
+    startFirstNode();
+    Thread draining = beginShutdown();
+    for (int i = 0; i < 10; i++) {
+      assertTrue(sendRequest(i, e -> {}));
+    }
+    draining.join();
+  }
+
+  /** An address is shared only where operators can put a second version beside the first. */
+  @Test
+  void withoutAdminAddressAnAddressInUseIsRejected() throws Exception {
+    start();
+    listenPort = ((InetSocketAddress) node.address()).getPort();
+    EdgeNode other =
+        new EdgeNode(
+            NodeConfig.parse(JsonValue.parse(config()), Map.of()),
+            (settings, seed, now, actions) -> new RejectingPolicy(actions, new AtomicInteger()));
+    Thread watching =
+        new Thread(
+            () -> {
+              try {
+                acceptWatch(discovery, 41)
+                    .write("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\n\n\r\n");
+              } catch (Exception e) {
+                policyEvents.add("watch: " + e);
+              }
+            });
+    watching.start();
+    assertThrows(IOException.class, other::start);
+    other.loop().group().shutdownGracefully();
+    watching.join();
+  }
+
+  private static final class RejectingPolicy extends NoOpPolicyEvents {
+    private final PolicyActions actions;
+    private final AtomicInteger arrivedCount;
+
+    RejectingPolicy(PolicyActions actions, AtomicInteger arrivedCount) {
+      this.actions = actions;
+      this.arrivedCount = arrivedCount;
+    }
+
+    @Override
+    public void requestArrived(double now, IncomingRequest r) {
+      arrivedCount.incrementAndGet();
+      actions.reject(r.id(), 0);
+    }
+  }
+}
--- a/src/test/java/edgenode/node/StartTest.java
+++ b/src/test/java/edgenode/node/StartupTest.java
@@ -20,12 +20,12 @@
 
 /** A start in a JVM of its own: while it lasts the edge node is down. */
 @Timeout(60)
-class StartTest {
+class StartupTest {
   /**
    * Classes that cost much at a start and are of no use in it: recording, locales, formats, records
    * compared; and all of the kit, which serve must not pay for.
    */
-  private static final List<String> NOT_AT_A_START =
+  private static final List<String> CLASSES_NOT_TO_LOAD =
       List.of(
           "jdk.jfr.EventType",
           "sun.util.cldr.",
@@ -33,9 +33,10 @@
           "java.lang.runtime.ObjectMethods",
           "edgenode.simulation.",
           "edgenode.emulator.",
+          "edgenode.benchmark.",
           "picocli.");
 
-  private static String run() throws Exception {
+  private static String runLine() throws Exception {
     for (String line : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
       if (line.startsWith("run = ")) {
         return line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
@@ -45,10 +46,10 @@
   }
 
   @Test
-  void loadsNothingDearAndTellsItsParts(@TempDir Path folder) throws Exception {
+  void startLoadsNoExpensiveClassesAndLogsItsParts(@TempDir Path folder) throws Exception {
     try (ServerSocket peer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       Path config = folder.resolve("config.json");
-      String at = "127.0.0.1:" + peer.getLocalPort();
+      String address = "127.0.0.1:" + peer.getLocalPort();
       Files.writeString(
           config,
           """
@@ -58,8 +59,8 @@
                  "settings":{"rank":0,"group_size":1,"tick":4,"family_info":{"shared_counter":true},
                   "request_classes":[{"name":"r","effect":"read_like","aim":600,"hard_limit":2000}],
                   "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""
-              .formatted(at));
-      Path loaded = folder.resolve("loaded");
+              .formatted(address));
+      Path loadedClassesLog = folder.resolve("loaded");
       // the command of the deploy file, but for the jar: it is not built yet when tests run
       List<String> command =
           new ArrayList<>(
@@ -69,14 +70,14 @@
                       + "bin"
                       + File.separator
                       + "java"));
-      for (String word : run().substring("exec java ".length()).split(" ")) {
+      for (String word : runLine().substring("exec java ".length()).split(" ")) {
         if (word.startsWith("-X") || word.startsWith("-Dio.netty") && !word.contains("$")) {
           command.add(word);
         }
       }
       command.addAll(
           List.of(
-              "-Xlog:class+load:file=" + loaded,
+              "-Xlog:class+load:file=" + loadedClassesLog,
               "-cp",
               System.getProperty("java.class.path"),
               "edgenode.Main",
@@ -98,12 +99,12 @@
         process.destroy();
         assertTrue(process.waitFor(10, TimeUnit.SECONDS));
       }
-      List<String> dear =
-          Files.readAllLines(loaded).stream()
-              .filter(c -> NOT_AT_A_START.stream().anyMatch(c::contains))
+      List<String> expensive =
+          Files.readAllLines(loadedClassesLog).stream()
+              .filter(c -> CLASSES_NOT_TO_LOAD.stream().anyMatch(c::contains))
               .limit(5)
               .toList();
-      assertEquals(List.of(), dear);
+      assertEquals(List.of(), expensive);
     }
   }
 }
--- a/src/test/java/edgenode/policy/SubscribeTest.java
+++ b/src/test/java/edgenode/policy/DiscoveryBackoffTest.java
@@ -11,32 +11,32 @@
  * Where discovery must be asked: calls to it that fail are made again, in time and not by the whole
  * fleet at once.
  */
-class SubscribeTest {
+class DiscoveryBackoffTest {
   /** What discovery has, and a failed call kept back, counts as told after this (ms). */
-  private static final double TERM = 6000;
+  private static final double RECOVERY_BOUND_MS = 6000;
 
   /** A call that is lost is given up after this (ms). */
-  private static final double GIVEN_UP = 2000;
+  private static final double CALL_TIMEOUT_MS = 2000;
 
-  private static Bench asking(long seed) {
-    Bench b = new Bench();
-    b.ask = true;
-    b.seed = seed * 0x9e3779b97f4a7c15L; // a new one is any number of 64 bits
-    b.start();
-    assertEquals(1, b.count("subscribe"));
-    return b;
+  private static FakeGateway pollingGateway(long seed) {
+    FakeGateway gateway = new FakeGateway();
+    gateway.mustPollDiscovery = true;
+    gateway.seed = seed * 0x9e3779b97f4a7c15L; // a new one is any number of 64 bits
+    gateway.start();
+    assertEquals(1, gateway.count("subscribe"));
+    return gateway;
   }
 
   /** Fails the call that is out; ms until the next. */
-  private static double untilTheNext(Bench b) {
-    long before = b.count("subscribe");
-    double failed = b.now;
-    b.module.discoveryFailed(failed);
-    while (b.count("subscribe") == before) {
-      assertTrue(b.now - failed < 10 * TERM, "no call any more");
-      b.to(b.now + 1);
+  private static double failAndAwaitNextCall(FakeGateway gateway) {
+    long before = gateway.count("subscribe");
+    double failed = gateway.nowMs;
+    gateway.engine.discoveryFailed(failed);
+    while (gateway.count("subscribe") == before) {
+      assertTrue(gateway.nowMs - failed < 10 * RECOVERY_BOUND_MS, "no call any more");
+      gateway.advanceTo(gateway.nowMs + 1);
     }
-    return b.now - failed;
+    return gateway.nowMs - failed;
   }
 
   /**
@@ -47,15 +47,15 @@
   void theNextCallIsMadeInTimeHoweverManyHaveFailed() {
     double worst = 0;
     for (long seed = 0; seed < 100; seed++) {
-      Bench b = asking(seed);
+      FakeGateway gateway = pollingGateway(seed);
       for (int i = 0; i < 12; i++) {
-        b.to(b.now + GIVEN_UP);
-        worst = Math.max(worst, GIVEN_UP + untilTheNext(b));
+        gateway.advanceTo(gateway.nowMs + CALL_TIMEOUT_MS);
+        worst = Math.max(worst, CALL_TIMEOUT_MS + failAndAwaitNextCall(gateway));
       }
     }
     System.out.printf(
         "calls to discovery: the next is made %.0f ms at worst after one that is lost%n", worst);
-    assertTrue(worst <= TERM - 1000, "after " + worst + " ms");
+    assertTrue(worst <= RECOVERY_BOUND_MS - 1000, "after " + worst + " ms");
   }
 
   /**
@@ -67,10 +67,10 @@
     for (int failures : new int[] {1, 6}) {
       Map<Integer, Integer> at = new TreeMap<>();
       for (long seed = 0; seed < 100; seed++) {
-        Bench b = asking(seed);
+        FakeGateway gateway = pollingGateway(seed);
         double wait = 0;
         for (int i = 0; i < failures; i++) {
-          wait = untilTheNext(b);
+          wait = failAndAwaitNextCall(gateway);
         }
         at.merge((int) (wait / 100), 1, Integer::sum);
       }
--- a/src/test/java/edgenode/policy/Bench.java
+++ b/src/test/java/edgenode/policy/FakeGateway.java
@@ -9,25 +9,25 @@
  * A host for tests: one instance, a fake clock, every action recorded as a line; timers fire on
  * demand.
  */
-final class Bench implements PolicyActions {
-  final List<String> log = new ArrayList<>();
+final class FakeGateway implements PolicyActions {
+  final List<String> actions = new ArrayList<>();
   final List<double[]> timers = new ArrayList<>();
-  final List<long[]> calls = new ArrayList<>();
-  final List<Double> totals = new ArrayList<>();
-  Map<Long, Double> sums = new HashMap<>();
-  int me;
+  final List<long[]> counterCalls = new ArrayList<>();
+  final List<Double> counterTotals = new ArrayList<>();
+  Map<Long, Double> counterSums = new HashMap<>();
+  int nodeIndex;
   long seed = 7;
-  int nodes = 2;
-  int bound; // 0: the default
+  int nodeCount = 2;
+  int minSubsetSize; // 0: the default
 
   /** The module's last wish (ms from then). */
-  double delay;
+  double lastTimerDelayMs;
 
   private double otherUnits;
-  private double othersAt;
-  double now;
-  PolicyEngine module;
-  List<RequestClass> classes =
+  private double othersUpdatedAtMs;
+  double nowMs;
+  PolicyEngine engine;
+  List<RequestClass> requestClasses =
       List.of(
           new RequestClass(
               "read", Idempotency.IDEMPOTENT, IdempotencyGroup.CELL, 600, 2000, 1, 0, 0, false),
@@ -53,73 +53,74 @@
           new QuotaPlan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
           new QuotaPlan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
           new QuotaPlan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
-  boolean copies = true;
-  boolean counter = true;
-  boolean settled;
-  boolean ask;
-  double keepAlive;
-  int mostUnits = 1;
+  boolean canHedge = true;
+  boolean hasCounter = true;
+  boolean settlesUnits;
+  boolean mustPollDiscovery;
+  double keepAliveMs;
+  int maxRequestUnits = 1;
 
   /**
    * Without a counter: the even part is there at once, so that a test of servers need not mind
    * quotas.
    */
-  static Bench plain() {
-    Bench b = new Bench();
-    b.counter = false;
-    return b;
+  static FakeGateway withoutCounter() {
+    FakeGateway gateway = new FakeGateway();
+    gateway.hasCounter = false;
+    return gateway;
   }
 
-  Bench start() {
-    module =
-        bound == 0
-            ? new PolicyEngine(settings(), seed, now, this)
-            : new PolicyEngine(settings(), seed, now, this, bound);
+  FakeGateway start() {
+    engine =
+        minSubsetSize == 0
+            ? new PolicyEngine(settings(), seed, nowMs, this)
+            : new PolicyEngine(settings(), seed, nowMs, this, minSubsetSize);
     return this;
   }
 
   PolicySettings settings() {
     return new PolicySettings(
-        me,
-        nodes,
+        nodeIndex,
+        nodeCount,
         "a",
         2,
-        ask,
-        settled,
-        mostUnits,
+        mustPollDiscovery,
+        settlesUnits,
+        maxRequestUnits,
         List.of(),
-        classes,
+        requestClasses,
         plans,
-        new Capabilities(true, true, copies, true, false, counter, 5, 2000, 50, keepAlive),
+        new Capabilities(true, true, canHedge, true, false, hasCounter, 5, 2000, 50, keepAliveMs),
         new RuleLimits(16, 250, 0.2, 15000, 2, 2000),
         new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
   /** Servers s0..s(n-1), two a cell, cells in turn over zones a and b. */
-  Bench servers(int n) {
+  FakeGateway listEndpoints(int n) {
     List<EndpointInfo> list = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      list.add(server(i, EndpointState.UP, 0));
+      list.add(endpoint(i, EndpointState.UP, 0));
     }
-    module.endpointsChanged(now, list, true);
+    engine.endpointsChanged(nowMs, list, true);
     return this;
   }
 
-  static EndpointInfo server(int i, EndpointState state, double startedAt) {
+  static EndpointInfo endpoint(int i, EndpointState state, double startedAt) {
     return new EndpointInfo("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1);
   }
 
   /** Other gateways add to every name, at this rate since the last time. */
-  void others(double perSecond) {
-    otherUnits = (now - othersAt) / 1000 * perSecond;
-    othersAt = now;
-    sums.replaceAll((name, sum) -> sum + otherUnits);
+  void addUsageOfOtherNodes(double perSecond) {
+    otherUnits = (nowMs - othersUpdatedAtMs) / 1000 * perSecond;
+    othersUpdatedAtMs = nowMs;
+    counterSums.replaceAll((name, sum) -> sum + otherUnits);
   }
 
   /** Answers the calls made so far, with the totals that stood when they were made. */
   void answerCounter(CallOutcome outcome) {
-    for (int n = calls.size(); n > 0; n--) {
-      module.counterCallEnded(now, calls.remove(0)[0], outcome, 2, totals.remove(0));
+    for (int n = counterCalls.size(); n > 0; n--) {
+      engine.counterCallEnded(
+          nowMs, counterCalls.remove(0)[0], outcome, 2, counterTotals.remove(0));
     }
   }
 
@@ -128,16 +129,17 @@
   }
 
   void arrive(long id, String type, String plan, String customer, int units, int spread) {
-    module.requestArrived(
-        now, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
+    engine.requestArrived(
+        nowMs, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
   }
 
-  void end(long id, int attempt, CallOutcome outcome) {
-    module.attemptEnded(now, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
+  void endAttempt(long id, int attempt, CallOutcome outcome) {
+    engine.attemptEnded(
+        nowMs, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
   }
 
   /** Advances the clock, firing the timers that fall due. */
-  void to(double time) {
+  void advanceTo(double time) {
     while (true) {
       double[] next = null;
       for (double[] t : timers) {
@@ -149,20 +151,20 @@
         break;
       }
       timers.remove(next);
-      now = Math.max(now, next[0]);
-      module.timerFired(now, (long) next[1]);
+      nowMs = Math.max(nowMs, next[0]);
+      engine.timerFired(nowMs, (long) next[1]);
     }
-    now = time;
+    nowMs = time;
   }
 
   long count(String prefix) {
-    return log.stream().filter(line -> line.startsWith(prefix)).count();
+    return actions.stream().filter(line -> line.startsWith(prefix)).count();
   }
 
   /** The server of the last send of a request. */
-  String sentTo(long id) {
+  String lastEndpointOf(long id) {
     String found = null;
-    for (String line : log) {
+    for (String line : actions) {
       if (line.startsWith("send " + id + " ")) {
         found = line.split(" ")[2];
       }
@@ -172,45 +174,45 @@
 
   @Override
   public void send(long id, String server, double until) {
-    log.add("send " + id + " " + server);
+    actions.add("send " + id + " " + server);
   }
 
   @Override
   public void cancel(long id, int attempt) {
-    log.add("cancel " + id + " " + attempt);
+    actions.add("cancel " + id + " " + attempt);
   }
 
   @Override
   public void reject(long id, double retryAfter) {
-    log.add("refuse " + id);
+    actions.add("refuse " + id);
   }
 
   @Override
   public void fail(long id) {
-    log.add("fail " + id);
+    actions.add("fail " + id);
   }
 
   @Override
   public void setTimer(double delay, long token) {
-    this.delay = delay;
+    this.lastTimerDelayMs = delay;
     // a nanosecond late, as no timer is early: rounding down left the clock standing for ever
-    timers.add(new double[] {now + delay + 1e-6, token});
+    timers.add(new double[] {nowMs + delay + 1e-6, token});
   }
 
   @Override
   public void checkHealth(String server) {
-    log.add("probe " + server);
+    actions.add("probe " + server);
   }
 
   @Override
   public void addToCounter(long name, double amount, double keepFor) {
-    log.add("count " + amount);
-    calls.add(new long[] {name});
-    totals.add(sums.merge(name, amount, Double::sum));
+    actions.add("count " + amount);
+    counterCalls.add(new long[] {name});
+    counterTotals.add(counterSums.merge(name, amount, Double::sum));
   }
 
   @Override
   public void subscribe() {
-    log.add("subscribe");
+    actions.add("subscribe");
   }
 }
--- a/src/test/java/edgenode/policy/ColdFleetTest.java
+++ b/src/test/java/edgenode/policy/SlowStartFleetTest.java
@@ -19,7 +19,7 @@
  * queue of events. A cold server bears N requests in a span of the rules and 2 root N + 2 more by
  * chance, from all nodes together.
  */
-class ColdFleetTest {
+class SlowStartFleetTest {
   /** A play of 100 nodes takes a quarter of a second: all of them stay within half a minute. */
   private static final int SEEDS = 4;
 
@@ -35,7 +35,7 @@
   /** Quotas are no matter here: far more than is asked. */
   private static final QuotaPlan PLAN = new QuotaPlan("big", 100_000, 100_000, 0, 1, 0, 1, 0, 0, 0);
 
-  private record Due(double at, long serial, Runnable what) {}
+  private record ScheduledEvent(double at, long serial, Runnable what) {}
 
   /**
    * Traffic over time, as a multiple of the mean: a pause, or a trickle, comes before each burst.
@@ -61,7 +61,7 @@
     }
   }
 
-  private static final class Server {
+  private static final class SimulatedEndpoint {
     double free;
     double startedAt = Double.NEGATIVE_INFINITY;
     final ArrayDeque<Double> came = new ArrayDeque<>();
@@ -72,7 +72,7 @@
    * Requests a second a node; a fall is so many times what a server can; the part of the servers
    * that restarts.
    */
-  private record Size(int nodes, int servers, double perNode, double factor, double part) {
+  private record FleetSize(int nodes, int servers, double perNode, double factor, double part) {
     /**
      * What a server that restarts and one that joins would get if it went by their warmth: 0.6 on
      * the mean.
@@ -83,10 +83,12 @@
   }
 
   /** One day of a fleet. */
-  private static final class Fleet {
-    private final PriorityQueue<Due> queue =
-        new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::serial));
-    private final Server[] servers;
+  private static final class SimulatedFleet {
+    private final PriorityQueue<ScheduledEvent> queue =
+        new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledEvent::at)
+                .thenComparingLong(ScheduledEvent::serial));
+    private final SimulatedEndpoint[] servers;
     private final PolicyEngine[] nodes;
     private final Map<Long, Double> totals = new HashMap<>();
     private final Random random;
@@ -101,7 +103,7 @@
     private double worst;
     private String worstAt = "";
 
-    Fleet(Size of, double keepAlive, Traffic traffic, long seed) {
+    SimulatedFleet(FleetSize of, double keepAlive, Traffic traffic, long seed) {
       int size = of.nodes;
       int servers = of.servers;
       perNode = of.perNode;
@@ -112,8 +114,8 @@
       this.traffic = traffic;
       restarts = Math.max(1, (int) (of.part * servers));
       warmSpeed = 2 * perNode * size / servers / 1000; // half used by the mean load: requests a ms
-      this.servers = new Server[servers];
-      Arrays.setAll(this.servers, i -> new Server());
+      this.servers = new SimulatedEndpoint[servers];
+      Arrays.setAll(this.servers, i -> new SimulatedEndpoint());
       double aim = 40 / warmSpeed; // waiting behind a cold one is no matter here either
       RequestClass read =
           new RequestClass(
@@ -140,20 +142,20 @@
                     new Prices(0.05, 0.01, 0.02, 0, 0.03)),
                 seed * 1000 + i,
                 0,
-                new Host(i));
+                new SimulatedNode(i));
       }
     }
 
     void at(double time, Runnable what) {
-      queue.add(new Due(time, serial++, what));
+      queue.add(new ScheduledEvent(time, serial++, what));
     }
 
     /** The module's host at one node. */
-    private final class Host implements PolicyActions {
+    private final class SimulatedNode implements PolicyActions {
       private final int me;
       private final Map<Long, Integer> attempts = new HashMap<>();
 
-      Host(int me) {
+      SimulatedNode(int me) {
         this.me = me;
       }
 
@@ -205,7 +207,7 @@
     }
 
     /** Counts a request against the term; tells when its answer is ready: one after the other. */
-    private double came(Server s) {
+    private double came(SimulatedEndpoint s) {
       double age = now - s.startedAt;
       if (age < rules.warmUpMs()) {
         s.got++;
@@ -263,7 +265,7 @@
       at(now + wait, () -> arrive(node, count + 1));
     }
 
-    Fleet play() {
+    SimulatedFleet play() {
       for (int i = 0; i < servers.length - 1; i++) {
         tell(i, EndpointState.UP);
       }
@@ -278,7 +280,7 @@
       }
       at(JOIN, () -> start(servers.length - 1));
       while (queue.peek().at < END) {
-        Due due = queue.poll();
+        ScheduledEvent due = queue.poll();
         now = due.at;
         due.what.run();
       }
@@ -308,14 +310,14 @@
   })
   void allNodesTogetherKeepAColdServersTerm(
       int nodes, int servers, double perNode, double factor, double part) {
-    Size size = new Size(nodes, servers, perNode, factor, part);
+    FleetSize size = new FleetSize(nodes, servers, perNode, factor, part);
     double worst = 0;
     double leastUsed = 1;
     StringBuilder days = new StringBuilder();
     for (Traffic traffic : Traffic.values()) {
       for (double keepAlive : new double[] {0, 4000}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          Fleet day = new Fleet(size, keepAlive, traffic, seed).play();
+          SimulatedFleet day = new SimulatedFleet(size, keepAlive, traffic, seed).play();
           double used = day.used() / size.fair();
           worst = Math.max(worst, day.worst);
           if (traffic == Traffic.STEADY
--- /dev/null
+++ b/src/test/java/edgenode/policy/SubsetLoadBalancingTest.java
@@ -0,0 +1,239 @@
+package edgenode.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import edgenode.policy.subset.EndpointSubset;
+import java.lang.reflect.Field;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The choice where a node holds a part of the servers; the numbers are those of
+ * docs/design/subset.md.
+ */
+class SubsetLoadBalancingTest {
+  /** A node that holds 320 of 4,000 on average: 8 holders of 100 nodes. */
+  private static FakeGateway oneOfHundredNodes() {
+    FakeGateway gateway = FakeGateway.withoutCounter();
+    gateway.nodeCount = 100;
+    gateway.nodeIndex = 7;
+    return gateway.start().listEndpoints(4000);
+  }
+
+  private static int endpointRecordCount(FakeGateway gateway) throws ReflectiveOperationException {
+    Field hosts = PolicyEngine.class.getDeclaredField("hosts");
+    hosts.setAccessible(true);
+    return ((Map<?, ?>) hosts.get(gateway.engine)).size();
+  }
+
+  private static Set<String> serveRequests(FakeGateway gateway, long from, int n, double every) {
+    Set<String> used = new HashSet<>();
+    for (long i = from; i < from + n; i++) {
+      gateway.advanceTo(gateway.nowMs + every);
+      gateway.arrive(i, "read", "big", "c");
+      if (gateway.lastEndpointOf(i) != null) {
+        used.add(gateway.lastEndpointOf(i));
+        gateway.engine.attemptEnded(
+            gateway.nowMs, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
+      }
+    }
+    return used;
+  }
+
+  /**
+   * 8: lists of up to 256 on any fleet, and any list on three nodes, without a bound and with the
+   * default.
+   */
+  @Test
+  void smallListsAndFleetsAreServedAsWithoutABound() {
+    for (int seed = 0; seed < 20; seed++) {
+      List<List<String>> logs = new ArrayList<>();
+      for (int bound : new int[] {0, Integer.MAX_VALUE}) {
+        FakeGateway gateway = seed % 3 == 0 ? new FakeGateway() : FakeGateway.withoutCounter();
+        gateway.nodeCount = new int[] {1, 2, 3, 14, 100}[seed % 5];
+        gateway.nodeIndex = seed % gateway.nodeCount;
+        gateway.keepAliveMs = seed % 2 * 15_000;
+        gateway.minSubsetSize = bound;
+        int servers =
+            gateway.nodeCount <= 3 && seed % 4 == 0
+                ? 400
+                : new int[] {3, 12, 60, 200, 1, 30}[seed % 6];
+        logs.add(RandomScenario.run(gateway, seed, servers, 200).actions);
+      }
+      assertEquals(logs.get(1), logs.get(0), "seed " + seed);
+      assertTrue(logs.get(0).size() > 20, "seed " + seed);
+    }
+  }
+
+  /** 9 */
+  @Test
+  void aNodeKeepsRecordsOfItsSubsetOnly() throws Exception {
+    FakeGateway gateway = oneOfHundredNodes();
+    serveRequests(gateway, 0, 300, 5);
+    assertTrue(
+        endpointRecordCount(gateway) > 250 && endpointRecordCount(gateway) < 400,
+        "320 on average: " + endpointRecordCount(gateway));
+    for (int i = 0; i < 200; i++) {
+      gateway.engine.endpointsChanged(
+          gateway.nowMs, List.of(FakeGateway.endpoint(5000 + i, EndpointState.UP, 0)), false);
+      gateway.engine.endpointsChanged(
+          gateway.nowMs, List.of(FakeGateway.endpoint(i, EndpointState.REMOVED, 0)), false);
+    }
+    serveRequests(gateway, 1000, 100, 5);
+    assertTrue(
+        endpointRecordCount(gateway) > 250 && endpointRecordCount(gateway) < 400,
+        "new ones for old: " + endpointRecordCount(gateway));
+    gateway.listEndpoints(10);
+    assertEquals(10, endpointRecordCount(gateway), "a short list is held whole");
+  }
+
+  /** 7 */
+  @Test
+  void aKeyedRepeatFindsItsCellOutsideTheSubset() {
+    FakeGateway gateway = oneOfHundredNodes();
+    int alone = 0;
+    for (int i = 0; i < 40; i++) {
+      gateway.advanceTo(gateway.nowMs + 20);
+      gateway.arrive(i, "cell", "big", "c");
+      int first = Integer.parseInt(gateway.lastEndpointOf(i).substring(1));
+      gateway.endAttempt(i, 0, CallOutcome.ERROR);
+      gateway.advanceTo(gateway.nowMs + 60);
+      int second = Integer.parseInt(gateway.lastEndpointOf(i).substring(1));
+      assertEquals(first / 2, second / 2);
+      alone += first == second ? 1 : 0;
+      gateway.endAttempt(i, 1, CallOutcome.OK);
+    }
+    assertEquals(0, alone, "two in a cell: the other one each time");
+  }
+
+  /** 10: of what a node holds all begin to drain; it goes on with others within two edges. */
+  @Test
+  void aSubsetWidensWhereNothingOfItIsUp() throws Exception {
+    FakeGateway gateway = oneOfHundredNodes();
+    Field view = PolicyEngine.class.getDeclaredField("view");
+    view.setAccessible(true);
+    List<EndpointInfo> drained = new ArrayList<>();
+    Field id = Class.forName("edgenode.policy.PolicyEngine$Host").getDeclaredField("id");
+    id.setAccessible(true);
+    for (Object h : (List<?>) view.get(gateway.engine)) {
+      drained.add(
+          FakeGateway.endpoint(
+              Integer.parseInt(((String) id.get(h)).substring(1)), EndpointState.DRAINING, 0));
+    }
+    gateway.engine.endpointsChanged(gateway.nowMs, drained, false);
+    gateway.advanceTo(300);
+    assertTrue(
+        endpointRecordCount(gateway) > 500,
+        "before anybody asked: " + endpointRecordCount(gateway));
+    assertTrue(serveRequests(gateway, 1, 100, 5).size() > 20);
+    assertTrue(
+        endpointRecordCount(gateway) > 500,
+        "twice or four times as wide: " + endpointRecordCount(gateway));
+    drained.replaceAll(
+        s -> FakeGateway.endpoint(Integer.parseInt(s.id().substring(1)), EndpointState.UP, 0));
+    gateway.engine.endpointsChanged(gateway.nowMs, drained, false);
+    gateway.advanceTo(gateway.nowMs + 2000);
+    assertTrue(
+        endpointRecordCount(gateway) > 450, "narrower slowly: " + endpointRecordCount(gateway));
+    gateway.advanceTo(gateway.nowMs + 60_000);
+    assertTrue(endpointRecordCount(gateway) < 400, "320 again: " + endpointRecordCount(gateway));
+  }
+
+  /** 10: a node with much more than its part of the traffic, and answers that do not come. */
+  @Test
+  void aSubsetWidensWhereAllOfItIsFull() throws Exception {
+    FakeGateway gateway = oneOfHundredNodes();
+    serveRequests(gateway, 5000, 20, 5); // in time: nothing is paced
+    for (int i = 0; i < 3000; i++) {
+      gateway.advanceTo(gateway.nowMs + 0.05);
+      gateway.arrive(i, "read", "big", "c" + i);
+    }
+    gateway.advanceTo(gateway.nowMs + 600);
+    assertTrue(endpointRecordCount(gateway) > 500, "wider: " + endpointRecordCount(gateway));
+  }
+
+  /** 11: one request at a time stays with the servers that are connected. */
+  @Test
+  void oneRequestAtATimeUsesFewServersOfASubset() {
+    FakeGateway gateway = FakeGateway.withoutCounter();
+    gateway.keepAliveMs = 15_000;
+    gateway.nodeCount = 100;
+    gateway.start().listEndpoints(4000);
+    Set<String> used = serveRequests(gateway, 0, 100, 100);
+    assertTrue(used.size() <= 3, "one request at a time: " + used);
+  }
+
+  /** 12: nodes start anywhere on the circle, and chance is by names. */
+  @Test
+  void nodesDifferAndOneNodeIsTheSameEachTime() {
+    FakeGateway one = oneOfHundredNodes();
+    FakeGateway again = oneOfHundredNodes();
+    assertEquals(serveRequests(one, 0, 200, 5), serveRequests(again, 0, 200, 5));
+    FakeGateway other = FakeGateway.withoutCounter();
+    other.nodeCount = 100;
+    other.nodeIndex = 8;
+    other.start().listEndpoints(4000);
+    Set<String> both = serveRequests(other, 0, 200, 5);
+    assertNotEquals(serveRequests(one, 500, 200, 5), both);
+    both.retainAll(serveRequests(one, 1000, 200, 5));
+    assertTrue(both.size() < 20, "a twelfth in common by chance: " + both.size());
+  }
+
+  /** 13: a cold server gets what its holders' parts sum to, not that of all nodes. */
+  @Test
+  void theHoldersOfAColdServerShareItsRamp() {
+    int holders = 0;
+    int cold = 0;
+    int sent = 0;
+    for (int m = 0; m < 100; m++) {
+      FakeGateway gateway = FakeGateway.withoutCounter();
+      gateway.nodeCount = 100;
+      gateway.nodeIndex = m;
+      gateway.seed = m;
+      gateway.keepAliveMs = 15_000;
+      gateway.start();
+      gateway.nowMs = 10_000;
+      gateway.listEndpoints(4000);
+      if (!nodeHoldsFirstEndpoint(m)) {
+        continue;
+      }
+      holders++;
+      for (int i = 0; i < 3000; i++) { // 500 a second at each
+        if (i == 1000) {
+          gateway.engine.endpointsChanged(
+              gateway.nowMs,
+              List.of(FakeGateway.endpoint(0, EndpointState.UP, gateway.nowMs - 100)),
+              false);
+        }
+        gateway.advanceTo(gateway.nowMs + 2);
+        gateway.arrive(i, "read", "big", "c");
+        gateway.engine.attemptEnded(
+            gateway.nowMs, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
+        if (i == 999) {
+          gateway.actions.clear();
+        }
+      }
+      cold +=
+          gateway.actions.stream().filter(l -> l.startsWith("send") && l.endsWith(" s0")).count();
+      sent += gateway.count("send");
+    }
+    assertTrue(holders >= 5 && holders <= 11, "holders " + holders);
+    double warm = sent / 320.0;
+    assertTrue(cold > 0 && cold <= 0.6 * warm, "cold " + cold + ", a warm one " + warm);
+  }
+
+  private static boolean nodeHoldsFirstEndpoint(int me) {
+    EndpointSubset<String> subset = new EndpointSubset<>(me, 100, 256);
+    for (int i = 0; i < 4000; i++) {
+      subset.put("s" + i, true, "s" + i);
+    }
+    subset.applyChanges();
+    return subset.contains("s0");
+  }
+}
