--- a/src/test/java/edgenode/policy/subset/SubsetProperties.java
+++ b/src/test/java/edgenode/policy/subset/EndpointSubsetProperties.java
@@ -21,7 +21,7 @@
  * The core against a model that knows only the definition, and whole fleets against the figures of
  * the design note. The numbers in the comments are those of docs/design/subset.md.
  */
-class SubsetProperties {
+class EndpointSubsetProperties {
   private record Server(String id, String zone, int cell, boolean up) {}
 
   /** The definition, by sorting everything anew. */
@@ -45,7 +45,10 @@
 
     Set<String> held() {
       Set<String> held = new TreeSet<>(known.keySet());
-      held.removeIf(id -> Subset.offset(id, Subset.place(me)) >= (long) (share() * Subset.CIRCLE));
+      held.removeIf(
+          id ->
+              EndpointSubset.offsetOf(id, EndpointSubset.arcStart(me))
+                  >= (long) (share() * EndpointSubset.CIRCLE_LENGTH));
       return held;
     }
   }
@@ -54,16 +57,16 @@
     return new Server("s-" + Integer.toHexString(i), "z" + i / 10 % zones, i / 10, true);
   }
 
-  private static void put(Subset<Server> subset, Server s) {
+  private static void put(EndpointSubset<Server> subset, Server s) {
     subset.put(s.id, s.up, s, s.zone, s.cell);
   }
 
   /** What the shell believes is held, by the moves that it was told. */
-  private static void follow(Set<String> view, Subset.Moves<Server> moves) {
-    for (String id : moves.left()) {
+  private static void follow(Set<String> view, EndpointSubset.Changes<Server> moves) {
+    for (String id : moves.removed()) {
       assertTrue(view.remove(id), "left, and was never told: " + id);
     }
-    for (Server s : moves.entered()) {
+    for (Server s : moves.added()) {
       assertTrue(view.add(s.id), "entered twice: " + s.id);
     }
   }
@@ -77,7 +80,7 @@
     int nodes = 1 + random.nextInt(random.nextBoolean() ? 12 : 300);
     int least = 1 + random.nextInt(20);
     int me = random.nextInt(nodes);
-    Subset<Server> subset = new Subset<>(me, nodes, least);
+    EndpointSubset<Server> subset = new EndpointSubset<>(me, nodes, least);
     Model model = new Model(me, nodes, least);
     Set<String> view = new HashSet<>();
     int names = 5 + random.nextInt(80);
@@ -103,32 +106,35 @@
           for (int n = random.nextInt(names); n > 0; n--) {
             ids.add("s" + random.nextInt(names));
           }
-          subset.retain(ids);
+          subset.retainOnly(ids);
           model.known.keySet().retainAll(ids);
         }
         case 1 -> {
           model.width = 1 + 3 * random.nextDouble();
-          subset.width(model.width);
+          subset.widthFactor(model.width);
         }
         case 2 -> {
           model.width = 1;
-          subset.width(random.nextDouble()); // under 1 it is the even arc
+          subset.widthFactor(random.nextDouble()); // under 1 it is the even arc
         }
         default -> {}
       }
-      follow(view, subset.settle());
+      follow(view, subset.applyChanges());
       Set<String> held = model.held();
       assertEquals(held, view, "step " + step);
       double even = Math.min(1, Math.max(least / Math.max(1.0, model.known.size()), 8.0 / nodes));
-      assertEquals(even * model.known.size(), subset.even(), 1e-9);
-      assertEquals(model.known.values().stream().filter(s -> s.up).count(), subset.up());
-      model.known.keySet().forEach(id -> assertEquals(held.contains(id), subset.holds(id)));
-      assertTrue(!subset.whole() || held.equals(model.known.keySet()), "2: whole");
+      assertEquals(even * model.known.size(), subset.evenSize(), 1e-9);
+      assertEquals(model.known.values().stream().filter(s -> s.up).count(), subset.upCount());
+      model.known.keySet().forEach(id -> assertEquals(held.contains(id), subset.contains(id)));
+      assertTrue(!subset.holdsAll() || held.equals(model.known.keySet()), "2: whole");
       assertTrue(
-          subset.whole() || model.known.size() > least && nodes > Subset.HOLDERS,
+          subset.holdsAll()
+              || model.known.size() > least && nodes > EndpointSubset.MIN_NODES_PER_ENDPOINT,
           "2: bound and fleet");
       assertEquals(
-          new Subset<Server>(0, 1, 1).settle(), subset.settle(), "nothing moves by itself");
+          new EndpointSubset<Server>(0, 1, 1).applyChanges(),
+          subset.applyChanges(),
+          "nothing moves by itself");
     }
   }
 
@@ -141,7 +147,7 @@
       @ForAll @IntRange(min = 1, max = 400) int zones,
       @ForAll @LongRange(min = 0, max = 1000) long seed) {
     Random random = new Random(seed);
-    Subset<Server> subset = new Subset<>(3, 100, 16);
+    EndpointSubset<Server> subset = new EndpointSubset<>(3, 100, 16);
     Set<String> view = new HashSet<>();
     Set<String> known = new HashSet<>();
     for (int i = 0; i < 1500; i++) {
@@ -153,23 +159,23 @@
         subset.remove(s.id);
         known.remove(s.id);
       }
-      follow(view, subset.settle());
+      follow(view, subset.applyChanges());
       assertTrue(known.containsAll(view), "held, and unknown");
     }
-    assertEquals(known.size(), subset.up());
+    assertEquals(known.size(), subset.upCount());
     assertTrue(view.size() < 100, "a few of " + known.size() + ": " + view.size());
-    subset.retain(Set.of());
-    follow(view, subset.settle());
+    subset.retainOnly(Set.of());
+    follow(view, subset.applyChanges());
     assertEquals(Set.of(), view);
-    assertEquals(0, subset.up());
-    assertTrue(subset.whole());
+    assertEquals(0, subset.upCount());
+    assertTrue(subset.holdsAll());
   }
 
-  private record Fleet(List<Subset<Server>> nodes, List<Set<String>> views) {
+  private record Fleet(List<EndpointSubset<Server>> nodes, List<Set<String>> views) {
     static Fleet of(int nodes, int least, List<Server> list) {
       Fleet f = new Fleet(new ArrayList<>(), new ArrayList<>());
       for (int m = 0; m < nodes; m++) {
-        f.nodes.add(new Subset<>(m, nodes, least));
+        f.nodes.add(new EndpointSubset<>(m, nodes, least));
         f.views.add(new HashSet<>());
         for (Server s : list) {
           put(f.nodes.get(m), s);
@@ -183,8 +189,8 @@
     int settle() {
       int moved = 0;
       for (int m = 0; m < nodes.size(); m++) {
-        Subset.Moves<Server> moves = nodes.get(m).settle();
-        moved += moves.entered().size() + moves.left().size();
+        EndpointSubset.Changes<Server> moves = nodes.get(m).applyChanges();
+        moved += moves.added().size() + moves.removed().size();
         follow(views.get(m), moves);
       }
       return moved;
@@ -284,7 +290,7 @@
         list.stream().filter(s -> rack ? s.cell != 7 : !s.zone.equals("z1")).toList();
     Set<String> ids = new HashSet<>();
     rest.forEach(s -> ids.add(s.id));
-    f.nodes.forEach(n -> n.retain(ids));
+    f.nodes.forEach(n -> n.retainOnly(ids));
     f.settle();
     even(f, rest, Math.max(48.0 / rest.size(), 8.0 / nodes));
     for (int m = 0; m < nodes; m++) {
@@ -325,42 +331,42 @@
   @Property(tries = 30, seed = "1")
   void matesAreFound(@ForAll @LongRange(min = 0, max = 1000) long seed) {
     Random random = new Random(seed);
-    Subset<Server> subset = new Subset<>(random.nextInt(50), 50, 8);
+    EndpointSubset<Server> subset = new EndpointSubset<>(random.nextInt(50), 50, 8);
     List<Server> list = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       list.add(new Server("s" + i, "z" + i % 3, random.nextInt(60), random.nextInt(5) > 0));
       put(subset, list.get(i));
     }
-    subset.settle();
+    subset.applyChanges();
     for (Server s : list) {
-      Set<Server> cell = new HashSet<>(subset.mates(s.cell, 1000));
+      Set<Server> cell = new HashSet<>(subset.groupMembers(s.cell, 1000));
       assertEquals(
           new HashSet<>(list.stream().filter(o -> o.up && o.cell == s.cell).toList()), cell);
-      List<Server> zone = subset.mates(s.zone, 4);
+      List<Server> zone = subset.groupMembers(s.zone, 4);
       assertTrue(zone.size() == 4 && zone.stream().allMatch(o -> o.up && o.zone.equals(s.zone)));
     }
-    assertEquals(List.of(), subset.mates(99, 3));
+    assertEquals(List.of(), subset.groupMembers(99, 3));
   }
 
   /** 9: wider takes only in, narrower only out, and the even arc comes back. */
   @Property(tries = 30, seed = "1")
   void widerOnlyTakesIn(@ForAll @IntRange(min = 0, max = 99) int me) {
-    Subset<Server> subset = new Subset<>(me, 100, 16);
+    EndpointSubset<Server> subset = new EndpointSubset<>(me, 100, 16);
     Set<String> view = new HashSet<>();
     list(500, 3).forEach(s -> put(subset, s));
-    follow(view, subset.settle());
+    follow(view, subset.applyChanges());
     Set<String> even = new HashSet<>(view);
     for (double width : new double[] {1.5, 2, 4, 16}) {
-      subset.width(width);
-      Subset.Moves<Server> moves = subset.settle();
-      assertEquals(List.of(), moves.left());
+      subset.widthFactor(width);
+      EndpointSubset.Changes<Server> moves = subset.applyChanges();
+      assertEquals(List.of(), moves.removed());
       follow(view, moves);
     }
     assertEquals(500, view.size(), "sixteen times a twelfth is all");
     for (double width = 16; width > 0.9; width *= 0.95) {
-      subset.width(width);
-      Subset.Moves<Server> moves = subset.settle();
-      assertEquals(List.of(), moves.entered());
+      subset.widthFactor(width);
+      EndpointSubset.Changes<Server> moves = subset.applyChanges();
+      assertEquals(List.of(), moves.added());
       follow(view, moves);
     }
     assertEquals(even, view);
--- a/src/test/java/edgenode/policy/subset/SubsetBalance.java
+++ b/src/test/java/edgenode/policy/subset/SubsetBalanceReport.java
@@ -6,15 +6,16 @@
 
 /**
  * How even the subsets of a whole fleet are, by arithmetic on the places of nodes and servers, as
- * {@link Subset} has them: nodes that hold a server, servers that a node holds, and the load of a
- * server in parts of the mean, where each node spreads its traffic evenly over what it holds and
- * none looks at answers. Run from the repository's root, after {@code mvn -DskipTests package}:
- * {@code java -cp target/test-classes:target/classes edgenode.policy.subset.SubsetBalance}. The
- * last columns: a tenth of the nodes by number gone, and traffic of the nodes spread log-normally
- * with a mean of 1 (sigma 0.8: one in a hundred has over 4).
+ * {@link EndpointSubset} has them: nodes that hold a server, servers that a node holds, and the
+ * load of a server in parts of the mean, where each node spreads its traffic evenly over what it
+ * holds and none looks at answers. Run from the repository's root, after {@code mvn -DskipTests
+ * package}: {@code java -cp target/test-classes:target/classes
+ * edgenode.policy.subset.SubsetBalance}. The last columns: a tenth of the nodes by number gone, and
+ * traffic of the nodes spread log-normally with a mean of 1 (sigma 0.8: one in a hundred has over
+ * 4).
  */
-final class SubsetBalance {
-  private SubsetBalance() {}
+final class SubsetBalanceReport {
+  private SubsetBalanceReport() {}
 
   public static void main(String[] args) {
     System.out.printf(
@@ -38,7 +39,7 @@
           {5500, 190_000, 256},
           {5500, 190_000, 512}
         }) {
-      fleet(w[0], w[1], w[2], Subset.HOLDERS);
+      fleet(w[0], w[1], w[2], EndpointSubset.MIN_NODES_PER_ENDPOINT);
     }
     for (int holders : new int[] {1, 2, 4, 16}) {
       System.out.println("with " + holders + " holders at least:");
@@ -49,7 +50,7 @@
   private static void fleet(int nodes, int servers, int bound, int holders) {
     long[] at = new long[servers];
     for (int i = 0; i < servers; i++) {
-      at[i] = Subset.offset("s-" + Integer.toHexString(i), 0);
+      at[i] = EndpointSubset.offsetOf("s-" + Integer.toHexString(i), 0);
     }
     Arrays.sort(at);
     double share = Math.min(1, Math.max(bound / (double) servers, holders / (double) nodes));
@@ -61,13 +62,14 @@
     int[] size = new int[nodes];
     for (int m = 0; m < nodes; m++) {
       double traffic = Math.exp(0.8 * random.nextGaussian() - 0.32);
-      long from = Subset.place(m) >>> 2;
+      long from = EndpointSubset.arcStart(m) >>> 2;
       int first = Arrays.binarySearch(at, from);
       first = first < 0 ? -first - 1 : first;
       int k = 0;
       while (k < servers && share >= 1
           || k < servers
-              && (at[(first + k) % servers] - from & Subset.CIRCLE - 1) < share * Subset.CIRCLE) {
+              && (at[(first + k) % servers] - from & EndpointSubset.CIRCLE_LENGTH - 1)
+                  < share * EndpointSubset.CIRCLE_LENGTH) {
         k++;
       }
       size[m] = k;
--- a/src/test/java/edgenode/simhost/WireTest.java
+++ b/src/test/java/edgenode/simhost/SimulatorWireTest.java
@@ -10,7 +10,7 @@
 import java.io.StringReader;
 import org.junit.jupiter.api.Test;
 
-class WireTest {
+class SimulatorWireTest {
   private static final String UP =
       "INSTANCE\t3\nUP\t42\trank=0\tgroup_size=2\ttick=4.0\tunheard_of=x"
           + "\trequest_classes.count=1\trequest_classes.0.name=read\trequest_classes.0.effect=read_like"
@@ -21,12 +21,13 @@
 
   private static String run(String input) throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Wire().run(new BufferedReader(new StringReader(input)), new PrintStream(out, true));
+    new SimulatorWire()
+        .run(new BufferedReader(new StringReader(input)), new PrintStream(out, true));
     return out.toString();
   }
 
   private static String error(String input) {
-    return assertThrows(Wire.Malformed.class, () -> run(input)).getMessage();
+    return assertThrows(SimulatorWire.MalformedInputException.class, () -> run(input)).getMessage();
   }
 
   @Test
@@ -48,7 +49,7 @@
   }
 
   @Test
-  void killAndStartInOneBatch() throws Exception {
+  void anInstanceIsDestroyedAndStartedInOneBatch() throws Exception {
     String output =
         run(
             "TURN\t10\n"
@@ -62,7 +63,7 @@
   }
 
   @Test
-  void malformedLinesAreToldWithLineAndField() {
+  void malformedInputIsReportedWithLineAndField() {
     assertEquals("line 1, field message: TURN expected, found 'HELLO'", error("HELLO\n"));
     assertEquals("line 1, field clock: number expected, found 'x'", error("TURN\tx\nGO\n"));
     assertTrue(
--- a/src/test/java/edgenode/simhost/WireDigest.java
+++ b/src/test/java/edgenode/simhost/WireDigest.java
@@ -67,7 +67,7 @@
   static String play(long seed, int turns) throws IOException {
     WireDigest digest = new WireDigest(seed, turns);
     try (PrintStream out = new PrintStream(digest.output, true, StandardCharsets.UTF_8)) {
-      new Wire().run(digest.new Lines(), out);
+      new SimulatorWire().run(digest.new Lines(), out);
     }
     digest.replies();
     return digest.lines + " " + HexFormat.of().formatHex(digest.sha256.digest());
--- a/src/test/java/edgenode/simulation/DecisionDigests.java
+++ b/src/test/java/edgenode/simulation/DecisionDigests.java
@@ -47,7 +47,7 @@
           days.add(
               pool.submit(
                   () -> {
-                    Rehearsal day = Rehearsal.play(Scenarios.of(name), drawn);
+                    ScenarioRun day = ScenarioRun.play(Scenarios.of(name), drawn);
                     return name + " " + drawn + " " + day.events() + " " + day.sha256();
                   }));
         }
--- a/src/test/java/edgenode/simulation/TryTest.java
+++ b/src/test/java/edgenode/simulation/DemoCommandTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.emulator.Arrivals;
-import edgenode.emulator.CampusClients;
+import edgenode.emulator.ArrivalProcess;
+import edgenode.emulator.CustomerClients;
 import edgenode.emulator.Effects;
-import edgenode.node.Peer;
+import edgenode.node.FakePeer;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -31,7 +31,7 @@
 
 /** {@code try} as a newcomer runs it, and its world as tests use it. */
 @Timeout(60)
-class TryTest {
+class DemoCommandTest {
   private static Process run(String... options) throws IOException {
     List<String> command =
         new ArrayList<>(
@@ -40,7 +40,7 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 "edgenode.Main",
-                "try"));
+                "demo"));
     command.addAll(List.of(options));
     return new ProcessBuilder(command).start();
   }
@@ -82,9 +82,9 @@
               .replaceAll(".*printf '(.*)' \\| nc.*", "$1")
               .replace("\\r\\n", "\r\n");
       until(out, "What passes");
-      try (Peer.Line line = Peer.Line.to(port)) {
+      try (FakePeer.Connection line = FakePeer.Connection.connect(port)) {
         line.write(paste);
-        assertTrue(line.message().get(0).startsWith("ok 1 by s"), "served");
+        assertTrue(line.readMessage().get(0).startsWith("ok 1 by s"), "served");
       }
       assertTrue(
           until(out, " gets ").contains("CALL.GET 1 of 0000000012ab34cd c=seat-lookup,t=estandar"));
@@ -151,8 +151,8 @@
    */
   @Test
   void aWindowOpensAndAServerReturnsCold() throws Exception {
-    Map<CampusClients.Fate, AtomicInteger> fates = new EnumMap<>(CampusClients.Fate.class);
-    for (CampusClients.Fate fate : CampusClients.Fate.values()) {
+    Map<CustomerClients.Fate, AtomicInteger> fates = new EnumMap<>(CustomerClients.Fate.class);
+    for (CustomerClients.Fate fate : CustomerClients.Fate.values()) {
       fates.put(fate, new AtomicInteger());
     }
     AtomicInteger small = new AtomicInteger();
@@ -169,7 +169,7 @@
               String list,
               String key,
               boolean ran) {
-            if (ran && customer.equals(World.CAMPUSES.get(0).customer())) {
+            if (ran && customer.equals(EmulatedWorld.CAMPUSES.get(0).customer())) {
               small.incrementAndGet();
             }
             if (key != null && ran) {
@@ -178,31 +178,33 @@
           }
         };
     double seconds = 6;
-    try (World world = new World(0, 3, 11, effects, (now, name, amount, total) -> {}, line -> {})) {
-      Arrivals arrivals =
-          new Arrivals(11, World.CAMPUSES, World.KINDS, ms -> ms < 2000 ? 20 : 200, 200);
-      CampusClients clients =
-          new CampusClients(
+    try (EmulatedWorld world =
+        new EmulatedWorld(0, 3, 11, effects, (now, name, amount, total) -> {}, line -> {})) {
+      ArrivalProcess arrivals =
+          new ArrivalProcess(
+              11, EmulatedWorld.CAMPUSES, EmulatedWorld.KINDS, ms -> ms < 2000 ? 20 : 200, 200);
+      CustomerClients clients =
+          new CustomerClients(
               world.loop(),
               arrivals,
-              CampusClients.Habits.USUAL,
+              CustomerClients.Habits.USUAL,
               world.address(),
               (of, retry, fate, ms) -> fates.get(fate).incrementAndGet(),
               11);
-      world.loop().later(clients::start);
+      world.loop().execute(clients::start);
       world
           .loop()
-          .later(
+          .execute(
               () ->
                   world
                       .loop()
-                      .after(
+                      .schedule(
                           3000,
                           () -> {
                             world.servers().get(0).die();
                             world
                                 .loop()
-                                .after(
+                                .schedule(
                                     1000,
                                     () -> {
                                       world.servers().get(0).back(world.servers().get(0).address());
@@ -210,18 +212,18 @@
                                     });
                           }));
       Thread.sleep((long) (seconds * 1000));
-      world.loop().later(clients::stop);
+      world.loop().execute(clients::stop);
       for (int open = 1; open > 0; ) { // each has its end: an answer, or its client's patience
         open = CompletableFuture.supplyAsync(clients::open, world.loop().group()).join();
         Thread.sleep(5);
       }
-      world.loop().later(clients::close);
+      world.loop().execute(clients::close);
     }
-    int served = fates.get(CampusClients.Fate.SERVED).get();
+    int served = fates.get(CustomerClients.Fate.SERVED).get();
     assertTrue(served > 200, fates.toString());
-    assertTrue(fates.get(CampusClients.Fate.REFUSED).get() > 0, "the quota bites: " + fates);
-    assertEquals(0, fates.get(CampusClients.Fate.LOST).get(), fates.toString());
-    assertEquals(0, fates.get(CampusClients.Fate.NOT_CONNECTED).get(), fates.toString());
+    assertTrue(fates.get(CustomerClients.Fate.REFUSED).get() > 0, "the quota bites: " + fates);
+    assertEquals(0, fates.get(CustomerClients.Fate.LOST).get(), fates.toString());
+    assertEquals(0, fates.get(CustomerClients.Fate.NOT_CONNECTED).get(), fates.toString());
     // plan basico: 5 a second and 10 at once; a try takes its units once, so attempts again may
     // come on top
     assertTrue(small.get() <= 10 + 5 * seconds * 1.05 + 3, "beyond its quota: " + small.get());
--- a/src/test/java/edgenode/simulation/DiscoveryTermTest.java
+++ b/src/test/java/edgenode/simulation/DiscoveryTermTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.emulator.Agent;
-import edgenode.eventloop.LoopThread;
-import edgenode.membership.Entry;
-import edgenode.membership.Limits;
-import edgenode.net.discovery.Members;
-import edgenode.net.discovery.MembersJson;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.eventloop.NettyEdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
+import edgenode.membership.MembershipLimits;
+import edgenode.net.discovery.EndpointListJson;
+import edgenode.net.discovery.MembershipService;
 import edgenode.policy.EndpointState;
 import edgenode.simulation.FaultyAgent.Fault;
 import java.io.IOException;
@@ -63,35 +63,36 @@
   /**
    * One node's view of the servers, and the time (ms after the change) at which it has the change.
    */
-  private static final class World implements Members.View {
+  private static final class World implements MembershipService.MembershipListener {
     final VirtualLoop loop = new VirtualLoop();
     final LocalTransport network = new LocalTransport("term" + WORLDS.incrementAndGet());
-    final LoopThread inside = new LoopThread(loop, network, loop, line -> {});
+    final NettyEdgeEventLoop inside = new NettyEdgeEventLoop(loop, network, loop, line -> {});
     final FaultyAgent agent;
     final FaultyAgent old;
-    final Members members;
+    final MembershipService members;
     double knownAt = Double.POSITIVE_INFINITY;
 
     World(From from, Fault list, Fault watch) throws IOException {
       boolean moved = from == From.MOVED || from == From.MOVED_LONG;
-      List<Agent.Host> all = new ArrayList<>();
+      List<DiscoveryAgentEmulator.Host> all = new ArrayList<>();
       for (int i = 0; i < from.servers; i++) {
         all.add(host("s" + i, "active"));
       }
       agent = new FaultyAgent(network, inside, at(1), 40, all);
       old = new FaultyAgent(network, inside, at(2), 70, all);
-      LoopThread outside = new LoopThread(loop, agent, loop, line -> {});
-      Members.Place place = Members.agent(at(1));
-      Members.Place before = Members.agent(at(2));
+      NettyEdgeEventLoop outside = new NettyEdgeEventLoop(loop, agent, loop, line -> {});
+      MembershipService.SourceDefinition place = MembershipService.agentSource(at(1));
+      MembershipService.SourceDefinition before = MembershipService.agentSource(at(2));
       members =
-          new Members(outside, this, Limits.defaults(18_000), List.of(moved ? before : place), 0);
+          new MembershipService(
+              outside, this, MembershipLimits.defaults(18_000), List.of(moved ? before : place), 0);
       if (from == From.START) {
         agent.fail(list, watch);
       }
       loop.execute(() -> members.start(from == From.START ? known(all) : null));
       loop.runUntil(BEGINS);
       if (moved) {
-        loop.execute(() -> members.move(before, place));
+        loop.execute(() -> members.replaceSource(before, place));
       }
       agent.fail(list, watch);
       if (from == From.RUNNING || from == From.RUNNING_LONG) {
@@ -99,12 +100,12 @@
       }
     }
 
-    private static MembersJson known(List<Agent.Host> all) {
+    private static EndpointListJson known(List<DiscoveryAgentEmulator.Host> all) {
       StringBuilder text = new StringBuilder("{\"seq\":40,\"whole\":true,\"hosts\":[");
       all.forEach(h -> text.append(h == all.get(0) ? "" : ",").append(h.json()));
       byte[] bytes = text.append("]}").toString().getBytes(StandardCharsets.US_ASCII);
       try {
-        return MembersJson.read(bytes, bytes.length, what -> {});
+        return EndpointListJson.parse(bytes, bytes.length, what -> {});
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
@@ -114,14 +115,14 @@
       return new InetSocketAddress("10.1.0." + number, 7000);
     }
 
-    static Agent.Host host(String id, String health) {
-      return new Agent.Host(id, "10.2.0.1:7000", health, 0);
+    static DiscoveryAgentEmulator.Host host(String id, String health) {
+      return new DiscoveryAgentEmulator.Host(id, "10.2.0.1:7000", health, 0);
     }
 
     /** The change comes now; ms until it is known. */
     double change(double at) {
       agent.set(host("s0", "leaving"));
-      double from = loop.now();
+      double from = loop.nowMs();
       for (double ms = 100; ms <= 3 * TERM && knownAt == Double.POSITIVE_INFINITY; ms += 100) {
         loop.runUntil(at + ms);
       }
@@ -129,10 +130,10 @@
     }
 
     @Override
-    public void listed(List<Entry> entries, boolean whole) {
-      for (Entry e : entries) {
-        if (e.server().id().equals("s0") && e.server().state() != EndpointState.UP) {
-          knownAt = Math.min(knownAt, loop.now());
+    public void endpointsChanged(List<DiscoveredEndpoint> entries, boolean whole) {
+      for (DiscoveredEndpoint e : entries) {
+        if (e.info().id().equals("s0") && e.info().state() != EndpointState.UP) {
+          knownAt = Math.min(knownAt, loop.nowMs());
         }
       }
     }
@@ -141,10 +142,10 @@
     public void discoveryFailed() {}
 
     @Override
-    public void discoveryRefuses() {}
+    public void discoveryRefused() {}
 
     @Override
-    public void tryOut(String id) {}
+    public void probeEndpoint(String id) {}
   }
 
   static Stream<Arguments> outages() {
--- a/src/test/java/edgenode/simulation/WorldOfStandInsTest.java
+++ b/src/test/java/edgenode/simulation/EmulatedWorldTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.emulator.Agent;
-import edgenode.emulator.Capacity;
-import edgenode.emulator.Discovery;
+import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.CapacityModel;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.emulator.DiscoveryEmulator;
 import edgenode.emulator.Effects;
-import edgenode.emulator.EnrolmentServer;
-import edgenode.emulator.Rack;
-import edgenode.eventloop.LoopThread;
+import edgenode.emulator.IdempotencyGroupModel;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -22,11 +22,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What the judges lean on in the stand-ins, and the death of a process in virtual time. */
-class WorldOfStandInsTest {
+class EmulatedWorldTest {
   private final VirtualLoop loop = new VirtualLoop();
   private final LocalTransport transport =
       new LocalTransport("world of stand-ins " + System.identityHashCode(this));
-  private final LoopThread shared = new LoopThread(loop, transport, loop, line -> {});
+  private final NettyEdgeEventLoop shared =
+      new NettyEdgeEventLoop(loop, transport, loop, line -> {});
 
   private static InetSocketAddress at(int host) {
     return new InetSocketAddress("10.9.0." + host, 7000);
@@ -35,13 +36,13 @@
   /** A node keeps a keyed request in its rack by what the list says of it. */
   @Test
   void theListTellsEachServersOwnRack() throws Exception {
-    EnrolmentServer server =
-        new EnrolmentServer(
+    AppServerEmulator server =
+        new AppServerEmulator(
                 shared,
                 "s1",
-                new Rack("b", 1, 7500),
-                new Capacity.Size(1, 1, 1, 1, 1, 0),
-                EnrolmentServer.Habits.USUAL,
+                new IdempotencyGroupModel("b", 1, 7500),
+                new CapacityModel.Size(1, 1, 1, 1, 1, 0),
+                AppServerEmulator.Habits.USUAL,
                 new Effects() {},
                 1)
             .start(at(1));
@@ -53,12 +54,12 @@
   @Test
   void whatChangedInSilenceIsToldAtItsEnd() throws Exception {
     List<String> told = new ArrayList<>();
-    Discovery discovery =
-        new Discovery(shared, 0, (now, host) -> told.add(host.id() + " " + host.health()))
+    DiscoveryEmulator discovery =
+        new DiscoveryEmulator(shared, 0, (now, host) -> told.add(host.id() + " " + host.health()))
             .start(at(2));
-    discovery.set(new Agent.Host("s0", "10.9.0.1:7000", "active", 0));
+    discovery.set(new DiscoveryAgentEmulator.Host("s0", "10.9.0.1:7000", "active", 0));
     discovery.silent(true);
-    discovery.set(new Agent.Host("s0", "10.9.0.1:7000", "leaving", 0));
+    discovery.set(new DiscoveryAgentEmulator.Host("s0", "10.9.0.1:7000", "leaving", 0));
     assertEquals(List.of("s0 active"), told);
     discovery.silent(false);
     assertEquals(List.of("s0 active", "s0 leaving"), told);
@@ -78,7 +79,7 @@
     AtomicInteger spoke = new AtomicInteger();
     process
         .transport()
-        .accepting(process.group(), 8)
+        .newServerBootstrap(process.group(), 8)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -94,16 +95,16 @@
                         });
               }
             })
-        .bind(process.transport().at(at(3)));
+        .bind(process.transport().toSocketAddress(at(3)));
     loop.runUntil(1);
     Channel client = connect(shared, 3);
     assertTrue(client.isActive());
-    process.after(50, ran::incrementAndGet);
-    process.after(150, ran::incrementAndGet);
+    process.schedule(50, ran::incrementAndGet);
+    process.schedule(150, ran::incrementAndGet);
     loop.runUntil(100);
     process.kill();
-    process.say("a word from beyond");
-    process.later(ran::incrementAndGet);
+    process.logLine("a word from beyond");
+    process.execute(ran::incrementAndGet);
     loop.runUntil(300);
     assertEquals(1, ran.get());
     assertEquals(0, spoke.get(), "it saw its own end");
@@ -112,26 +113,26 @@
     assertFalse(connect(shared, 3).isActive(), "nobody listens");
     shared
         .transport()
-        .accepting(shared.group(), 8)
+        .newServerBootstrap(shared.group(), 8)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {}
             })
-        .bind(transport.at(at(4)));
+        .bind(transport.toSocketAddress(at(4)));
     loop.runUntil(301);
     assertTrue(connect(shared, 4).isActive());
     assertFalse(connect(process, 4).isActive(), "it connects to nobody");
   }
 
-  private Channel connect(edgenode.eventloop.Loop from, int host) {
+  private Channel connect(edgenode.eventloop.EdgeEventLoop from, int host) {
     Channel channel =
         from.transport()
-            .connecting(from.group(), 1000)
+            .newClientBootstrap(from.group(), 1000)
             .handler(new ChannelInboundHandlerAdapter())
-            .connect(from.transport().at(at(host)))
+            .connect(from.transport().toSocketAddress(at(host)))
             .channel();
-    loop.runUntil((loop.now() - VirtualLoop.START) + 1);
+    loop.runUntil((loop.nowMs() - VirtualLoop.START) + 1);
     return channel;
   }
 }
--- a/src/test/java/edgenode/simulation/StandstillTest.java
+++ b/src/test/java/edgenode/simulation/EventLoopStallTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.emulator.CampusClients;
-import edgenode.emulator.Counter;
-import edgenode.eventloop.LoopThread;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.CustomerClients;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.net.counter.CounterClient;
 import edgenode.policy.CallOutcome;
 import io.netty.channel.Channel;
@@ -25,14 +25,14 @@
  * at one moment.
  */
 @Timeout(120)
-class StandstillTest {
+class EventLoopStallTest {
   private static final InetSocketAddress COUNTER = new InetSocketAddress("10.1.0.2", 7000);
   private static final int LINES = 4;
 
   private final VirtualLoop loop = new VirtualLoop();
   private final LocalTransport transport = new LocalTransport("standstill" + System.nanoTime());
   private final List<String> log = new ArrayList<>();
-  private final LoopThread world = new LoopThread(loop, transport, loop, log::add);
+  private final NettyEdgeEventLoop world = new NettyEdgeEventLoop(loop, transport, loop, log::add);
   private final ProcessLoop node = new ProcessLoop(loop, transport, log::add);
   private final List<CallOutcome> outcomes = new ArrayList<>();
 
@@ -46,7 +46,7 @@
   private void callOnEach(CounterClient client) {
     for (long i = 0; i < LINES; i++) {
       long name = i;
-      node.later(() -> client.add(name, 1, 1000));
+      node.execute(() -> client.add(name, 1, 1000));
     }
   }
 
@@ -55,7 +55,7 @@
   void aCounterThatTakesAndClosesIsNotAskedWithoutEnd() {
     int[] taken = {0};
     transport
-        .accepting(loop, 64)
+        .newServerBootstrap(loop, 64)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -64,7 +64,7 @@
                 channel.close();
               }
             })
-        .bind(transport.at(COUNTER));
+        .bind(transport.toSocketAddress(COUNTER));
     client();
     loop.runUntil(10_000);
     assertTrue(taken[0] >= 5 * LINES && taken[0] <= 15 * LINES, taken[0] + " connections: " + log);
@@ -75,7 +75,8 @@
 
   @Test
   void aLineThatWasOfUseIsBackAtOnce() throws Exception {
-    Counter counter = new Counter(world, Counter.Size.USUAL, new Trace()).start(COUNTER);
+    CounterEmulator counter =
+        new CounterEmulator(world, CounterEmulator.Size.USUAL, new Trace()).start(COUNTER);
     CounterClient client = client();
     loop.runUntil(100);
     callOnEach(client);
@@ -101,9 +102,10 @@
   @Test
   void aFleetOfMoreThanTheCountersUsualRoomHasItsDay() throws Exception {
     Scenario calm = Scenarios.of("calm");
-    int nodes = Counter.Size.USUAL.connections() / LINES + 1;
-    Rehearsal day = Rehearsal.play(calm.withNodes(nodes).withLength(2000), 880_003);
-    assertTrue(day.fates().getOrDefault(CampusClients.Fate.SERVED, 0) > 0, day.fates().toString());
+    int nodes = CounterEmulator.Size.USUAL.connections() / LINES + 1;
+    ScenarioRun day = ScenarioRun.play(calm.withNodes(nodes).withLength(2000), 880_003);
+    assertTrue(
+        day.fates().getOrDefault(CustomerClients.Fate.SERVED, 0) > 0, day.fates().toString());
     assertEquals(List.of(), day.log());
   }
 
@@ -145,8 +147,9 @@
             day.load(),
             List.of());
     List<Double> reached = new ArrayList<>();
-    Rehearsal heard = Rehearsal.play(shorter, 7, edgenode.policy.PolicyEngine::new, reached::add);
-    assertEquals(Rehearsal.play(shorter, 7).sha256(), heard.sha256());
+    ScenarioRun heard =
+        ScenarioRun.play(shorter, 7, edgenode.policy.PolicyEngine::new, reached::add);
+    assertEquals(ScenarioRun.play(shorter, 7).sha256(), heard.sha256());
     assertEquals(reached.stream().sorted().toList(), reached, "never back");
     assertEquals(0, reached.get(0));
     assertEquals(heard.lengthMs(), reached.get(reached.size() - 1), 1e-6);
--- a/src/test/java/edgenode/simulation/FaultyAgent.java
+++ b/src/test/java/edgenode/simulation/FaultyAgent.java
@@ -1,7 +1,7 @@
 package edgenode.simulation;
 
-import edgenode.emulator.Agent;
-import edgenode.eventloop.LoopThread;
+import edgenode.emulator.DiscoveryAgentEmulator;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.eventloop.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -62,11 +62,11 @@
   private static final double BEAT = 2000;
 
   private final LocalTransport network;
-  private final LoopThread loop;
-  private final Map<String, Agent.Host> hosts = new LinkedHashMap<>();
+  private final NettyEdgeEventLoop loop;
+  private final Map<String, DiscoveryAgentEmulator.Host> hosts = new LinkedHashMap<>();
   private final List<Line> lines = new ArrayList<>();
   private long seq;
-  private Agent.Host latest;
+  private DiscoveryAgentEmulator.Host latest;
   private Fault lists = Fault.NONE;
   private Fault watches = Fault.NONE;
   private int calls;
@@ -76,16 +76,16 @@
    */
   FaultyAgent(
       LocalTransport network,
-      LoopThread loop,
+      NettyEdgeEventLoop loop,
       InetSocketAddress address,
       long seq,
-      List<Agent.Host> all) {
+      List<DiscoveryAgentEmulator.Host> all) {
     this.network = network;
     this.loop = loop;
     this.seq = seq;
     all.forEach(h -> hosts.put(h.id(), h));
     network
-        .accepting(loop.group(), 128)
+        .newServerBootstrap(loop.group(), 128)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -93,7 +93,7 @@
                 channel.pipeline().addLast(new Line(channel));
               }
             })
-        .bind(network.at(address));
+        .bind(network.toSocketAddress(address));
   }
 
   /** From now on. */
@@ -107,7 +107,7 @@
     lines.forEach(l -> l.dead = true);
   }
 
-  void set(Agent.Host host) {
+  void set(DiscoveryAgentEmulator.Host host) {
     seq++;
     latest = host;
     hosts.put(host.id(), host);
@@ -135,7 +135,7 @@
   // ---- connects ----
 
   @Override
-  public Bootstrap connecting(EventLoopGroup group, int within) {
+  public Bootstrap newClientBootstrap(EventLoopGroup group, int within) {
     return new Bootstrap()
         .group(group)
         .channelFactory(
@@ -148,13 +148,13 @@
   }
 
   @Override
-  public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
-    return network.accepting(group, backlog);
+  public ServerBootstrap newServerBootstrap(EventLoopGroup group, int backlog) {
+    return network.newServerBootstrap(group, backlog);
   }
 
   @Override
-  public SocketAddress at(InetSocketAddress address) {
-    return network.at(address);
+  public SocketAddress toSocketAddress(InetSocketAddress address) {
+    return network.toSocketAddress(address);
   }
 
   private final class Connects extends ChannelOutboundHandlerAdapter {
@@ -176,7 +176,7 @@
         ctx.close();
       } else if (lists == Fault.LOST) {
         calls++;
-        loop.after(
+        loop.schedule(
             within,
             () -> {
               promise.tryFailure(new ConnectTimeoutException("lost"));
@@ -273,7 +273,7 @@
           answer.substring(
               answer.length() * piece / PIECES, answer.length() * (piece + 1) / PIECES));
       if (piece + 1 < PIECES && channel.isActive()) {
-        loop.after(TRICKLED / PIECES, () -> trickle(answer, piece + 1));
+        loop.schedule(TRICKLED / PIECES, () -> trickle(answer, piece + 1));
       }
     }
 
@@ -292,7 +292,7 @@
     }
 
     private void beat() {
-      loop.after(
+      loop.schedule(
           BEAT,
           () -> {
             if (channel.isActive() && !dead) {
--- a/src/test/java/edgenode/simulation/FleetStartTest.java
+++ b/src/test/java/edgenode/simulation/FleetStartTest.java
@@ -3,19 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.config.Config;
-import edgenode.config.Json;
-import edgenode.emulator.Capacity;
-import edgenode.emulator.Counter;
-import edgenode.emulator.Discovery;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.CapacityModel;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.DiscoveryEmulator;
 import edgenode.emulator.Effects;
-import edgenode.emulator.EnrolmentServer;
-import edgenode.emulator.Rack;
-import edgenode.eventloop.LoopThread;
-import edgenode.membership.Entry;
-import edgenode.membership.Health;
-import edgenode.net.upstream.ServerPool;
-import edgenode.node.Node;
+import edgenode.emulator.IdempotencyGroupModel;
+import edgenode.eventloop.NettyEdgeEventLoop;
+import edgenode.membership.DiscoveredEndpoint;
+import edgenode.membership.EndpointHealthListener;
+import edgenode.net.upstream.UpstreamConnectionPool;
+import edgenode.node.EdgeNode;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import edgenode.policy.PolicyEngine;
@@ -40,18 +40,19 @@
   private static double up(boolean known, List<String> log) throws Exception {
     VirtualLoop loop = new VirtualLoop();
     LocalTransport transport = new LocalTransport("start" + known);
-    LoopThread world = new LoopThread(loop, transport, loop, log::add);
-    Discovery discovery =
-        new Discovery(world, 0, (now, host) -> {}).start(new InetSocketAddress("10.1.0.1", 7000));
-    new Counter(world, Counter.Size.USUAL, new Trace())
+    NettyEdgeEventLoop world = new NettyEdgeEventLoop(loop, transport, loop, log::add);
+    DiscoveryEmulator discovery =
+        new DiscoveryEmulator(world, 0, (now, host) -> {})
+            .start(new InetSocketAddress("10.1.0.1", 7000));
+    new CounterEmulator(world, CounterEmulator.Size.USUAL, new Trace())
         .start(new InetSocketAddress("10.1.0.2", 7000));
-    EnrolmentServer server =
-        new EnrolmentServer(
+    AppServerEmulator server =
+        new AppServerEmulator(
                 world,
                 "s0",
-                new Rack("a", 0, 7500),
-                new Capacity.Size(2, 16, 32, 8, 0.3, 5000),
-                EnrolmentServer.Habits.USUAL,
+                new IdempotencyGroupModel("a", 0, 7500),
+                new CapacityModel.Size(2, 16, 32, 8, 0.3, 5000),
+                AppServerEmulator.Habits.USUAL,
                 new Effects() {},
                 1)
             .start(new InetSocketAddress("10.2.0.1", 7000));
@@ -62,12 +63,14 @@
             ? "{\"seq\":1,\"whole\":true,\"hosts\":[" + server.entry("active").json() + "]}"
             : "null";
     String told =
-        World.CONFIG.formatted("n0", "10.3.0.1:7000", "10.1.0.1:7000", "10.1.0.2:7000", 1L, 0, 14);
-    Config config =
-        Config.of(Json.read(told.replaceFirst("\\{", "{\"known\":" + list + ",")), Map.of());
-    Node node =
-        new Node(config, PolicyEngine::new, null, new ProcessLoop(loop, transport, log::add));
-    CompletableFuture<Void> up = node.begin(part -> {});
+        EmulatedWorld.CONFIG.formatted(
+            "n0", "10.3.0.1:7000", "10.1.0.1:7000", "10.1.0.2:7000", 1L, 0, 14);
+    NodeConfig config =
+        NodeConfig.parse(
+            JsonValue.parse(told.replaceFirst("\\{", "{\"known\":" + list + ",")), Map.of());
+    EdgeNode node =
+        new EdgeNode(config, PolicyEngine::new, null, new ProcessLoop(loop, transport, log::add));
+    CompletableFuture<Void> up = node.startAsync(part -> {});
     double at = 0;
     while (!up.isDone() && at < 10_000) {
       at += 10;
@@ -101,51 +104,51 @@
   private static int connectsAhead(int nodes) throws Exception {
     VirtualLoop loop = new VirtualLoop();
     LocalTransport transport = new LocalTransport("ahead" + nodes);
-    LoopThread world = new LoopThread(loop, transport, loop, line -> {});
-    EnrolmentServer server =
-        new EnrolmentServer(
+    NettyEdgeEventLoop world = new NettyEdgeEventLoop(loop, transport, loop, line -> {});
+    AppServerEmulator server =
+        new AppServerEmulator(
                 world,
                 "s0",
-                new Rack("a", 0, 7500),
-                new Capacity.Size(2, 16, 32, 8, 0.3, 5000),
-                EnrolmentServer.Habits.USUAL,
+                new IdempotencyGroupModel("a", 0, 7500),
+                new CapacityModel.Size(2, 16, 32, 8, 0.3, 5000),
+                AppServerEmulator.Habits.USUAL,
                 new Effects() {},
                 1)
             .start(new InetSocketAddress("10.2.0.1", 7000));
-    Config config =
-        Config.of(
-            Json.read(
-                World.CONFIG.formatted(
+    NodeConfig config =
+        NodeConfig.parse(
+            JsonValue.parse(
+                EmulatedWorld.CONFIG.formatted(
                     "n0", "10.3.0.1:7000", "10.1.0.1:7000", "10.1.0.2:7000", 1L, 0, nodes)),
             Map.of());
     int[] connects = {0};
-    Health health =
-        new Health() {
+    EndpointHealthListener health =
+        new EndpointHealthListener() {
           @Override
-          public void reachable(String id) {
+          public void connected(String id) {
             connects[0]++;
           }
 
           @Override
-          public void answered(String id) {}
+          public void responded(String id) {}
 
           @Override
-          public void unreachable(String id, boolean refused, int standing) {}
+          public void connectFailed(String id, boolean refused, int standing) {}
         };
-    ServerPool pool =
-        new ServerPool(
+    UpstreamConnectionPool pool =
+        new UpstreamConnectionPool(
             new ProcessLoop(loop, transport, line -> {}),
             health,
             (id, outcome, took, load) -> {},
             config,
             64);
-    pool.listed(
+    pool.endpointsChanged(
         List.of(
-            new Entry(
+            new DiscoveredEndpoint(
                 new EndpointInfo("s0", 0, "a", EndpointState.UP, "k", 0, 1),
                 server.entry("active").dial())));
     loop.runUntil(1000);
-    assertTrue(pool.ready().isDone());
+    assertTrue(pool.whenReady().isDone());
     return connects[0];
   }
 }
--- a/src/test/java/edgenode/simulation/Crossings.java
+++ b/src/test/java/edgenode/simulation/RaceScenarios.java
@@ -1,24 +1,24 @@
 package edgenode.simulation;
 
-import edgenode.config.Config;
-import edgenode.config.Json;
-import edgenode.emulator.Capacity;
-import edgenode.emulator.Counter;
-import edgenode.emulator.Discovery;
-import edgenode.emulator.EnrolmentServer;
-import edgenode.emulator.Rack;
-import edgenode.eventloop.LoopThread;
+import edgenode.config.JsonValue;
+import edgenode.config.NodeConfig;
+import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.CapacityModel;
+import edgenode.emulator.CounterEmulator;
+import edgenode.emulator.DiscoveryEmulator;
+import edgenode.emulator.IdempotencyGroupModel;
+import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.eventloop.Transport;
-import edgenode.net.resp.Resp;
-import edgenode.node.Node;
+import edgenode.net.resp.RespCodec;
+import edgenode.node.EdgeNode;
 import edgenode.policy.PolicyEngine;
-import edgenode.simulation.invariants.AnswersOnce;
-import edgenode.simulation.invariants.Breach;
-import edgenode.simulation.invariants.Drains;
-import edgenode.simulation.invariants.EffectsOnce;
+import edgenode.simulation.invariants.DrainInvariant;
 import edgenode.simulation.invariants.Event;
-import edgenode.simulation.invariants.Judge;
-import edgenode.simulation.invariants.Terms;
+import edgenode.simulation.invariants.InvariantChecker;
+import edgenode.simulation.invariants.InvariantTerms;
+import edgenode.simulation.invariants.SingleExecutionInvariant;
+import edgenode.simulation.invariants.SingleResponseInvariant;
+import edgenode.simulation.invariants.Violation;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -60,7 +60,7 @@
  * and by three rules of its own: no attempt, first or further, begins for a client that has left,
  * nothing taken is unanswered when the process ends, and nothing is when it may be killed.
  */
-final class Crossings {
+final class RaceScenarios {
   /** What is wrong on purpose, to see that it is found. */
   enum Planted {
     NOTHING,
@@ -87,7 +87,7 @@
   /** Ends that are seen late are within this (ms): three times what the page allows. */
   private static final double SEEN_WITHIN = 300;
 
-  private static final Capacity.Size SIZE = new Capacity.Size(2, 8, 16, 12, 0.3, 1500);
+  private static final CapacityModel.Size SIZE = new CapacityModel.Size(2, 8, 16, 12, 0.3, 1500);
   private static final String CONFIG =
       """
         {"name":"n0","listen":"10.3.0.1:7000","discovery":"10.1.0.%d:7000","counter":"10.1.0.%d:7000","seed":"%x",
@@ -108,12 +108,12 @@
    * Not DEAF: what is written to a deaf one comes when it reads again, whatever has become of it
    * meanwhile.
    */
-  private static final List<EnrolmentServer.Mood> MOODS =
+  private static final List<AppServerEmulator.Mood> MOODS =
       List.of(
-          EnrolmentServer.Mood.SILENT,
-          EnrolmentServer.Mood.NOISE,
-          EnrolmentServer.Mood.FAILING,
-          EnrolmentServer.Mood.DRAINING);
+          AppServerEmulator.Mood.SILENT,
+          AppServerEmulator.Mood.NOISE,
+          AppServerEmulator.Mood.FAILING,
+          AppServerEmulator.Mood.DRAINING);
 
   private static final String[] TYPES = {"saldo", "reserva", "cobro"};
 
@@ -122,9 +122,9 @@
   private final Random chance;
   private final VirtualLoop loop = new VirtualLoop();
   private final LocalTransport network = new LocalTransport("crossings" + WORLDS.incrementAndGet());
-  private final LoopThread shared = new LoopThread(loop, network, loop, line -> {});
-  private final List<Judge> judges;
-  private final List<Breach> own = new ArrayList<>();
+  private final NettyEdgeEventLoop shared = new NettyEdgeEventLoop(loop, network, loop, line -> {});
+  private final List<InvariantChecker> judges;
+  private final List<Violation> own = new ArrayList<>();
   private final List<String> story = new ArrayList<>();
   private final Map<String, Double> left = new HashMap<>();
   private final Set<String> sentOn = new HashSet<>();
@@ -136,12 +136,12 @@
   private final Random lateness;
 
   private final Set<Caller> callers = new LinkedHashSet<>();
-  private final List<EnrolmentServer> servers = new ArrayList<>();
+  private final List<AppServerEmulator> servers = new ArrayList<>();
   private final boolean[] dead = new boolean[SERVERS];
-  private final Discovery discovery;
-  private final Counter counter;
-  private final Node node;
-  private final Config told;
+  private final DiscoveryEmulator discovery;
+  private final CounterEmulator counter;
+  private final EdgeNode node;
+  private final NodeConfig told;
   private final int keepAlive;
   private final int nodes;
   private final int attempts;
@@ -161,7 +161,7 @@
   private int answered;
   private double began;
 
-  Crossings(long seed, Planted planted) throws IOException, InterruptedException {
+  RaceScenarios(long seed, Planted planted) throws IOException, InterruptedException {
     this.seed = seed;
     this.planted = planted;
     chance = new Random(seed * 0x9e3779b97f4a7c15L);
@@ -174,22 +174,28 @@
     window = 400 + chance.nextInt(1200);
     deadlines = new int[] {400 + chance.nextInt(1500), 900 + chance.nextInt(2500), 480};
     told = configuration();
-    Terms terms = new Terms(told.settings());
-    judges = List.of(new AnswersOnce(terms), new EffectsOnce(terms), new Drains(terms));
+    InvariantTerms terms = new InvariantTerms(told.settings());
+    judges =
+        List.of(
+            new SingleResponseInvariant(terms),
+            new SingleExecutionInvariant(terms),
+            new DrainInvariant(terms));
     Recorder recorder = new Recorder(this::see, this::day);
-    discovery = new Discovery(shared, 0, recorder).start(at(1, 1));
+    discovery = new DiscoveryEmulator(shared, 0, recorder).start(at(1, 1));
     discovery.start(at(1, 3));
-    counter = new Counter(shared, Counter.Size.USUAL, new Trace()).start(at(1, 2));
+    counter = new CounterEmulator(shared, CounterEmulator.Size.USUAL, new Trace()).start(at(1, 2));
     counter.start(at(1, 4));
-    Rack[] racks = {new Rack("a", 0, window), new Rack("b", 1, window)};
+    IdempotencyGroupModel[] racks = {
+      new IdempotencyGroupModel("a", 0, window), new IdempotencyGroupModel("b", 1, window)
+    };
     for (int i = 0; i < SERVERS; i++) {
       servers.add(
-          new EnrolmentServer(
+          new AppServerEmulator(
                   shared,
                   "s" + i,
                   racks[i % 2],
                   SIZE,
-                  new EnrolmentServer.Habits(64, keepAlive, 200, 0.1),
+                  new AppServerEmulator.Habits(64, keepAlive, 200, 0.1),
                   recorder,
                   seed * 31 + i)
               .start(at(2, i)));
@@ -197,12 +203,16 @@
       discovery.set(servers.get(i).entry("active"));
     }
     node =
-        new Node(told, PolicyEngine::new, null, new LoopThread(loop, new Late(), loop, line -> {}));
+        new EdgeNode(
+            told,
+            PolicyEngine::new,
+            null,
+            new NettyEdgeEventLoop(loop, new Late(), loop, line -> {}));
   }
 
-  private Config configuration() throws IOException {
-    return Config.of(
-        Json.read(
+  private NodeConfig configuration() throws IOException {
+    return NodeConfig.parse(
+        JsonValue.parse(
             CONFIG.formatted(
                 moved ? 3 : 1,
                 moved ? 4 : 2,
@@ -226,7 +236,7 @@
   }
 
   private double now() {
-    return day(loop.now());
+    return day(loop.nowMs());
   }
 
   private void see(Event event) {
@@ -252,16 +262,16 @@
   }
 
   private void breach(String rule, String id, String what) {
-    own.add(new Breach(rule, now(), id, what));
+    own.add(new Violation(rule, now(), id, what));
   }
 
   // ---- the day ----
 
   /** Plays it; the breaches, in order of the judges. */
-  List<Breach> play() {
+  List<Violation> play() {
     boolean silentStart = chance.nextInt(6) == 0;
     discovery.silent(silentStart);
-    node.begin(part -> {});
+    node.startAsync(part -> {});
     double until = 0;
     while (node.address() == null && until < 10_000) {
       until += 5;
@@ -272,10 +282,10 @@
     }
     began = until;
     for (int i = 0; i < 120; i++) {
-      shared.after(chance.nextDouble() * LENGTH, this::ask);
+      shared.schedule(chance.nextDouble() * LENGTH, this::ask);
     }
     for (int i = 0; i < 14; i++) {
-      shared.after(chance.nextDouble() * LENGTH, this::trouble);
+      shared.schedule(chance.nextDouble() * LENGTH, this::trouble);
     }
     double term = 1000 + chance.nextDouble() * (LENGTH - 1000);
     double killed =
@@ -283,7 +293,7 @@
             + Math.min(3000, Math.max(deadlines[0], Math.max(deadlines[1], deadlines[2])))
             + GRANTED;
     for (int i = 0; i < 60; i++) { // clients go on on each connection that stays open
-      shared.after(
+      shared.schedule(
           term + chance.nextDouble() * (killed - term),
           () ->
               callers.stream()
@@ -291,18 +301,18 @@
                   .findFirst()
                   .ifPresent(Caller::ask));
     }
-    shared.after(
+    shared.schedule(
         term,
         () -> {
           see(new Event.Done(now(), "SIGTERM"));
-          node.leave().thenRun(() -> ends("the process ended", Double.POSITIVE_INFINITY));
+          node.shutdownAsync().thenRun(() -> ends("the process ended", Double.POSITIVE_INFINITY));
           if (planted == Planted.AN_EARLY_END) {
-            shared.after(800, () -> ends("the process ended", Double.POSITIVE_INFINITY));
+            shared.schedule(800, () -> ends("the process ended", Double.POSITIVE_INFINITY));
           }
         });
-    shared.after(killed, () -> ends("SIGKILL", term + GRANTED));
+    shared.schedule(killed, () -> ends("SIGKILL", term + GRANTED));
     loop.runUntil(began + killed + 10);
-    List<Breach> all = new ArrayList<>(own);
+    List<Violation> all = new ArrayList<>(own);
     judges.forEach(j -> all.addAll(j.verdict(killed)));
     return all;
   }
@@ -338,7 +348,7 @@
 
   private void trouble() {
     int i = chance.nextInt(SERVERS);
-    EnrolmentServer server = servers.get(i);
+    AppServerEmulator server = servers.get(i);
     double lasts = 50 + chance.nextDouble() * 1500;
     int kind = chance.nextInt(12);
     see(new Event.Done(now(), "trouble " + kind + " s" + i + " for " + Math.round(lasts)));
@@ -348,23 +358,23 @@
             kind == 0 ? lasts : 1; // at once: all connections are reset under their requests
         boolean hangs = lateness.nextBoolean(); // then many are
         if (hangs) {
-          server.mood(EnrolmentServer.Mood.SILENT);
+          server.mood(AppServerEmulator.Mood.SILENT);
         }
         double dies = hangs ? 50 + lateness.nextDouble() * 300 : 0;
-        shared.after(dies * lateness.nextDouble(), this::leaveTogether);
-        shared.after(dies, () -> dies(i, back));
+        shared.schedule(dies * lateness.nextDouble(), this::leaveTogether);
+        shared.schedule(dies, () -> dies(i, back));
       }
       case 2, 3, 4, 5 -> {
         server.mood(MOODS.get(chance.nextInt(MOODS.size())));
-        shared.after(lasts, () -> server.mood(EnrolmentServer.Mood.WELL));
+        shared.schedule(lasts, () -> server.mood(AppServerEmulator.Mood.WELL));
       }
       case 6, 7 -> {
         discovery.set(server.entry("leaving"));
-        shared.after(lasts, () -> discovery.set(server.entry(dead[i] ? "left" : "active")));
+        shared.schedule(lasts, () -> discovery.set(server.entry(dead[i] ? "left" : "active")));
       }
       case 8 -> {
         discovery.silent(!stalls);
-        shared.after(lasts, () -> discovery.silent(false));
+        shared.schedule(lasts, () -> discovery.silent(false));
       }
       case 9 -> {
         if (stalls) {
@@ -372,8 +382,8 @@
         }
       }
       case 10 -> {
-        counter.mood(Counter.Mood.values()[1 + chance.nextInt(3)]);
-        shared.after(lasts, () -> counter.mood(Counter.Mood.WELL));
+        counter.mood(CounterEmulator.Mood.values()[1 + chance.nextInt(3)]);
+        shared.schedule(lasts, () -> counter.mood(CounterEmulator.Mood.WELL));
       }
       default -> {
         moved = !moved;
@@ -387,12 +397,12 @@
   }
 
   private void dies(int i, double back) {
-    EnrolmentServer server = servers.get(i);
+    AppServerEmulator server = servers.get(i);
     if (!dead[i]) {
       dead[i] = true;
       server.die();
-      server.mood(EnrolmentServer.Mood.WELL);
-      shared.after(
+      server.mood(AppServerEmulator.Mood.WELL);
+      shared.schedule(
           back,
           () -> {
             dead[i] = false;
@@ -442,16 +452,16 @@
       callers.add(this);
       channel =
           network
-              .connecting(shared.group(), 1000)
+              .newClientBootstrap(shared.group(), 1000)
               .handler(
                   new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                      Resp.codec(ch.pipeline(), 8);
+                      RespCodec.addCodec(ch.pipeline(), 8);
                       ch.pipeline().addLast(Caller.this);
                     }
                   })
-              .connect(network.at(at(3, 1)))
+              .connect(network.toSocketAddress(at(3, 1)))
               .channel();
     }
 
@@ -484,7 +494,7 @@
       } else {
         half = true; // the rest comes later, or never
         write(text.substring(0, cut));
-        shared.after(
+        shared.schedule(
             chance.nextDouble() * 700,
             () -> {
               half = false;
@@ -496,7 +506,7 @@
             });
       }
       if (chance.nextInt(4) == 0) {
-        shared.after(chance.nextDouble() * wait * 0.8, this::leave);
+        shared.schedule(chance.nextDouble() * wait * 0.8, this::leave);
       }
     }
 
@@ -529,7 +539,7 @@
               1));
       write(text);
       // where its time is over it has gone, as the judges want to know
-      shared.after(
+      shared.schedule(
           patience + 150,
           () -> {
             if (asks.stream().anyMatch(a -> a.id.equals(id))) {
@@ -549,7 +559,7 @@
       SocketAddress address = channel.localAddress();
       if (!away && channel.isActive() && lateness.nextBoolean()) {
         unseen.add(address);
-        shared.after(
+        shared.schedule(
             lateness.nextDouble() * SEEN_WITHIN,
             () -> {
               channel.close();
@@ -575,7 +585,7 @@
       }
       Ask ask = asks.poll();
       RedisMessage message = (RedisMessage) msg;
-      String text = Resp.isValue(message) ? Resp.text(message) : null;
+      String text = RespCodec.isBulkString(message) ? RespCodec.textOf(message) : null;
       String line =
           message instanceof io.netty.handler.codec.redis.ErrorRedisMessage e ? e.content() : "";
       ReferenceCountUtil.release(msg);
@@ -625,7 +635,7 @@
    */
   private final class Late implements Transport {
     @Override
-    public Bootstrap connecting(EventLoopGroup group, int withinMs) {
+    public Bootstrap newClientBootstrap(EventLoopGroup group, int withinMs) {
       return new Bootstrap()
           .group(group)
           .channelFactory(
@@ -638,7 +648,7 @@
     }
 
     @Override
-    public ServerBootstrap accepting(EventLoopGroup group, int backlog) {
+    public ServerBootstrap newServerBootstrap(EventLoopGroup group, int backlog) {
       return new ServerBootstrap()
           .group(group)
           .channelFactory(
@@ -653,13 +663,13 @@
 
     /** The system knows of an end before the node has read it. */
     @Override
-    public boolean ended(Channel connection) {
+    public boolean isClosedByPeer(Channel connection) {
       return planted != Planted.ENDS_READ_LATE && unseen.contains(connection.remoteAddress());
     }
 
     @Override
-    public SocketAddress at(InetSocketAddress address) {
-      return network.at(address);
+    public SocketAddress toSocketAddress(InetSocketAddress address) {
+      return network.toSocketAddress(address);
     }
   }
 
@@ -683,7 +693,7 @@
       ended = true;
       SocketAddress client = remoteAddress();
       // behind what was written before
-      shared.later(
+      shared.execute(
           () ->
               List.copyOf(callers).stream()
                   .filter(
@@ -748,12 +758,12 @@
       boolean late = remote.toString().contains("/10.2.") && chance.nextInt(3) == 0;
       double delay = late ? chance.nextDouble() * 400 : 0;
       if (delay == 0 || planted == Planted.LEFT_QUEUED) {
-        openAt = loop.now() + delay;
+        openAt = loop.nowMs() + delay;
         ctx.connect(remote, local, promise);
       } else if (delay < within) {
-        shared.after(delay, () -> ctx.connect(remote, local, promise));
+        shared.schedule(delay, () -> ctx.connect(remote, local, promise));
       } else {
-        shared.after(
+        shared.schedule(
             within,
             () -> {
               promise.tryFailure(new ConnectTimeoutException("late"));
@@ -764,14 +774,14 @@
 
     @Override
     public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
-      double wait = openAt - loop.now();
+      double wait = openAt - loop.nowMs();
       if (wait <= 0) {
         ctx.write(msg, promise);
         return;
       }
       promise.trySuccess(); // the node believes it written
       queued.add(() -> ctx.writeAndFlush(msg));
-      shared.after(wait, () -> queued.poll().run());
+      shared.schedule(wait, () -> queued.poll().run());
     }
   }
 }
--- a/src/test/java/edgenode/simulation/CrossingsTest.java
+++ b/src/test/java/edgenode/simulation/RaceScenariosTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.simulation.Crossings.Planted;
-import edgenode.simulation.invariants.Breach;
+import edgenode.simulation.RaceScenarios.Planted;
+import edgenode.simulation.invariants.Violation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -20,11 +20,11 @@
  * that fails is printed; {@code -Dcrossings.seed=N} plays it alone, with all that passed on the
  * sockets.
  */
-class CrossingsTest {
+class RaceScenariosTest {
   /** Some seconds of CPU in all. */
   private static final int SEEDS = Integer.getInteger("crossings.seeds", 400);
 
-  private record Played(long seed, List<Breach> breaches, int answered) {}
+  private record Played(long seed, List<Violation> breaches, int answered) {}
 
   private static List<Played> days(Planted planted, int seeds) throws Exception {
     ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
@@ -34,7 +34,7 @@
         long with = seed;
         days.add(
             () -> {
-              Crossings day = new Crossings(with, planted);
+              RaceScenarios day = new RaceScenarios(with, planted);
               return new Played(with, day.play(), day.answered());
             });
       }
@@ -52,8 +52,8 @@
   void nothingIsOwedAtAnyInstant() throws Exception {
     Long alone = Long.getLong("crossings.seed");
     if (alone != null) {
-      Crossings day = new Crossings(alone, Planted.NOTHING);
-      List<Breach> breaches = day.play();
+      RaceScenarios day = new RaceScenarios(alone, Planted.NOTHING);
+      List<Violation> breaches = day.play();
       day.story().forEach(System.out::println);
       assertEquals(List.of(), breaches);
       return;
@@ -84,13 +84,14 @@
 
   @Test
   void anAttemptLeftQueuedIsFound() throws Exception {
-    assertTrue(rules(Planted.LEFT_QUEUED).contains(Crossings.GONE_FIRST));
+    assertTrue(rules(Planted.LEFT_QUEUED).contains(RaceScenarios.GONE_FIRST));
   }
 
   /** Also that repeats are under way often enough when a client leaves. */
   @Test
   void attemptsForClientsThatAreSeenLateToHaveLeftAreFound() throws Exception {
     assertEquals(
-        Set.of(Crossings.GONE_FIRST, Crossings.GONE_FURTHER), rules(Planted.ENDS_READ_LATE));
+        Set.of(RaceScenarios.GONE_FIRST, RaceScenarios.GONE_FURTHER),
+        rules(Planted.ENDS_READ_LATE));
   }
 }
--- a/src/test/java/edgenode/simulation/RehearsalTest.java
+++ b/src/test/java/edgenode/simulation/ScenarioRunTest.java
@@ -7,8 +7,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import edgenode.node.Node;
-import edgenode.node.QuietEvents;
+import edgenode.node.EdgeNode;
+import edgenode.node.NoOpPolicyEvents;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.IncomingRequest;
 import edgenode.policy.PolicyActions;
@@ -39,7 +39,7 @@
  * found.
  */
 @Timeout(240)
-class RehearsalTest {
+class ScenarioRunTest {
   private static final String QUOTA = "quota";
   private static final int SEEDS = 20;
 
@@ -93,7 +93,7 @@
   }
 
   /** A module of a few lines: all goes to one server, and what fails there to another. */
-  private static final class Reckless extends QuietEvents {
+  private static final class Reckless extends NoOpPolicyEvents {
     private final PolicyActions act;
     private final String then;
 
@@ -147,7 +147,7 @@
     return Scenarios.parse("test.toml", "test", text);
   }
 
-  private static Set<String> broken(Rehearsal day, String... expected) {
+  private static Set<String> broken(ScenarioRun day, String... expected) {
     assertTrue(
         day.broken().containsAll(List.of(expected)),
         day.broken() + " " + day.breaches().stream().limit(3).toList());
@@ -162,19 +162,19 @@
   void theRulesAreKeptOnAllScenarios() throws Exception {
     ExecutorService pool = Executors.newFixedThreadPool(Runtime.getRuntime().availableProcessors());
     try {
-      List<Callable<Rehearsal>> days = new ArrayList<>();
+      List<Callable<ScenarioRun>> days = new ArrayList<>();
       for (String name : Scenarios.NAMES) {
         Scenario scenario = Scenarios.of(name);
         for (long seed = 1; seed <= SEEDS; seed++) {
           long with = seed;
-          days.add(() -> Rehearsal.play(scenario, with));
+          days.add(() -> ScenarioRun.play(scenario, with));
         }
       }
       List<String> broken = new ArrayList<>();
       int beyond = 0;
       double worst = 0;
-      for (Future<Rehearsal> f : pool.invokeAll(days)) {
-        Rehearsal r = f.get();
+      for (Future<ScenarioRun> f : pool.invokeAll(days)) {
+        ScenarioRun r = f.get();
         Set<String> rules = new TreeSet<>(r.broken());
         beyond += rules.remove(QUOTA) ? 1 : 0; // see the roadmap: a known gap, with its figures
         worst = Math.max(worst, r.worst().worst());
@@ -210,7 +210,7 @@
    */
   @Test
   void aModuleThatSendsToDrainingServersIsHeldByThePool() throws Exception {
-    Node.Maker crooked =
+    EdgeNode.PolicyFactory crooked =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 settings,
@@ -219,10 +219,10 @@
                 new Crooked(act) {
                   @Override
                   public void send(long id, String server, double until) {
-                    act.send(id, "s0", until);
+                    this.act.send(id, "s0", until);
                   }
                 });
-    Rehearsal held = Rehearsal.play(day(DRAIN), 1, crooked);
+    ScenarioRun held = ScenarioRun.play(day(DRAIN), 1, crooked);
     assertEquals(Set.of(), new HashSet<>(held.broken()));
     double last =
         held.court().events().stream()
@@ -255,9 +255,9 @@
 
   @Test
   void aModuleThatFloodsAColdServerIsFound() throws Exception {
-    Node.Maker crooked = (settings, seed, now, act) -> new Reckless(act, null);
-    broken(Rehearsal.play(day(COLD), 2, crooked), "no-cold-server-pushed-over");
-    assertEquals(Set.of(), new HashSet<>(Rehearsal.play(day(COLD), 2).broken()));
+    EdgeNode.PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, null);
+    broken(ScenarioRun.play(day(COLD), 2, crooked), "no-cold-server-pushed-over");
+    assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(COLD), 2).broken()));
   }
 
   private static final String BUSY =
@@ -271,7 +271,7 @@
 
   @Test
   void aModuleThatKnowsNoCeilingIsFound() throws Exception {
-    Node.Maker crooked =
+    EdgeNode.PolicyFactory crooked =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 plans(
@@ -291,7 +291,7 @@
                 seed,
                 now,
                 act);
-    Set<String> found = broken(Rehearsal.play(day(BUSY), 3, crooked), "ceiling", QUOTA);
+    Set<String> found = broken(ScenarioRun.play(day(BUSY), 3, crooked), "ceiling", QUOTA);
     assertEquals(2, found.size(), found.toString());
   }
 
@@ -312,14 +312,14 @@
   /** What failed in one rack goes to the other: the module's host sends what it is told. */
   @Test
   void aModuleThatTriesAgainInAnotherRackIsFound() throws Exception {
-    Node.Maker crooked = (settings, seed, now, act) -> new Reckless(act, "s1");
-    broken(Rehearsal.play(day(FAILING), 4, crooked), "no-second-effect");
-    assertEquals(Set.of(), new HashSet<>(Rehearsal.play(day(FAILING), 4).broken()));
+    EdgeNode.PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, "s1");
+    broken(ScenarioRun.play(day(FAILING), 4, crooked), "no-second-effect");
+    assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(FAILING), 4).broken()));
   }
 
   @Test
   void aModuleThatRefusesWhatMayHaveRunIsFound() throws Exception {
-    Node.Maker crooked =
+    EdgeNode.PolicyFactory crooked =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 settings,
@@ -328,16 +328,16 @@
                 new Crooked(act) {
                   @Override
                   public void fail(long id) {
-                    act.reject(id, 0);
+                    this.act.reject(id, 0);
                   }
                 });
-    broken(Rehearsal.play(day(FAILING), 4, crooked), "no-second-effect");
+    broken(ScenarioRun.play(day(FAILING), 4, crooked), "no-second-effect");
   }
 
   /** The node's own last word is what saves a request of which the module says nothing. */
   @Test
   void aDayOnWhichNobodyIsServedIsNoCleanOne() throws Exception {
-    Node.Maker mute =
+    EdgeNode.PolicyFactory mute =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 settings,
@@ -346,10 +346,10 @@
                 new Crooked(act) {
                   @Override
                   public void send(long id, String server, double until) {
-                    act.reject(id, 0);
+                    this.act.reject(id, 0);
                   }
                 });
-    broken(Rehearsal.play(day(BUSY), 3, mute), "evidence");
+    broken(ScenarioRun.play(day(BUSY), 3, mute), "evidence");
   }
 
   @Test
@@ -374,9 +374,9 @@
                 new Scenario.Point(7900, 0),
                 new Scenario.Point(7990, 0.1)),
             big.faults());
-    Rehearsal found = Rehearsal.play(nobody, 1);
+    ScenarioRun found = ScenarioRun.play(nobody, 1);
     broken(found, "evidence");
-    Rehearsal least = found.shrink();
+    ScenarioRun least = found.shrink();
     assertEquals(List.of(), least.scenario().faults());
     assertTrue(least.scenario().lengthMs() < 8000, least.scenario().toString());
     assertTrue(least.broken().contains("evidence"));
@@ -386,7 +386,7 @@
 
   @Test
   void theReportIsWholeAndOneFile(@TempDir Path dir) throws Exception {
-    Rehearsal day = Rehearsal.play(Scenarios.of("stalls"), 5);
+    ScenarioRun day = ScenarioRun.play(Scenarios.of("stalls"), 5);
     Report.write(day, dir);
     Set<String> names = new HashSet<>();
     try (JsonParser p = new JsonFactory().createParser(dir.resolve("report.json").toFile())) {
@@ -416,17 +416,17 @@
 
   private record Said(int code, String out, String err) {}
 
-  private static Said rehearse(String... words) {
+  private static Said simulate(String... words) {
     PrintStream out = System.out;
     PrintStream err = System.err;
     ByteArrayOutputStream o = new ByteArrayOutputStream();
     ByteArrayOutputStream e = new ByteArrayOutputStream();
-    List<String> all = new ArrayList<>(List.of("rehearse"));
+    List<String> all = new ArrayList<>(List.of("simulate"));
     all.addAll(List.of(words));
     System.setOut(new PrintStream(o, true, StandardCharsets.UTF_8));
     System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
     try {
-      int code = Kit.run(all.toArray(new String[0]));
+      int code = SimulationCommands.run(all.toArray(new String[0]));
       return new Said(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
     } finally {
       System.setOut(out);
@@ -436,16 +436,16 @@
 
   @Test
   void theCommandPlaysListsAndRepeats(@TempDir Path dir) throws Exception {
-    Said list = rehearse("--list");
+    Said list = simulate("--list");
     assertEquals(0, list.code);
     Scenarios.NAMES.forEach(name -> assertTrue(list.out.contains(name), name));
-    Said one = rehearse("calm", "--seed", "3", "--nodes", "2", "--report", dir.toString());
+    Said one = simulate("calm", "--seed", "3", "--nodes", "2", "--report", dir.toString());
     assertEquals(0, one.code, one.out + one.err);
     assertTrue(one.out.contains("rules kept") && Files.exists(dir.resolve("report.html")));
-    Said many = rehearse("calm", "--seeds", "1..4");
+    Said many = simulate("calm", "--seeds", "1..4");
     assertEquals(0, many.code, many.out + many.err);
     assertTrue(many.out.contains("4 seeds") && many.out.contains("0 broke a rule"), many.out);
-    Said show = rehearse("stalls", "--show");
+    Said show = simulate("stalls", "--show");
     assertEquals(0, show.code);
     assertEquals(Scenarios.of("stalls").faults(), day(show.out).faults());
   }
@@ -456,7 +456,7 @@
     Files.writeString(
         file,
         "length_s = 0\nnode = 3\n[[fault]]\nkind = \"dye\"\nat_s = 3\n[[fault]]\nat_s = -1\n");
-    Said bad = rehearse(file.toString());
+    Said bad = simulate(file.toString());
     assertEquals(2, bad.code);
     List<String> lines = bad.err.lines().toList();
     assertEquals(5, lines.size(), bad.err);
@@ -485,9 +485,9 @@
           {"roster-lag", "--servers", "1"},
           {"calm", "--seeds", "1..2", "--budget", "0"}
         }) {
-      Said said = rehearse(words);
+      Said said = simulate(words);
       assertEquals(2, said.code, String.join(" ", words) + said.out + said.err);
-      assertTrue(said.err.contains("rehearse: "), said.err);
+      assertTrue(said.err.contains("simulate: "), said.err);
     }
   }
 
--- a/src/test/java/edgenode/simulation/SimulationTest.java
+++ b/src/test/java/edgenode/simulation/SimulationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.emulator.CampusClients;
+import edgenode.emulator.CustomerClients;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,13 +16,13 @@
 /** Edge nodes and their world in virtual time: the same seed gives the same day, to the byte. */
 @Timeout(120)
 class SimulationTest {
-  private static Rehearsal day(long seed) throws Exception {
-    return Rehearsal.play(Scenarios.of("everything"), seed);
+  private static ScenarioRun day(long seed) throws Exception {
+    return ScenarioRun.play(Scenarios.of("everything"), seed);
   }
 
   /** What a run of its own prints: the events and their sum. */
   public static void main(String[] args) throws Exception {
-    Rehearsal day = day(Long.parseLong(args[0]));
+    ScenarioRun day = day(Long.parseLong(args[0]));
     System.out.println(day.events() + " " + day.sha256());
   }
 
@@ -46,10 +46,10 @@
 
   @Test
   void theSameSeedIsTheSameDayToTheByte() throws Exception {
-    Rehearsal one = day(7);
+    ScenarioRun one = day(7);
     String text = one.events() + " " + one.sha256();
     assertTrue(one.events() > 10_000, text);
-    Rehearsal two = day(7);
+    ScenarioRun two = day(7);
     assertEquals(text, two.events() + " " + two.sha256());
     assertEquals(text, inAnotherJvm("7", "-Xmx128m"), "another JVM, another heap");
     assertNotEquals(one.sha256(), day(8).sha256());
@@ -57,11 +57,12 @@
 
   @Test
   void eachTryHasOneEnd() throws Exception {
-    Rehearsal day = Rehearsal.play(Scenarios.of("window-opening"), 11);
-    assertTrue(day.fates().get(CampusClients.Fate.SERVED) > 700, day.fates().toString());
-    assertTrue(day.fates().get(CampusClients.Fate.REFUSED) > 0, "the quota bites: " + day.fates());
-    assertEquals(0, day.fates().getOrDefault(CampusClients.Fate.LOST, 0), day.fates().toString());
+    ScenarioRun day = ScenarioRun.play(Scenarios.of("window-opening"), 11);
+    assertTrue(day.fates().get(CustomerClients.Fate.SERVED) > 700, day.fates().toString());
+    assertTrue(
+        day.fates().get(CustomerClients.Fate.REFUSED) > 0, "the quota bites: " + day.fates());
+    assertEquals(0, day.fates().getOrDefault(CustomerClients.Fate.LOST, 0), day.fates().toString());
     assertEquals(
-        0, day.fates().getOrDefault(CampusClients.Fate.NOT_CONNECTED, 0), day.fates().toString());
+        0, day.fates().getOrDefault(CustomerClients.Fate.NOT_CONNECTED, 0), day.fates().toString());
   }
 }
--- a/src/test/java/edgenode/simulation/fleet/ScaleTest.java
+++ b/src/test/java/edgenode/simulation/fleet/SimulateFleetTest.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import edgenode.policy.PolicyEngine;
-import edgenode.simulation.Kit;
+import edgenode.simulation.SimulationCommands;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -25,15 +25,15 @@
  * planted for it.
  */
 @Timeout(120)
-class ScaleTest {
+class SimulateFleetTest {
   private static final int SECONDS = 15;
 
   /**
    * The honest twins of what is planted: a day with incidents, and one with a day's ordinary churn.
    */
-  private static final Verdicts.Run HONEST = run(shape(8, 160, false, 5));
+  private static final FleetVerdicts.Run HONEST = run(shape(8, 160, false, 5));
 
-  private static final Verdicts.Run CALM =
+  private static final FleetVerdicts.Run CALM =
       run(new Shape(6, 120, 3, 200, 300, SECONDS, 24, 6, false, false, 5));
 
   private static Shape shape(int nodes, int servers, boolean flat, long seed) {
@@ -41,21 +41,25 @@
         nodes, servers, servers / 40, 30 * nodes, 40 * nodes, SECONDS, 1, nodes, flat, true, seed);
   }
 
-  private static Verdicts.Run run(Shape shape) {
-    return new Verdicts.Run(shape, new Fleet(shape, PolicyEngine::new).run(share -> {}, false), 0);
+  private static FleetVerdicts.Run run(Shape shape) {
+    return new FleetVerdicts.Run(
+        shape, new Fleet(shape, PolicyEngine::new).run(share -> {}, false), 0);
   }
 
-  private static Map<String, Verdicts.Word> words(List<Verdicts.Verdict> all) {
+  private static Map<String, FleetVerdicts.Word> words(List<FleetVerdicts.Verdict> all) {
     return all.stream()
         .collect(
             Collectors.toMap(
-                Verdicts.Verdict::name, Verdicts.Verdict::word, (a, b) -> b, TreeMap::new));
+                FleetVerdicts.Verdict::name,
+                FleetVerdicts.Verdict::word,
+                (a, b) -> b,
+                TreeMap::new));
   }
 
-  private static String broken(List<Verdicts.Verdict> all) {
+  private static String broken(List<FleetVerdicts.Verdict> all) {
     return all.stream()
-        .filter(v -> v.word() == Verdicts.Word.BROKEN)
-        .map(Verdicts.Verdict::name)
+        .filter(v -> v.word() == FleetVerdicts.Word.BROKEN)
+        .map(FleetVerdicts.Verdict::name)
         .collect(Collectors.joining("; "));
   }
 
@@ -77,20 +81,20 @@
   @ParameterizedTest
   @CsvSource({"false", "true"})
   void aSmallFleetHoldsAndItsCostsGrowAsNamed(boolean flat) {
-    List<Verdicts.Run> runs = new ArrayList<>();
+    List<FleetVerdicts.Run> runs = new ArrayList<>();
     for (int nodes : new int[] {4, 8, 16}) {
-      Verdicts.Run run = run(shape(nodes, 20 * nodes, flat, 3));
-      List<Verdicts.Verdict> all = Verdicts.of(run);
+      FleetVerdicts.Run run = run(shape(nodes, 20 * nodes, flat, 3));
+      List<FleetVerdicts.Verdict> all = FleetVerdicts.of(run);
       assertEquals("", broken(all), all.toString());
       runs.add(run);
     }
-    List<Verdicts.Verdict> slopes = Verdicts.slopes(runs);
+    List<FleetVerdicts.Verdict> slopes = FleetVerdicts.slopes(runs);
     assertEquals("", broken(slopes), slopes.toString());
     assertEquals(
-        flat ? Verdicts.Word.GROWS : Verdicts.Word.HELD,
+        flat ? FleetVerdicts.Word.GROWS : FleetVerdicts.Word.HELD,
         words(slopes).get("growth of entries listed"));
     assertEquals(
-        flat ? Verdicts.Word.GROWS : Verdicts.Word.HELD,
+        flat ? FleetVerdicts.Word.GROWS : FleetVerdicts.Word.HELD,
         words(slopes).get("growth of bytes of a whole list"));
   }
 
@@ -105,14 +109,15 @@
     "REFUSES_ALL, evidence"
   })
   void aFaultPlantedInTheModuleIsFound(Crooked.Fault fault, String verdict) {
-    assertEquals("", broken(Verdicts.of(HONEST)), "its honest twin");
+    assertEquals("", broken(FleetVerdicts.of(HONEST)), "its honest twin");
     Tally tally =
         new Fleet(
                 HONEST.shape(),
                 (settings, seed, now, host) -> new Crooked(fault, settings, seed, now, host))
             .run(share -> {}, false);
-    List<Verdicts.Verdict> all = Verdicts.of(new Verdicts.Run(HONEST.shape(), tally, 0));
-    assertEquals(Verdicts.Word.BROKEN, words(all).get(verdict), all.toString());
+    List<FleetVerdicts.Verdict> all =
+        FleetVerdicts.of(new FleetVerdicts.Run(HONEST.shape(), tally, 0));
+    assertEquals(FleetVerdicts.Word.BROKEN, words(all).get(verdict), all.toString());
   }
 
   @ParameterizedTest
@@ -122,14 +127,14 @@
     "TELLS_HALF, views agree with discovery at the end"
   })
   void aFaultPlantedInDiscoveryIsFound(DiscoveryModel.Fault fault, String verdict) {
-    assertEquals("", broken(Verdicts.of(CALM)), "its honest twin");
+    assertEquals("", broken(FleetVerdicts.of(CALM)), "its honest twin");
     Fleet fleet = new Fleet(CALM.shape(), PolicyEngine::new);
     for (int i = 0; i < CALM.shape().lists(); i++) {
       fleet.list(i).plant(fault);
     }
-    List<Verdicts.Verdict> all =
-        Verdicts.of(new Verdicts.Run(CALM.shape(), fleet.run(share -> {}, false), 0));
-    assertEquals(Verdicts.Word.BROKEN, words(all).get(verdict), all.toString());
+    List<FleetVerdicts.Verdict> all =
+        FleetVerdicts.of(new FleetVerdicts.Run(CALM.shape(), fleet.run(share -> {}, false), 0));
+    assertEquals(FleetVerdicts.Word.BROKEN, words(all).get(verdict), all.toString());
   }
 
   /**
@@ -138,7 +143,7 @@
    */
   @Test
   void growthIsFound() {
-    List<Verdicts.Run> runs = new ArrayList<>();
+    List<FleetVerdicts.Run> runs = new ArrayList<>();
     for (int nodes : new int[] {10, 100, 1000}) {
       Tally t = new Tally();
       t.arrived = 1000;
@@ -146,13 +151,13 @@
       t.served = 1000 - nodes / 2;
       t.sends = Math.round(1000 * Math.pow(nodes, 0.1));
       t.listEntries = 40;
-      runs.add(new Verdicts.Run(shape(nodes, 40 * nodes, false, 1), t, 0));
+      runs.add(new FleetVerdicts.Run(shape(nodes, 40 * nodes, false, 1), t, 0));
     }
-    Map<String, Verdicts.Word> words = words(Verdicts.slopes(runs));
-    assertEquals(Verdicts.Word.BROKEN, words.get("growth of counter calls a request"));
-    assertEquals(Verdicts.Word.BROKEN, words.get("growth of requests not served"));
-    assertEquals(Verdicts.Word.HELD, words.get("growth of sends a request"));
-    assertEquals(Verdicts.Word.HELD, words.get("growth of entries listed"));
+    Map<String, FleetVerdicts.Word> words = words(FleetVerdicts.slopes(runs));
+    assertEquals(FleetVerdicts.Word.BROKEN, words.get("growth of counter calls a request"));
+    assertEquals(FleetVerdicts.Word.BROKEN, words.get("growth of requests not served"));
+    assertEquals(FleetVerdicts.Word.HELD, words.get("growth of sends a request"));
+    assertEquals(FleetVerdicts.Word.HELD, words.get("growth of entries listed"));
   }
 
   /** Of a large fleet a part is run, and the report says so. */
@@ -161,14 +166,14 @@
     Shape shape = new Shape(1000, 40_000, 1000, 30_000, 60_000, 5, 1, 4, false, false, 1);
     assertEquals(4, shape.lists());
     assertEquals(160, shape.modelled());
-    Verdicts.Run run = run(shape);
+    FleetVerdicts.Run run = run(shape);
     assertTrue(
-        ScaleReport.text(run).contains("SAMPLE: 4 nodes and 160 servers are run"),
-        ScaleReport.text(run));
+        FleetReport.text(run).contains("SAMPLE: 4 nodes and 160 servers are run"),
+        FleetReport.text(run));
     int fields = 0;
     boolean sampled = false;
     try (JsonParser in =
-        new JsonFactory().createParser(ScaleReport.json(List.of(run), List.of()))) {
+        new JsonFactory().createParser(FleetReport.json(List.of(run), List.of()))) {
       for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
         fields += token == JsonToken.FIELD_NAME ? 1 : 0;
         sampled |= token == JsonToken.VALUE_TRUE && "sampled".equals(in.currentName());
@@ -192,8 +197,8 @@
 
   @Test
   void wrongInputIsRefused() {
-    assertEquals(2, Kit.run("scale", "--size", "0"));
-    assertEquals(2, Kit.run("scale", "--nodes", "5", "--detail", "6"));
-    assertEquals(2, Kit.run("scale", "--seconds", "two"));
+    assertEquals(2, SimulationCommands.run("simulate-fleet", "--size", "0"));
+    assertEquals(2, SimulationCommands.run("simulate-fleet", "--nodes", "5", "--detail", "6"));
+    assertEquals(2, SimulationCommands.run("scale", "--seconds", "two"));
   }
 }
--- a/src/test/java/edgenode/simulation/invariants/JudgeTest.java
+++ b/src/test/java/edgenode/simulation/invariants/InvariantSuiteTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import edgenode.emulator.Capacity;
+import edgenode.emulator.CapacityModel;
 import edgenode.policy.Capabilities;
 import edgenode.policy.Idempotency;
 import edgenode.policy.IdempotencyGroup;
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Each judge finds the planted breach of its one rule, and is silent on its honest twin. */
-class JudgeTest {
+class InvariantSuiteTest {
   private static final String CUSTOMER = "0000000100000001";
-  private static final Capacity.Size SIZE = new Capacity.Size(2, 16, 32, 10, 0.25, 8000);
+  private static final CapacityModel.Size SIZE = new CapacityModel.Size(2, 16, 32, 10, 0.25, 8000);
 
   private static PolicySettings settings(int nodes) {
     return new PolicySettings(
@@ -55,63 +55,63 @@
         new Prices(0, 0, 0, 0, 0));
   }
 
-  private final Terms terms = new Terms(settings(2));
+  private final InvariantTerms terms = new InvariantTerms(settings(2));
   private final List<Event> day = new ArrayList<>();
 
-  private JudgeTest asked(double at, String id, String type) {
+  private InvariantSuiteTest asked(double at, String id, String type) {
     day.add(
         new Event.Asked(
             at, id, 0, CUSTOMER, "p", type, type.equals("enrol") ? "k" + id : null, 900, 1));
     return this;
   }
 
-  private JudgeTest came(double at, String id, String server) {
+  private InvariantSuiteTest came(double at, String id, String server) {
     day.add(new Event.Came(at, id, server, CUSTOMER, true));
     return this;
   }
 
-  private JudgeTest replied(double at, String id, String server, String kind) {
+  private InvariantSuiteTest replied(double at, String id, String server, String kind) {
     day.add(new Event.Replied(at, id, server, kind));
     return this;
   }
 
-  private JudgeTest heard(double at, String id, Event.Answer answer, String text) {
+  private InvariantSuiteTest heard(double at, String id, Event.Answer answer, String text) {
     day.add(new Event.Heard(at, id, answer, text));
     return this;
   }
 
-  private JudgeTest served(String id, double from) {
+  private InvariantSuiteTest served(String id, double from) {
     return asked(from, id, "look")
         .came(from + 1, id, "s0")
         .replied(from + 9, id, "s0", "value")
         .heard(from + 10, id, Event.Answer.VALUE, "ok " + id + " by s0");
   }
 
-  private JudgeTest born(double at, String server, int rack, boolean cold) {
+  private InvariantSuiteTest born(double at, String server, int rack, boolean cold) {
     day.add(new Event.Born(at, server, rack, SIZE, cold));
     return this;
   }
 
-  private JudgeTest told(double at, String server, String health) {
+  private InvariantSuiteTest told(double at, String server, String health) {
     day.add(new Event.Told(at, server, health));
     return this;
   }
 
-  private List<Breach> by(Judge judge) {
+  private List<Violation> by(InvariantChecker judge) {
     day.forEach(judge::see);
-    List<Breach> found = judge.verdict(100_000);
+    List<Violation> found = judge.verdict(100_000);
     day.clear();
     found.forEach(b -> assertEquals(judge.rule(), b.rule()));
     return found;
   }
 
-  private void finds(int times, Judge judge, String what) {
-    List<Breach> found = by(judge);
+  private void finds(int times, InvariantChecker judge, String what) {
+    List<Violation> found = by(judge);
     assertEquals(times, found.size(), found.toString());
     assertTrue(found.get(0).what().contains(what), found.toString());
   }
 
-  private void silent(Judge judge) {
+  private void silent(InvariantChecker judge) {
     assertEquals(List.of(), by(judge));
   }
 
@@ -121,33 +121,33 @@
   void anAnswerToEachIsClean() {
     served("1", 0).served("2", 5);
     asked(20, "3", "look").heard(21, "3", Event.Answer.BUSY, "BUSY 40");
-    silent(new AnswersOnce(terms));
+    silent(new SingleResponseInvariant(terms));
   }
 
   @Test
   void twoAnswersAreFound() {
     served("1", 0).heard(11, "1", Event.Answer.ERROR, "ERR failed");
-    finds(1, new AnswersOnce(terms), "twice");
+    finds(1, new SingleResponseInvariant(terms), "twice");
   }
 
   @Test
   void anAnswerThatIsLateOrNeverComesIsFound() {
     asked(0, "1", "look").heard(951, "1", Event.Answer.ERROR, "ERR failed");
-    finds(1, new AnswersOnce(terms), "after its time");
+    finds(1, new SingleResponseInvariant(terms), "after its time");
     asked(0, "1", "look").heard(949, "1", Event.Answer.ERROR, "ERR failed");
-    silent(new AnswersOnce(terms));
+    silent(new SingleResponseInvariant(terms));
     asked(0, "1", "look");
     day.add(new Event.GaveUp(1000, "1"));
-    finds(1, new AnswersOnce(terms), "no answer");
+    finds(1, new SingleResponseInvariant(terms), "no answer");
     asked(0, "1", "look");
-    finds(1, new AnswersOnce(terms), "no answer");
+    finds(1, new SingleResponseInvariant(terms), "no answer");
   }
 
   @Test
   void aClientThatLeavesEarlyIsOwedNothing() {
     asked(0, "1", "look");
     day.add(new Event.GaveUp(300, "1"));
-    silent(new AnswersOnce(terms));
+    silent(new SingleResponseInvariant(terms));
   }
 
   @Test
@@ -156,9 +156,9 @@
         .came(1, "1", "s0")
         .replied(2, "1", "s0", "value")
         .heard(3, "1", Event.Answer.VALUE, "ok 2 by s0");
-    finds(1, new AnswersOnce(terms), "no app server made");
+    finds(1, new SingleResponseInvariant(terms), "no app server made");
     asked(0, "1", "look").heard(3, "1", Event.Answer.VALUE, "ok 1 by s0");
-    finds(1, new AnswersOnce(terms), "no app server made");
+    finds(1, new SingleResponseInvariant(terms), "no app server made");
   }
 
   /** A process that is killed takes its requests with it; one that was asked to leave does not. */
@@ -167,39 +167,39 @@
     asked(0, "1", "look");
     day.add(new Event.NodeEnded(5, 0, Event.End.KILLED));
     day.add(new Event.Cut(5, "1"));
-    silent(new AnswersOnce(terms));
+    silent(new SingleResponseInvariant(terms));
     asked(0, "1", "look");
     day.add(new Event.NodeEnded(5, 0, Event.End.LEFT));
     day.add(new Event.Cut(5, "1"));
-    finds(1, new AnswersOnce(terms), "no whole answer");
+    finds(1, new SingleResponseInvariant(terms), "no whole answer");
     asked(0, "1", "look");
     day.add(new Event.NodeEnded(5, 1, Event.End.KILLED));
     day.add(new Event.Cut(5, "1"));
-    finds(1, new AnswersOnce(terms), "no whole answer");
+    finds(1, new SingleResponseInvariant(terms), "no whole answer");
   }
 
   @Test
   void whatIsSentOnAfterItsAnswerIsFound() {
     served("1", 0).came(100, "1", "s1");
-    finds(1, new AnswersOnce(terms), "after its final answer");
+    finds(1, new SingleResponseInvariant(terms), "after its final answer");
   }
 
   @Test
   void twoRequestsOfOneIdAreTheWorldsFault() {
     asked(0, "1", "look").asked(5, "1", "look");
-    assertThrows(IllegalArgumentException.class, () -> by(new AnswersOnce(terms)));
+    assertThrows(IllegalArgumentException.class, () -> by(new SingleResponseInvariant(terms)));
   }
 
   // ---- no second effect ----
 
-  private JudgeTest racks() {
+  private InvariantSuiteTest racks() {
     return born(0, "a0", 0, false).born(0, "a1", 0, false).born(0, "b0", 1, false);
   }
 
   @Test
   void aReadMayGoOutAgain() {
     racks().asked(1, "1", "look").came(2, "1", "a0").came(50, "1", "b0");
-    silent(new EffectsOnce(terms));
+    silent(new SingleExecutionInvariant(terms));
   }
 
   @Test
@@ -209,7 +209,7 @@
         .came(2, "1", "a0")
         .replied(3, "1", "a0", "BUSY")
         .came(4, "1", "b0");
-    silent(new EffectsOnce(terms));
+    silent(new SingleExecutionInvariant(terms));
   }
 
   @Test
@@ -219,33 +219,33 @@
         .came(2, "1", "a0")
         .replied(3, "1", "a0", "ERR")
         .came(4, "1", "a0");
-    finds(1, new EffectsOnce(terms), "got it again");
+    finds(1, new SingleExecutionInvariant(terms), "got it again");
     racks().asked(1, "1", "drop").came(2, "1", "a0").came(4, "1", "a1");
-    finds(1, new EffectsOnce(terms), "got it again");
+    finds(1, new SingleExecutionInvariant(terms), "got it again");
   }
 
   @Test
   void aKeyedOneStaysInItsRackAndWithinTheWindow() {
     racks().asked(1, "1", "enrol").came(2, "1", "a0").came(400, "1", "a1");
-    silent(new EffectsOnce(terms));
+    silent(new SingleExecutionInvariant(terms));
     racks().asked(1, "1", "enrol").came(2, "1", "a0").came(400, "1", "b0");
-    finds(1, new EffectsOnce(terms), "in another rack");
+    finds(1, new SingleExecutionInvariant(terms), "in another rack");
     racks().asked(1, "1", "enrol").came(2, "1", "a0").came(7600, "1", "a1");
-    finds(1, new EffectsOnce(terms), "got it again");
+    finds(1, new SingleExecutionInvariant(terms), "got it again");
   }
 
   @Test
   void aRefusalOfWhatMayHaveRunIsFound() {
     racks().asked(1, "1", "enrol").came(2, "1", "a0").heard(9, "1", Event.Answer.BUSY, "BUSY");
-    finds(1, new EffectsOnce(terms), "refused as if nothing had run");
+    finds(1, new SingleExecutionInvariant(terms), "refused as if nothing had run");
     racks()
         .asked(1, "1", "enrol")
         .came(2, "1", "a0")
         .replied(3, "1", "a0", "BUSY")
         .heard(9, "1", Event.Answer.BUSY, "BUSY");
-    silent(new EffectsOnce(terms));
+    silent(new SingleExecutionInvariant(terms));
     racks().came(2, "7", "a0");
-    finds(1, new EffectsOnce(terms), "no client asked");
+    finds(1, new SingleExecutionInvariant(terms), "no client asked");
   }
 
   // ---- drains ----
@@ -257,17 +257,17 @@
         .came(1299, "1", "s0")
         .told(1500, "s0", "active")
         .came(2500, "2", "s0");
-    silent(new Drains(terms));
+    silent(new DrainInvariant(terms));
     told(0, "s0", "active")
         .told(1000, "s0", "leaving")
         .told(1200, "s0", "left")
         .came(1310, "1", "s0");
-    finds(1, new Drains(terms), "310 ms after it was told as leaving");
+    finds(1, new DrainInvariant(terms), "310 ms after it was told as leaving");
   }
 
   // ---- cold servers ----
 
-  private JudgeTest cold(int requests, double everyMs) {
+  private InvariantSuiteTest cold(int requests, double everyMs) {
     born(10_000, "s0", 0, true).told(10_100, "s0", "active");
     for (int i = 0; i < requests; i++) {
       came(10_200 + i * everyMs, "c" + i, "s0");
@@ -280,9 +280,9 @@
     // 2 cores at a quarter of their speed: some 0.6 to 0.7 core-s in 2 s at first, three times that
     // is 390 of 10 ms
     cold(300, 1);
-    silent(new ColdServers(terms));
+    silent(new SlowStartInvariant(terms));
     cold(600, 1);
-    finds(1, new ColdServers(terms), "times what it could do");
+    finds(1, new SlowStartInvariant(terms), "times what it could do");
   }
 
   /** A span of its own is looked at, not only the first one. */
@@ -292,12 +292,12 @@
     for (int i = 0; i < 1500; i++) {
       came(4000 + i, "c" + i, "s0");
     }
-    finds(1, new ColdServers(terms), "s0 got");
+    finds(1, new SlowStartInvariant(terms), "s0 got");
     born(0, "s0", 0, true).told(0, "s0", "active");
     for (int i = 0; i < 5000; i++) {
       came(8001 + i / 10.0, "c" + i, "s0");
     }
-    silent(new ColdServers(terms));
+    silent(new SlowStartInvariant(terms));
   }
 
   @Test
@@ -306,7 +306,7 @@
     for (int i = 0; i < 5000; i++) {
       came(10 + i / 10.0, "c" + i, "s0");
     }
-    silent(new ColdServers(terms));
+    silent(new SlowStartInvariant(terms));
   }
 
   /**
@@ -316,13 +316,13 @@
   @Test
   void chanceIsNoMoreThanTheStandingTestGrants() {
     for (double n = 0.01; n < 2000; n *= 1.1) {
-      double most = ColdServers.granted(n);
+      double most = SlowStartInvariant.granted(n);
       assertTrue(
           most <= n + 2 * Math.sqrt(n) + 2 + 1e-9 && most <= n + 4 + 1e-9,
           n + " allowed, " + most + " granted");
     }
-    Capacity.Size little =
-        new Capacity.Size(0.05, 16, 32, 300, 0.25, 8000); // N is 0.25 in its first 2 s
+    CapacityModel.Size little =
+        new CapacityModel.Size(0.05, 16, 32, 300, 0.25, 8000); // N is 0.25 in its first 2 s
     for (int requests : new int[] {3, 4}) {
       day.add(new Event.Born(10_000, "s0", 0, little, true));
       told(10_000, "s0", "active");
@@ -330,9 +330,9 @@
         came(10_010, "c" + i, "s0");
       }
       if (requests == 3) {
-        silent(new ColdServers(terms));
+        silent(new SlowStartInvariant(terms));
       } else {
-        finds(1, new ColdServers(terms), "s0 got 4 requests");
+        finds(1, new SlowStartInvariant(terms), "s0 got 4 requests");
       }
     }
   }
@@ -357,9 +357,9 @@
         came(at, id, "s0");
       }
       if (of[2] == 0) {
-        silent(new ColdServers(terms));
+        silent(new SlowStartInvariant(terms));
       } else {
-        finds(1, new ColdServers(terms), "from 100 nodes");
+        finds(1, new SlowStartInvariant(terms), "from 100 nodes");
       }
     }
   }
@@ -367,18 +367,18 @@
   @Test
   void theCapacityOfAColdServerGrowsEvenly() {
     Event.Born born = new Event.Born(0, "s", 0, SIZE, true);
-    assertEquals(2 * 0.25 * 1, ColdServers.capacity(born, 0, 1), 0.001);
-    assertEquals(2 * 0.625 * 8000, ColdServers.capacity(born, 0, 8000), 1e-6);
-    assertEquals(2 * 1000, ColdServers.capacity(born, 9000, 10_000), 1e-6);
+    assertEquals(2 * 0.25 * 1, SlowStartInvariant.capacity(born, 0, 1), 0.001);
+    assertEquals(2 * 0.625 * 8000, SlowStartInvariant.capacity(born, 0, 8000), 1e-6);
+    assertEquals(2 * 1000, SlowStartInvariant.capacity(born, 9000, 10_000), 1e-6);
     assertEquals(
         2 * (0.5 + 0.5 * (0.25 + 0.75 * 7999.5 / 8000)),
-        ColdServers.capacity(born, 7999.5, 8000.5) + 0,
+        SlowStartInvariant.capacity(born, 7999.5, 8000.5) + 0,
         0.001);
   }
 
   // ---- ceilings and quotas ----
 
-  private JudgeTest capped(int requests) {
+  private InvariantSuiteTest capped(int requests) {
     for (int i = 0; i < requests; i++) {
       day.add(new Event.Asked(0, "c" + i, 0, CUSTOMER, "capped", "look", null, 900, 1));
       came(0, "c" + i, "s0").came(0, "c" + i, "s1"); // the second attempt takes nothing
@@ -389,13 +389,13 @@
   @Test
   void aCeilingHoldsItsBurstAndItsSlack() {
     capped(12);
-    silent(new Ceilings(terms));
+    silent(new CeilingInvariant(terms));
     capped(13);
-    finds(1, new Ceilings(terms), "3.00 units more");
+    finds(1, new CeilingInvariant(terms), "3.00 units more");
   }
 
   /** So many units beyond the quota in each second of one minute, on top of all that it gives. */
-  private JudgeTest minute(double beyondAll) {
+  private InvariantSuiteTest minute(double beyondAll) {
     int id = 0;
     for (int i = 0; i < 20; i++) {
       asked(0, "b" + i, "look").came(0, "b" + i, "s0");
@@ -415,16 +415,16 @@
 
   @Test
   void sixInAHundredBeyondAMinutesQuotaAreFoundAndFourAreNot() {
-    Terms one = new Terms(settings(1));
+    InvariantTerms one = new InvariantTerms(settings(1));
     minute(0.04 * 620);
-    silent(new Quotas(one));
+    silent(new QuotaAudit(one));
     minute(0.06 * 620 + 2);
-    finds(1, new Quotas(one), "beyond its quota within a minute");
+    finds(1, new QuotaAudit(one), "beyond its quota within a minute");
   }
 
   @Test
   void figuresTellInsideBeyondAndRefusedWithRoom() {
-    Quotas judge = new Quotas(terms);
+    QuotaAudit judge = new QuotaAudit(terms);
     for (int i = 0; i < 22; i++) {
       asked(0, "q" + i, "look").came(0, "q" + i, "s0");
     }
@@ -434,11 +434,12 @@
         .replied(1001, "u", "s0", "BUSY")
         .heard(1002, "u", Event.Answer.BUSY, "BUSY"); // it was sent on
     silent(judge);
-    Quotas.Figures f = judge.figures().get(0);
+    QuotaAudit.Figures f = judge.figures().get(0);
     assertEquals(21, f.inside());
     assertEquals(2, f.beyond());
     assertEquals(1, f.refusedWithRoom());
-    assertEquals(9, Quotas.store(settings(1).plans().get(0), judge.sends(CUSTOMER), 1000), 1e-9);
+    assertEquals(
+        9, QuotaAudit.store(settings(1).plans().get(0), judge.sends(CUSTOMER), 1000), 1e-9);
   }
 
   // ---- evidence ----
@@ -446,22 +447,22 @@
   @Test
   void aDayOnWhichNobodyIsServedIsNoCleanOne() {
     asked(0, "1", "look").heard(1, "1", Event.Answer.BUSY, "BUSY");
-    finds(1, new Evidence(1), "no evidence");
+    finds(1, new RequestTrace(1), "no evidence");
     served("1", 0);
-    silent(new Evidence(1));
+    silent(new RequestTrace(1));
     served("1", 0);
-    finds(1, new Evidence(2), "of 2 edge nodes 1");
+    finds(1, new RequestTrace(2), "of 2 edge nodes 1");
   }
 
   @Test
   void theCourtTellsTheWholeStory() {
-    Court court = new Court(terms, 1);
+    InvariantSuite court = new InvariantSuite(terms, 1);
     served("1", 0)
         .asked(20, "2", "look")
         .heard(21, "1", Event.Answer.ERROR, "ERR failed")
         .heard(25, "2", Event.Answer.BUSY, "BUSY");
     day.forEach(court);
-    List<Breach> found = court.verdict(10_000);
+    List<Violation> found = court.verdict(10_000);
     assertEquals(1, found.size(), found.toString());
     assertEquals(
         List.of("Asked", "Came", "Replied", "Heard", "Heard"),
--- a/src/test/java/edgenode/store/CrashTest.java
+++ b/src/test/java/edgenode/store/CrashRecoveryTest.java
@@ -21,9 +21,9 @@
  * The engine on a disk that loses, tears and reorders what was not synced, against the states it
  * may be in.
  */
-class CrashTest {
+class CrashRecoveryTest {
   private static final int CRASHES = Integer.getInteger("store.crashes", 10_000);
-  private static final Engine.Limits SMALL = new Engine.Limits(2000);
+  private static final StoreEngine.EngineOptions SMALL = new StoreEngine.EngineOptions(2000);
   private static final String SPACE = "s";
 
   private static byte[] bytes(String s) {
@@ -34,11 +34,11 @@
    * One store through many crashes; what is in it after each must be one of the states since the
    * last sync.
    */
-  private static final class Run {
+  private static final class CrashScenario {
     final Random random;
     final boolean retries;
-    FaultDisk disk = new FaultDisk();
-    Engine engine;
+    FaultInjectingDirectory disk = new FaultInjectingDirectory();
+    StoreEngine engine;
 
     /**
      * The state after each batch; each batch writes its number too, so that a state found tells
@@ -49,29 +49,29 @@
     int synced;
     long time = 1;
 
-    Run(long seed, String skips, boolean retries) {
+    CrashScenario(long seed, String skips, boolean retries) {
       random = new Random(seed);
-      disk.skips = skips;
+      disk.skippedSyncs = skips;
       this.retries = retries;
     }
 
     void open() throws Exception {
       for (int tries = 0; engine == null; tries++) {
-        disk.cutAt =
+        disk.powerCutAtOperation =
             tries < 3 && random.nextInt(3) == 0
-                ? disk.ops + 1 + random.nextInt(12)
+                ? disk.operationCount + 1 + random.nextInt(12)
                 : Long.MAX_VALUE;
         try {
-          engine = new Engine(disk, SMALL, time, random::nextLong);
-        } catch (Disk.DiskException e) { // power went while it recovered
+          engine = new StoreEngine(disk, SMALL, time, random::nextLong);
+        } catch (StoreDirectory.StorageIoException e) { // power went while it recovered
           disk = disk.crash(random);
         }
       }
-      disk.cutAt = Long.MAX_VALUE;
+      disk.powerCutAtOperation = Long.MAX_VALUE;
     }
 
-    Batch batch(Map<String, String> state) throws StoreException {
-      Batch b = new Batch();
+    WriteBatch batch(Map<String, String> state) throws StoreException {
+      WriteBatch b = new WriteBatch();
       for (int i = random.nextInt(4); i >= 0; i--) {
         String key = "k" + random.nextInt(12);
         if (random.nextInt(3) == 0) {
@@ -89,12 +89,13 @@
     }
 
     void work() {
-      disk.cutAt = disk.ops + 1 + random.nextInt(120);
-      disk.failAt = random.nextInt(4) == 0 ? disk.ops + 1 + random.nextInt(60) : Long.MAX_VALUE;
+      disk.powerCutAtOperation = disk.operationCount + 1 + random.nextInt(120);
+      disk.failAtOperation =
+          random.nextInt(4) == 0 ? disk.operationCount + 1 + random.nextInt(60) : Long.MAX_VALUE;
       try {
         while (true) {
           Map<String, String> state = new TreeMap<>(states.get(states.size() - 1));
-          Batch b = batch(state);
+          WriteBatch b = batch(state);
           states.add(state); // it may survive, also if nobody is told so
           engine.append(List.of(b), ++time);
           if (random.nextInt(3) > 0) {
@@ -105,7 +106,7 @@
                 throw e;
               }
               var f =
-                  Engine.class.getDeclaredField(
+                  StoreEngine.class.getDeclaredField(
                       "failed"); // the planted bug: the sync is tried again
               f.setAccessible(true);
               f.set(engine, null);
@@ -114,8 +115,8 @@
             synced = states.size() - 1;
           }
           engine.publish();
-          while (random.nextInt(3) > 0 && engine.tidy(700, 0)) {
-            assertTrue(engine.figures().keys() >= 0);
+          while (random.nextInt(3) > 0 && engine.runMaintenance(700, 0)) {
+            assertTrue(engine.metrics().keyCount() >= 0);
           }
         }
       } catch (StoreException | ReflectiveOperationException e) {
@@ -128,7 +129,7 @@
     }
 
     String read(String key) throws Exception {
-      Engine.Value v = engine.get(Key.of(SPACE, bytes(key)), time);
+      StoreEngine.VersionedValue v = engine.get(StoreKey.of(SPACE, bytes(key)), time);
       return v == null ? null : new String(v.bytes(), StandardCharsets.UTF_8);
     }
 
@@ -149,7 +150,7 @@
 
   private static void crashes(long seed, int times, String skips, boolean retries)
       throws Exception {
-    Run run = new Run(seed, skips, retries);
+    CrashScenario run = new CrashScenario(seed, skips, retries);
     for (int i = 0; i < times; i++) {
       run.open();
       run.check();
@@ -185,23 +186,23 @@
   }
 
   /** A store that has rolled, deleted, compacted and holds batches. */
-  private static FaultDisk small(boolean closed, List<Map<String, String>> states)
-      throws Exception {
-    Run run = new Run(5, "", false);
+  private static FaultInjectingDirectory storeWithHistory(
+      boolean closed, List<Map<String, String>> states) throws Exception {
+    CrashScenario run = new CrashScenario(5, "", false);
     run.open();
     for (int i = 0; i < 80; i++) {
       Map<String, String> state = new TreeMap<>(run.states.get(run.states.size() - 1));
-      Batch b = run.batch(state);
+      WriteBatch b = run.batch(state);
       run.states.add(state);
       run.engine.append(List.of(b), ++run.time);
       run.engine.sync();
       run.engine.publish();
-      while (i < 60 && run.engine.tidy(700, 0)) {
-        assertNull(run.engine.figures().failed());
+      while (i < 60 && run.engine.runMaintenance(700, 0)) {
+        assertNull(run.engine.metrics().failure());
       }
     }
-    assertTrue(run.engine.figures().segments() >= 3);
-    FaultDisk disk = run.disk.copy();
+    assertTrue(run.engine.metrics().segmentCount() >= 3);
+    FaultInjectingDirectory disk = run.disk.copy();
     if (closed) {
       run.engine.close();
       disk = run.disk.copy();
@@ -211,32 +212,36 @@
   }
 
   /** Opens it and compares; refusing is right too where a sync had covered what is gone. */
-  private static String verdict(FaultDisk disk, List<Map<String, String>> states) throws Exception {
-    Run run = new Run(1, "", false);
+  private static String verdict(FaultInjectingDirectory disk, List<Map<String, String>> states)
+      throws Exception {
+    CrashScenario run = new CrashScenario(1, "", false);
     run.disk = disk;
     run.states = new ArrayList<>(states);
     try {
-      run.engine = new Engine(disk, SMALL, 1, run.random::nextLong);
+      run.engine = new StoreEngine(disk, SMALL, 1, run.random::nextLong);
       run.check();
     } catch (StoreException e) {
       assertTrue(e.reason() != StoreException.Reason.FAILED, e.getMessage());
       return "damaged";
     }
-    return run.engine.figures().told().isEmpty() ? "state " + run.synced : "cut";
+    return run.engine.metrics().recoveryMessages().isEmpty() ? "state " + run.synced : "cut";
   }
 
   @Test
   void truncatedAtAnyByteAStoreHasAPrefixOrRefuses() throws Exception {
     List<Map<String, String>> states = new ArrayList<>();
-    FaultDisk whole = small(false, states);
+    FaultInjectingDirectory whole = storeWithHistory(false, states);
     String last =
-        whole.names().stream().filter(n -> n.endsWith(".seg")).max(String::compareTo).orElseThrow();
+        whole.fileNames().stream()
+            .filter(n -> n.endsWith(".seg"))
+            .max(String::compareTo)
+            .orElseThrow();
     int[] seen = new int[2];
-    for (String name : whole.names()) {
-      byte[] all = whole.bytes(name);
+    for (String name : whole.fileNames()) {
+      byte[] all = whole.fileBytes(name);
       for (int length = 0; length < all.length; length++) {
-        FaultDisk cut = whole.copy();
-        cut.set(name, Arrays.copyOf(all, length));
+        FaultInjectingDirectory cut = whole.copy();
+        cut.putFile(name, Arrays.copyOf(all, length));
         String verdict = verdict(cut, states);
         if (!name.equals(last) && !name.endsWith(".hint")) {
           assertEquals("damaged", verdict, name + " at " + length);
@@ -250,12 +255,12 @@
   @Test
   void aFlippedBitIsToldOrDoesNoHarm() throws Exception {
     List<Map<String, String>> states = new ArrayList<>();
-    FaultDisk whole = small(true, states);
+    FaultInjectingDirectory whole = storeWithHistory(true, states);
     int damaged = 0;
-    for (String name : whole.names()) {
-      for (int i = 0; i < whole.bytes(name).length; i++) {
-        FaultDisk bad = whole.copy();
-        bad.bytes(name)[i] ^= (byte) (1 << i % 8);
+    for (String name : whole.fileNames()) {
+      for (int i = 0; i < whole.fileBytes(name).length; i++) {
+        FaultInjectingDirectory bad = whole.copy();
+        bad.fileBytes(name)[i] ^= (byte) (1 << i % 8);
         String verdict = verdict(bad, states);
         damaged += verdict.equals("damaged") ? 1 : 0;
         boolean toldOrWhole =
@@ -268,79 +273,83 @@
 
   @Test
   void aDamagedPlaceIsNamedAndAValueThatLooksLikeAFrameIsNone() throws Exception {
-    FaultDisk disk = new FaultDisk();
-    Engine e = new Engine(disk, new Engine.Limits(1 << 20), 1, () -> 9);
+    FaultInjectingDirectory disk = new FaultInjectingDirectory();
+    StoreEngine e = new StoreEngine(disk, new StoreEngine.EngineOptions(1 << 20), 1, () -> 9);
     for (int i = 0; i < 3; i++) { // the second value holds all that was written before it
-      byte[] value = i == 1 ? disk.bytes(Segment.name(1)).clone() : bytes("v" + i);
-      e.append(List.of(new Batch().put(SPACE, bytes("k" + i), value)), 1);
+      byte[] value = i == 1 ? disk.fileBytes(Segment.fileName(1)).clone() : bytes("v" + i);
+      e.append(List.of(new WriteBatch().put(SPACE, bytes("k" + i), value)), 1);
       e.sync();
       e.publish();
     }
-    FaultDisk torn = disk.copy();
-    byte[] all = torn.bytes(Segment.name(1));
-    torn.set(Segment.name(1), Arrays.copyOf(all, all.length - 3));
-    Engine again = new Engine(torn, SMALL, 1, () -> 8);
-    assertEquals(2, again.figures().keys());
+    FaultInjectingDirectory torn = disk.copy();
+    byte[] all = torn.fileBytes(Segment.fileName(1));
+    torn.putFile(Segment.fileName(1), Arrays.copyOf(all, all.length - 3));
+    StoreEngine again = new StoreEngine(torn, SMALL, 1, () -> 8);
+    assertEquals(2, again.metrics().keyCount());
     assertTrue(
-        again.figures().told().get(0).contains("cut off at offset "),
-        again.figures().told().toString());
-    all = disk.bytes(Segment.name(1));
-    all[Frames.HEADER + 40] ^= 1;
+        again.metrics().recoveryMessages().get(0).contains("cut off at offset "),
+        again.metrics().recoveryMessages().toString());
+    all = disk.fileBytes(Segment.fileName(1));
+    all[SegmentFormat.SEGMENT_HEADER_BYTES + 40] ^= 1;
     StoreException why =
-        assertThrows(StoreException.class, () -> new Engine(disk.copy(), SMALL, 1, () -> 8));
+        assertThrows(StoreException.class, () -> new StoreEngine(disk.copy(), SMALL, 1, () -> 8));
     assertEquals(StoreException.Reason.DAMAGED, why.reason());
-    assertTrue(why.getMessage().startsWith(Segment.name(1) + ", offset 32:"), why.getMessage());
+    assertTrue(why.getMessage().startsWith(Segment.fileName(1) + ", offset 32:"), why.getMessage());
   }
 
   @Test
   void snapshotsConditionsAndTimeToLive() throws Exception {
-    FaultDisk disk = new FaultDisk();
-    Engine e = new Engine(disk, SMALL, 100, () -> 9);
-    Key k = Key.of(SPACE, bytes("k"));
+    FaultInjectingDirectory disk = new FaultInjectingDirectory();
+    StoreEngine e = new StoreEngine(disk, SMALL, 100, () -> 9);
+    StoreKey k = StoreKey.of(SPACE, bytes("k"));
     write(
         e,
-        new Batch().put(SPACE, bytes("k"), bytes("old")).put(SPACE, bytes("x"), bytes("y"), 150));
+        new WriteBatch()
+            .put(SPACE, bytes("k"), bytes("old"))
+            .put(SPACE, bytes("x"), bytes("y"), 150));
     long snapshot = e.snapshot();
     long version = e.get(k, 100).version();
     for (int i = 0; i < 60; i++) {
-      write(e, new Batch().put(SPACE, bytes("k"), bytes("new" + "z".repeat(200))));
-      while (e.tidy(5000, 0)) {
-        assertNull(e.figures().failed());
+      write(e, new WriteBatch().put(SPACE, bytes("k"), bytes("new" + "z".repeat(200))));
+      while (e.runMaintenance(5000, 0)) {
+        assertNull(e.metrics().failure());
       }
     }
     assertEquals("old", new String(e.get(k, 100, snapshot).bytes(), StandardCharsets.UTF_8));
-    assertTrue(e.figures().bytes() < 8000, "compacted: " + e.figures());
-    Engine.Outcome stale =
+    assertTrue(e.metrics().totalBytes() < 8000, "compacted: " + e.metrics());
+    StoreEngine.AppendResult stale =
         e.append(
                 List.of(
-                    new Batch()
+                    new WriteBatch()
                         .require(SPACE, bytes("k"), version)
                         .put(SPACE, bytes("k"), bytes("stale"))),
                 100)
             .get(0);
-    assertEquals(StoreException.Reason.CONFLICT, stale.why().reason());
+    assertEquals(StoreException.Reason.CONFLICT, stale.rejection().reason());
     e.release(snapshot);
     assertEquals(
-        "y", new String(e.get(Key.of(SPACE, bytes("x")), 149).bytes(), StandardCharsets.UTF_8));
-    assertNull(e.get(Key.of(SPACE, bytes("x")), 150));
-    assertNull(e.get(Key.of(SPACE, bytes("x")), 120), "the clock went back");
+        "y",
+        new String(e.get(StoreKey.of(SPACE, bytes("x")), 149).bytes(), StandardCharsets.UTF_8));
+    assertNull(e.get(StoreKey.of(SPACE, bytes("x")), 150));
+    assertNull(e.get(StoreKey.of(SPACE, bytes("x")), 120), "the clock went back");
     for (int i = 0; i < 500; i++) { // keys that nobody deletes
-      Batch b = new Batch().put(SPACE, bytes("t" + i), bytes("v"), 1000 + i);
-      assertNull(e.append(List.of(b), 500 + i).get(0).why());
+      WriteBatch b = new WriteBatch().put(SPACE, bytes("t" + i), bytes("v"), 1000 + i);
+      assertNull(e.append(List.of(b), 500 + i).get(0).rejection());
       e.sync();
       e.publish();
-      while (e.tidy(5000, 500 + i)) {
-        assertNull(e.figures().failed());
+      while (e.runMaintenance(5000, 500 + i)) {
+        assertNull(e.metrics().failure());
       }
     }
-    while (e.tidy(5000, 2000)) {
-      assertNull(e.figures().failed());
+    while (e.runMaintenance(5000, 2000)) {
+      assertNull(e.metrics().failure());
     }
-    assertTrue(e.figures().keys() < 30 && e.figures().bytes() < 8000, "expired: " + e.figures());
+    assertTrue(
+        e.metrics().keyCount() < 30 && e.metrics().totalBytes() < 8000, "expired: " + e.metrics());
   }
 
-  private static void write(Engine e, Batch b) throws StoreException {
-    assertNull(e.append(List.of(b), 100).get(0).why());
+  private static void write(StoreEngine e, WriteBatch b) throws StoreException {
+    assertNull(e.append(List.of(b), 100).get(0).rejection());
     e.sync();
     e.publish();
   }
--- a/src/test/java/edgenode/store/StoreTest.java
+++ b/src/test/java/edgenode/store/StoreTest.java
@@ -26,13 +26,14 @@
 /** The store on a real folder and with real threads. */
 @Timeout(120)
 class StoreTest {
-  private static final Store.Options SMALL = new Store.Options(8192, 1000, 50, 64 << 20);
+  private static final KeyValueStore.Options SMALL =
+      new KeyValueStore.Options(8192, 1000, 50, 64 << 20);
 
   private static byte[] bytes(String s) {
     return s.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static StoreException.Reason reason(Store.Commit c) {
+  private static StoreException.Reason reason(KeyValueStore.PendingWrite c) {
     return ((StoreException)
             assertThrows(CompletionException.class, () -> c.durable().join()).getCause())
         .reason();
@@ -43,7 +44,7 @@
    * to last.
    */
   public static void main(String[] args) throws Exception {
-    Store store = Store.open(Path.of(args[0]), SMALL);
+    KeyValueStore store = KeyValueStore.open(Path.of(args[0]), SMALL);
     for (int t = 0; t < 16; t++) {
       int thread = t;
       new Thread(
@@ -53,11 +54,11 @@
                     String key = thread + "-" + i % 20;
                     store
                         .write(
-                            new Batch()
+                            new WriteBatch()
                                 .put("s", bytes(key), bytes("" + i))
                                 .put("s", bytes(key + "'"), bytes("" + i)),
-                            Store.Durability.SYNC)
-                        .done()
+                            KeyValueStore.Durability.SYNC)
+                        .completed()
                         .join();
                     synchronized (System.out) {
                       System.out.println(key + " " + i);
@@ -97,7 +98,7 @@
         child.destroyForcibly(); // SIGKILL, in the middle of whatever it does
       }
       child.waitFor();
-      try (Store again = Store.open(store, SMALL)) {
+      try (KeyValueStore again = KeyValueStore.open(store, SMALL)) {
         for (var e : last.entrySet()) {
           int there =
               Integer.parseInt(
@@ -116,44 +117,51 @@
 
   @Test
   void aSecondProcessIsKeptOutAndAClosedStoreRefuses(@TempDir Path folder) throws Exception {
-    Store store = Store.open(folder, SMALL);
-    StoreException second = assertThrows(StoreException.class, () -> Store.open(folder, SMALL));
+    KeyValueStore store = KeyValueStore.open(folder, SMALL);
+    StoreException second =
+        assertThrows(StoreException.class, () -> KeyValueStore.open(folder, SMALL));
     assertEquals(StoreException.Reason.LOCKED, second.reason());
     store
-        .write(new Batch().put("s", bytes("k"), bytes("v")), Store.Durability.ASYNC)
+        .write(new WriteBatch().put("s", bytes("k"), bytes("v")), KeyValueStore.Durability.ASYNC)
         .durable()
         .join();
     store.close();
     assertEquals(
-        StoreException.Reason.CLOSED, reason(store.write(new Batch(), Store.Durability.SYNC)));
-    try (Store again = Store.open(folder, SMALL)) {
+        StoreException.Reason.CLOSED,
+        reason(store.write(new WriteBatch(), KeyValueStore.Durability.SYNC)));
+    try (KeyValueStore again = KeyValueStore.open(folder, SMALL)) {
       assertEquals("v", new String(again.get("s", bytes("k")).value(), StandardCharsets.UTF_8));
-      assertTrue(again.told().isEmpty(), again.told().toString());
+      assertTrue(again.recoveryMessages().isEmpty(), again.recoveryMessages().toString());
     }
-    assertThrows(StoreException.class, () -> new Batch().put("s", new byte[1025], new byte[0]));
     assertThrows(
-        StoreException.class, () -> new Batch().put("s", new byte[1], new byte[(1 << 20) + 1]));
+        StoreException.class, () -> new WriteBatch().put("s", new byte[1025], new byte[0]));
+    assertThrows(
+        StoreException.class,
+        () -> new WriteBatch().put("s", new byte[1], new byte[(1 << 20) + 1]));
   }
 
   /** After a failed sync nothing is promised any more, and what was is still read. */
   @Test
   void aDiskThatFailsEndsWritingAndNotReading() throws Exception {
-    FaultDisk disk = new FaultDisk();
-    try (Store store = Store.on(disk, SMALL, () -> 1)) {
+    FaultInjectingDirectory disk = new FaultInjectingDirectory();
+    try (KeyValueStore store = KeyValueStore.openOn(disk, SMALL, () -> 1)) {
       store
-          .write(new Batch().put("s", bytes("k"), bytes("v")), Store.Durability.SYNC)
-          .done()
+          .write(new WriteBatch().put("s", bytes("k"), bytes("v")), KeyValueStore.Durability.SYNC)
+          .completed()
           .join();
-      disk.failAt = disk.ops + 2; // the write, then its sync
-      Store.Commit lost =
-          store.write(new Batch().put("s", bytes("k"), bytes("w")), Store.Durability.SYNC);
+      disk.failAtOperation = disk.operationCount + 2; // the write, then its sync
+      KeyValueStore.PendingWrite lost =
+          store.write(
+              new WriteBatch().put("s", bytes("k"), bytes("w")), KeyValueStore.Durability.SYNC);
       assertEquals(StoreException.Reason.FAILED, reason(lost));
       assertEquals(
           StoreException.Reason.FAILED,
           reason(
-              store.write(new Batch().put("s", bytes("k"), bytes("x")), Store.Durability.ASYNC)));
+              store.write(
+                  new WriteBatch().put("s", bytes("k"), bytes("x")),
+                  KeyValueStore.Durability.ASYNC)));
       assertEquals("v", new String(store.get("s", bytes("k")).value(), StandardCharsets.UTF_8));
-      assertEquals("failed", store.figures().get("state"));
+      assertEquals("failed", store.metrics().get("state"));
     }
   }
 
@@ -163,10 +171,10 @@
    */
   @Test
   void nothingIsLostOrSeenInHalvesUnderConcurrency() throws Exception {
-    FaultDisk disk = new FaultDisk();
+    FaultInjectingDirectory disk = new FaultInjectingDirectory();
     AtomicInteger added = new AtomicInteger();
     List<Throwable> wrong = new ArrayList<>();
-    try (Store store = Store.on(disk, SMALL, () -> 1)) {
+    try (KeyValueStore store = KeyValueStore.openOn(disk, SMALL, () -> 1)) {
       List<Thread> threads = new ArrayList<>();
       for (int t = 0; t < 4; t++) {
         threads.add(
@@ -174,19 +182,19 @@
                 () -> {
                   for (int i = 0; i < 400; i++) {
                     try {
-                      Store.Entry a = store.get("s", bytes("a"));
+                      KeyValueStore.Entry a = store.get("s", bytes("a"));
                       long n =
                           a == null
                               ? 0
                               : Long.parseLong(new String(a.value(), StandardCharsets.UTF_8));
                       store
                           .write(
-                              new Batch()
+                              new WriteBatch()
                                   .require("s", bytes("a"), a == null ? 0 : a.version())
                                   .put("s", bytes("a"), bytes("" + (n + 1)))
                                   .put("s", bytes("b"), bytes("" + (n + 1))),
-                              Store.Durability.SYNC)
-                          .done()
+                              KeyValueStore.Durability.SYNC)
+                          .completed()
                           .join();
                       added.incrementAndGet();
                     } catch (CompletionException e) {
@@ -203,7 +211,7 @@
             new Thread(
                 () -> {
                   for (int i = 0; i < 4000; i++) {
-                    try (Store.Snapshot s = store.snapshot()) {
+                    try (KeyValueStore.Snapshot s = store.snapshot()) {
                       List<String> seen = new ArrayList<>();
                       s.scan(
                           "s",
@@ -234,30 +242,30 @@
   @Test
   void checkTellsDamageAndRepairKeepsTheRest(@TempDir Path folder) throws Exception {
     Path dir = folder.resolve("a");
-    try (Store store = Store.open(dir, SMALL)) {
+    try (KeyValueStore store = KeyValueStore.open(dir, SMALL)) {
       for (int i = 0; i < 200; i++) {
         store
             .write(
-                new Batch().put("s", bytes("k" + i), bytes("v".repeat(100))),
-                Store.Durability.ASYNC)
-            .done()
+                new WriteBatch().put("s", bytes("k" + i), bytes("v".repeat(100))),
+                KeyValueStore.Durability.ASYNC)
+            .completed()
             .get(10, TimeUnit.SECONDS);
       }
     }
     assertEquals(0, StoreCommand.run(new String[] {"check", dir.toString()}));
-    Path first = dir.resolve(Segment.name(1));
+    Path first = dir.resolve(Segment.fileName(1));
     byte[] all = Files.readAllBytes(first);
     all[500] ^= 4;
     Files.write(first, all);
-    Files.deleteIfExists(dir.resolve(Segment.hint(1)));
+    Files.deleteIfExists(dir.resolve(Segment.hintFileName(1)));
     assertEquals(1, StoreCommand.run(new String[] {"check", dir.toString()}));
     assertEquals(
         StoreException.Reason.DAMAGED,
-        assertThrows(StoreException.class, () -> Store.open(dir, SMALL)).reason());
+        assertThrows(StoreException.class, () -> KeyValueStore.open(dir, SMALL)).reason());
     Path mended = folder.resolve("b");
     assertEquals(0, StoreCommand.run(new String[] {"repair", dir.toString(), mended.toString()}));
     assertEquals(0, StoreCommand.run(new String[] {"check", mended.toString()}));
-    try (Store store = Store.open(mended, SMALL)) {
+    try (KeyValueStore store = KeyValueStore.open(mended, SMALL)) {
       int there = 0;
       for (int i = 0; i < 200; i++) {
         there += store.get("s", bytes("k" + i)) != null ? 1 : 0;
