--- a/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
@@ -9,6 +9,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -56,9 +57,18 @@
   public synchronized void die() throws IOException {
     socket.close();
     for (Socket peer : peers) {
+      reset(peer);
+    }
+  }
+
+  /** Ends a connection with a reset; its reader may have closed it by itself at this moment. */
+  private static void reset(Socket peer) throws IOException {
+    try {
       peer.setSoLinger(true, 0);
-      peer.close();
+    } catch (SocketException alreadyClosed) {
+      return;
     }
+    peer.close();
   }
 
   /** It starts again at its address. */
