--- /dev/null
+++ b/src/main/java/edgenode/policy/Endpoint.java
@@ -0,0 +1,86 @@
+package edgenode.policy;
+
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+
+/** What this node knows of one endpoint. Each rule owns the fields of its section. */
+final class Endpoint {
+  /** A time that is never reached, and a past that never was. */
+  static final double NEVER_MS = Double.NEGATIVE_INFINITY;
+
+  final String id;
+
+  /** The endpoint as listed last. */
+  EndpointInfo info;
+
+  /** Attempts in flight, the oldest first. */
+  final LinkedHashSet<Attempt> inFlight = new LinkedHashSet<>();
+
+  // ---- membership (EndpointTable) ----
+
+  /** May get requests by the list: up, and in this node's subset. */
+  boolean isListed = true;
+
+  boolean hasLeftSubset;
+
+  // ---- score (EndpointScore) ----
+
+  /** Moving average of the answer time over the mean of the class: 1 is usual. */
+  double slowdown = 1;
+
+  double slowdownAtMs;
+  final Map<RequestClassStats, FailureShare> failureShares = new HashMap<>();
+
+  /** Until then the endpoint keeps an idle connection of ours open. */
+  double connectedUntilMs = NEVER_MS;
+
+  // ---- concurrency limit (ConcurrencyLimiter) ----
+
+  /** Attempts in flight at most; at first about two for each core of a small machine. */
+  double concurrencyLimit = 4;
+
+  double lastSentMs;
+
+  // ---- outlier detection (OutlierDetector) ----
+
+  /** Weighted faults since the last success. */
+  double faultScore;
+
+  double ejectedUntilMs;
+
+  /** Ejections since the last success, bounded: each doubles the next one's time. */
+  int ejections;
+
+  /** Was ejected and has not answered since. */
+  boolean isOnTrial;
+
+  /** Refused a connection while on trial: it may have restarted. */
+  boolean wasUnreachable;
+
+  // ---- slow start (SlowStart) ----
+
+  double warmUpStartMs = NEVER_MS;
+
+  /** Attempts that it may get now, while it is warming up. */
+  double slowStartTokens;
+
+  double slowStartRefilledAtMs;
+
+  Endpoint(String id) {
+    this.id = id;
+  }
+
+  boolean isEjected(double nowMs) {
+    return nowMs < ejectedUntilMs;
+  }
+
+  /** A restarted process has none of the faults of the former one. */
+  void forgetFaults() {
+    faultScore = 0;
+    ejectedUntilMs = 0;
+    ejections = 0;
+    slowdown = 1;
+    failureShares.clear();
+  }
+}
--- /dev/null
+++ b/src/main/java/edgenode/policy/EndpointTable.java
@@ -0,0 +1,224 @@
+package edgenode.policy;
+
+import edgenode.policy.subset.EndpointSubset;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/**
+ * The endpoints that this node knows: those of its subset, those that left it with attempts still
+ * in flight, and members of idempotency groups that a retry was bound to. The subset widens at once
+ * where too little of it can be used, and narrows slowly.
+ *
+ * <p>Inputs: the endpoint list; ejections and warm-up, by which a part of the subset is of no use.
+ */
+final class EndpointTable {
+  /** The subset doubles where less than this part of its even size can be used. */
+  private static final double WIDEN_BELOW_SHARE = 5.0 / 8;
+
+  /** The subset narrows where more than this part of its even size can be used. */
+  private static final double NARROW_ABOVE_SHARE = 7.0 / 8;
+
+  /** Widest where endpoints cannot be used: more of them would not help. */
+  private static final double MAX_WIDTH_UNUSABLE = 16;
+
+  /** Widest where all endpoints are full. */
+  private static final double MAX_WIDTH_FULL = 4;
+
+  /** A widened subset halves in 11 s of ticks: longer than most faults that widen one. */
+  private static final double NARROWING_STEP = 1.0 / 64;
+
+  /** Members of a group brought in for a retry: each attempt of it finds another one. */
+  private static final int MAX_GROUP_MEMBERS = 8;
+
+  private final PolicyTimers timers;
+  private final SlowStart slowStart;
+  private final IdempotencyGroupRule groupRule;
+  private final EndpointSubset<EndpointInfo> subset;
+
+  /** By id: the order in which the load balancer looks at endpoints. */
+  private final Map<String, Endpoint> byId = new TreeMap<>();
+
+  private final Set<Endpoint> leaving = new LinkedHashSet<>();
+  private List<Endpoint> held = List.of();
+  private double width = 1;
+  private boolean hadNoCapacity;
+
+  EndpointTable(
+      PolicySettings settings, PolicyTimers timers, SlowStart slowStart, int minSubsetSize) {
+    this.timers = timers;
+    this.slowStart = slowStart;
+    groupRule = new IdempotencyGroupRule(settings);
+    subset = new EndpointSubset<>(settings.nodeIndex(), settings.nodeCount(), minSubsetSize);
+  }
+
+  /** The endpoints of the subset, by id. The list is replaced, never changed. */
+  List<Endpoint> held() {
+    return held;
+  }
+
+  /** All endpoints of which this node has a record, by id. */
+  Iterable<Endpoint> known() {
+    return byId.values();
+  }
+
+  /** How many endpoints this node has a record of. */
+  int knownCount() {
+    return byId.size();
+  }
+
+  /** Whether the subset is the whole list. */
+  boolean holdsAll() {
+    return subset.holdsAll();
+  }
+
+  /** All listed endpoints that are up, held or not. */
+  int upCount() {
+    return subset.upCount();
+  }
+
+  /** Takes a list: the whole one, or what has changed. */
+  void update(List<EndpointInfo> list, boolean isComplete) {
+    if (isComplete) {
+      Set<String> ids = new HashSet<>();
+      for (EndpointInfo info : list) {
+        ids.add(info.id());
+      }
+      subset.retainOnly(ids);
+    }
+    for (EndpointInfo info : list) {
+      if (info.state() == EndpointState.REMOVED) {
+        subset.remove(info.id());
+      } else {
+        boolean isUp = info.state() == EndpointState.UP;
+        subset.put(info.id(), isUp, info, groupRule.groupsOf(info));
+      }
+    }
+    applySubsetChanges(list);
+  }
+
+  /**
+   * Brings in what entered the subset. What left is forgotten once nothing is in flight there: a
+   * day of releases brings ever new endpoints.
+   */
+  private void applySubsetChanges(List<EndpointInfo> list) {
+    EndpointSubset.Changes<EndpointInfo> changes = subset.applyChanges();
+    for (String id : changes.removed()) {
+      Endpoint endpoint = byId.get(id);
+      endpoint.hasLeftSubset = true;
+      leaving.add(endpoint);
+    }
+    for (EndpointInfo info : list) {
+      if (subset.holdsAll() || byId.containsKey(info.id())) {
+        updateEndpoint(info);
+      }
+    }
+    for (EndpointInfo info : changes.added()) {
+      updateEndpoint(info);
+    }
+    forgetLeaving();
+    collectHeld();
+  }
+
+  private Endpoint updateEndpoint(EndpointInfo info) {
+    Endpoint endpoint = byId.get(info.id());
+    if (endpoint == null) {
+      endpoint = new Endpoint(info.id());
+      byId.put(endpoint.id, endpoint);
+    }
+    endpoint.hasLeftSubset = !subset.contains(info.id());
+    endpoint.isListed = !endpoint.hasLeftSubset && info.state() == EndpointState.UP;
+    if (endpoint.hasLeftSubset) {
+      leaving.add(endpoint);
+    }
+    boolean hasRestarted =
+        endpoint.info != null && info.startedAtMs() > endpoint.info.startedAtMs();
+    endpoint.info = info;
+    slowStart.endpointListed(endpoint, info.startedAtMs());
+    if (hasRestarted) {
+      endpoint.forgetFaults();
+    }
+    return endpoint;
+  }
+
+  private void forgetLeaving() {
+    Iterator<Endpoint> iterator = leaving.iterator();
+    while (iterator.hasNext()) {
+      Endpoint endpoint = iterator.next();
+      if (!endpoint.hasLeftSubset) {
+        iterator.remove();
+        continue;
+      }
+      endpoint.isListed = false;
+      if (endpoint.inFlight.isEmpty() && byId.remove(endpoint.id, endpoint)) {
+        iterator.remove();
+      }
+    }
+  }
+
+  private void collectHeld() {
+    List<Endpoint> inSubset = new ArrayList<>(byId.size());
+    for (Endpoint endpoint : byId.values()) {
+      if (!endpoint.hasLeftSubset) {
+        inSubset.add(endpoint);
+      }
+    }
+    held = inSubset;
+  }
+
+  /** No endpoint could take a request: the subset may be too small. */
+  void recordNoCapacity() {
+    hadNoCapacity = true;
+  }
+
+  /** Widens or narrows the subset by what could be used of it. */
+  void onQuotaTick() {
+    if (subset.holdsAll()) {
+      return;
+    }
+    double evenSize = subset.evenSize();
+    double usable = usableCapacity();
+    if (usable < WIDEN_BELOW_SHARE * evenSize) {
+      width = Math.min(MAX_WIDTH_UNUSABLE, 2 * width);
+    } else if (hadNoCapacity) {
+      width = Math.max(width, Math.min(MAX_WIDTH_FULL, 2 * width));
+    } else if (usable > NARROW_ABOVE_SHARE * evenSize) {
+      width = Math.max(1, width * (1 - NARROWING_STEP));
+    }
+    hadNoCapacity = false;
+    subset.setWidthFactor(width);
+    applySubsetChanges(List.of());
+  }
+
+  /** Endpoints that can be used, those that warm up by the part of their capacity. */
+  private double usableCapacity() {
+    double nowMs = timers.nowMs();
+    return held.stream()
+        .filter(endpoint -> endpoint.isListed && !endpoint.isEjected(nowMs))
+        .mapToDouble(slowStart::capacityShare)
+        .sum();
+  }
+
+  /**
+   * Where the subset holds too few of the group that a request is bound to, brings in others until
+   * the next tick.
+   */
+  void addGroupMembers(PendingRequest request) {
+    Set<Object> groups = new LinkedHashSet<>();
+    for (Attempt attempt : request.attempts) {
+      groups.add(IdempotencyGroupRule.groupOf(request.requestClass(), attempt.endpoint.info));
+    }
+    for (Object group : groups) {
+      for (EndpointInfo info : subset.groupMembers(group, MAX_GROUP_MEMBERS)) {
+        if (!subset.contains(info.id())) {
+          updateEndpoint(info).isListed = true;
+        }
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/edgenode/policy/TimerKind.java
@@ -0,0 +1,19 @@
+package edgenode.policy;
+
+/** What is due when a timer of {@link PolicyTimers} fires. */
+enum TimerKind {
+  /** The periodic work of all rules. */
+  QUOTA_TICK,
+  /** A queued request is no longer worth sending. */
+  QUEUE_EXPIRY,
+  /** The client stops waiting. */
+  REQUEST_DEADLINE,
+  /** An attempt has taken half of its latency objective. */
+  LATE_ANSWER,
+  /** A request whose attempts have all ended looks for an endpoint again. */
+  RETRY,
+  /** Only wakes the engine: it dispatches queued requests after every timer. */
+  DISPATCH,
+  /** Discovery is called again. */
+  SUBSCRIBE
+}
--- a/src/main/java/edgenode/policy/subset/EndpointSubset.java
+++ b/src/main/java/edgenode/policy/subset/EndpointSubset.java
@@ -1,49 +1,65 @@
 package edgenode.policy.subset;
 
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
 
 /**
- * Which of all servers this node sends to: a deterministic subset (docs/design/subset.md). A pure
- * core: chance is a hash of names. Not safe for use by several threads.
+ * Which of all endpoints this node sends to: deterministic subsetting (docs/design/subset.md). A
+ * pure core: chance is a hash of names. Not safe for use by several threads.
  *
- * <p>A server has a place on a circle by the hash of its id (consistent hashing, Karger et al.
+ * <p>An endpoint has a place on a circle by the hash of its id (consistent hashing, Karger et al.
  * 1997), node number m one at m times the golden ratio (Knuth vol. 3, 6.4: any run of numbers is
- * spread evenly, and no node moves when another comes). A node holds the servers on the arc that
- * begins at its place. All arcs of a fleet are equally long, so that all servers have about as many
- * nodes, however hashes fall. A change costs O(log n + moved).
+ * spread evenly, and no node moves when another comes). A node holds the endpoints on the arc that
+ * begins at its place. All arcs of a fleet are equally long, so that all endpoints have about as
+ * many nodes, however hashes fall. A change costs O(log n + moved).
  *
- * @param <S> what is kept of a server that is not in the subset, to bring it in
+ * @param <E> what is known of an endpoint that is not held, to bring it in
  */
-public final class EndpointSubset<S> {
-  /**
-   * The least even size by default (servers): lists of up to so many are held whole, as all were
-   * before.
-   */
+public final class EndpointSubset<E> {
+  /** Even size by default (endpoints): lists of up to so many are held whole. */
   public static final int DEFAULT_MIN_ENDPOINTS = 256;
 
   /**
-   * Nodes of a server at least: one with five times the mean traffic brings its servers half as
-   * much again.
+   * Nodes of an endpoint at least: a node with five times the mean traffic brings its endpoints
+   * half as much again.
    */
   static final int MIN_NODES_PER_ENDPOINT = 8;
 
-  /** Mates looked through: draining ones stand in the way, but not for long. */
-  private static final int MAX_GROUP_MEMBERS_SCANNED = 64;
+  /** Length of the circle: offsets on it are from 0 to under this. */
+  static final long CIRCLE_LENGTH = 1L << 62;
+
+  /** Members of a group looked through: draining ones are in the way, but not for long. */
+  private static final int MAX_MEMBERS_SCANNED = 64;
 
   /** 2 to the 64th over the golden ratio, made odd. */
   private static final long GOLDEN_RATIO_64 = 0x9e3779b97f4a7c15L;
 
-  /** Offsets on the circle: from 0 to under this. */
-  static final long CIRCLE_LENGTH = 1L << 62;
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
 
-  /** What entered and what left, each in the order in which it happened. */
-  public record Changes<S>(List<S> added, List<String> removed) {}
+  /**
+   * What entered and what left the subset, each in the order in which it happened.
+   *
+   * @param added endpoints that entered
+   * @param removed ids of endpoints that left
+   */
+  public record Changes<E>(List<E> added, List<String> removed) {}
 
-  private static final class Member<S> implements Comparable<Member<S>> {
+  private static final class Member<E> implements Comparable<Member<E>> {
     final String id;
+
+    /** How far behind this node's place the endpoint lies on the circle. */
     final long offset;
+
     final Object[] groups;
-    S endpoint;
+    E endpoint;
     boolean isUp;
 
     Member(String id, long offset, Object... groups) {
@@ -53,25 +69,32 @@
     }
 
     @Override
-    public int compareTo(Member<S> other) {
+    public int compareTo(Member<E> other) {
       return offset != other.offset ? Long.compare(offset, other.offset) : id.compareTo(other.id);
     }
   }
 
   private final long arcStart;
-  private final double nodeCount, minEndpoints;
-  private final Map<String, Member<S>> members = new HashMap<>();
-  private final TreeSet<Member<S>> membersByOffset = new TreeSet<>();
-  private final Map<Object, TreeSet<Member<S>>> membersByGroup = new HashMap<>();
-  private final Set<Member<S>> toggled = new LinkedHashSet<>();
+  private final double nodeCount;
+  private final double minEndpoints;
+  private final Map<String, Member<E>> byId = new HashMap<>();
+  private final TreeSet<Member<E>> byOffset = new TreeSet<>();
+  private final Map<Object, TreeSet<Member<E>>> byGroup = new HashMap<>();
+
+  /** Members that entered or left the arc since the last {@link #applyChanges}. */
+  private final Set<Member<E>> toggled = new LinkedHashSet<>();
+
   private long arcLength = CIRCLE_LENGTH;
   private double widthFactor = 1;
   private int upCount;
 
   /**
-   * @param nodeIndex the number of this node in its fleet of so many
-   * @param minEndpoints servers that a node holds on average at least; more where a server would
-   *     have under 8 nodes
+   * An empty subset.
+   *
+   * @param nodeIndex the number of this node in its fleet
+   * @param nodeCount nodes of the fleet
+   * @param minEndpoints endpoints that a node holds on average at least; more where an endpoint
+   *     would have under 8 nodes
    */
   public EndpointSubset(int nodeIndex, int nodeCount, int minEndpoints) {
     arcStart = arcStart(nodeIndex);
@@ -80,76 +103,86 @@
   }
 
   /**
-   * A server is known, or has changed.
+   * Adds an endpoint, or notes that it has changed.
    *
-   * @param memberGroups groups that {@link #groupMembers} will be asked for, null for none; how
-   *     many is the same for all servers
+   * @param id its name
+   * @param isUp whether {@link #groupMembers} may name it
+   * @param endpoint what {@link #applyChanges} hands out when it enters the subset
+   * @param groups keys that {@link #groupMembers} will be asked for; the same number for all
+   *     endpoints
    */
-  public void put(String id, boolean isUp, S endpoint, Object... memberGroups) {
-    Member<S> member = members.get(id);
-    if (member == null || !Arrays.equals(member.groups, memberGroups)) {
+  public void put(String id, boolean isUp, E endpoint, Object... groups) {
+    Member<E> member = byId.get(id);
+    if (member == null || !Arrays.equals(member.groups, groups)) {
       remove(id);
-      member = new Member<>(id, offsetOf(id, arcStart), memberGroups);
-      members.put(id, member);
-      membersByOffset.add(member);
-      for (Object group : memberGroups) {
-        membersByGroup.computeIfAbsent(group, g -> new TreeSet<>()).add(member);
-      }
-      toggle(member);
+      member = add(id, groups);
     }
     upCount += (isUp ? 1 : 0) - (member.isUp ? 1 : 0);
     member.isUp = isUp;
     member.endpoint = endpoint;
   }
 
-  /** A server is gone; one that is not known does no harm. */
+  private Member<E> add(String id, Object... groups) {
+    Member<E> member = new Member<>(id, offsetOf(id, arcStart), groups);
+    byId.put(id, member);
+    byOffset.add(member);
+    for (Object group : groups) {
+      TreeSet<Member<E>> members = byGroup.get(group);
+      if (members == null) {
+        members = new TreeSet<>();
+        byGroup.put(group, members);
+      }
+      members.add(member);
+    }
+    toggle(member);
+    return member;
+  }
+
+  /** Removes an endpoint; one that is not known does no harm. */
   public void remove(String id) {
-    Member<S> member = members.remove(id);
-    if (member != null) {
-      upCount -= member.isUp ? 1 : 0;
-      membersByOffset.remove(member);
-      for (Object group : member.groups) {
-        membersByGroup.computeIfPresent(
-            group,
-            (g, groupSet) -> groupSet.remove(member) && groupSet.isEmpty() ? null : groupSet);
+    Member<E> member = byId.remove(id);
+    if (member == null) {
+      return;
+    }
+    upCount -= member.isUp ? 1 : 0;
+    byOffset.remove(member);
+    for (Object group : member.groups) {
+      TreeSet<Member<E>> members = byGroup.get(group);
+      if (members != null && members.remove(member) && members.isEmpty()) {
+        byGroup.remove(group);
       }
-      toggle(member);
     }
+    toggle(member);
   }
 
-  /** A whole list: what it does not name is gone. O(n). */
+  /** Removes all endpoints that a complete list does not name. O(n log n). */
   public void retainOnly(Set<String> ids) {
-    members.keySet().stream()
-        .filter(id -> !ids.contains(id))
-        .sorted()
-        .toList()
-        .forEach(this::remove);
+    List<String> missing = new ArrayList<>();
+    for (String id : byId.keySet()) {
+      if (!ids.contains(id)) {
+        missing.add(id);
+      }
+    }
+    Collections.sort(missing);
+    for (String id : missing) {
+      remove(id);
+    }
   }
 
   /**
-   * How many times the even arc this node's is, 1 at least: what enters and leaves shows at {@link
-   * * * #settle}.
+   * Sets how many times the even arc this node's is, 1 at least. What enters and leaves by it shows
+   * at {@link #applyChanges}.
    */
-  public void widthFactor(double factor) {
+  public void setWidthFactor(double factor) {
     widthFactor = Math.max(1, factor);
   }
 
-  /**
-   * Moves the end of the arc to where it belongs, and tells what has entered and left since the
-   * last call.
-   */
-  public Changes<S> applyChanges() {
-    long newLength = (long) (Math.min(1, widthFactor * evenFraction()) * CIRCLE_LENGTH);
-    long oldLength = arcLength;
-    arcLength =
-        Math.max(oldLength, newLength); // what lies between the two is on it in one of both cases
-    membersByOffset
-        .subSet(new Member<>("", Math.min(oldLength, newLength)), new Member<>("", arcLength))
-        .forEach(this::toggle);
-    arcLength = newLength;
-    Changes<S> changes = new Changes<>(new ArrayList<>(), new ArrayList<>());
-    for (Member<S> member : toggled) {
-      if (contains(member.id) && members.get(member.id) == member) {
+  /** Moves the end of the arc to where it belongs; what entered and left since the last call. */
+  public Changes<E> applyChanges() {
+    moveArcEnd((long) (Math.min(1, widthFactor * evenFraction()) * CIRCLE_LENGTH));
+    Changes<E> changes = new Changes<>(new ArrayList<>(), new ArrayList<>());
+    for (Member<E> member : toggled) {
+      if (contains(member.id) && byId.get(member.id) == member) {
         changes.added.add(member.endpoint);
       } else {
         changes.removed.add(member.id);
@@ -159,8 +192,19 @@
     return changes;
   }
 
+  private void moveArcEnd(long newLength) {
+    long oldLength = arcLength;
+    arcLength = Math.max(oldLength, newLength); // what lies between is on the longer arc only
+    Member<E> from = new Member<>("", Math.min(oldLength, newLength));
+    Member<E> to = new Member<>("", arcLength);
+    for (Member<E> member : byOffset.subSet(from, to)) {
+      toggle(member);
+    }
+    arcLength = newLength;
+  }
+
   /** There and back since the last call is no change. */
-  private void toggle(Member<S> member) {
+  private void toggle(Member<E> member) {
     if (member.offset < arcLength && !toggled.remove(member)) {
       toggled.add(member);
     }
@@ -168,40 +212,42 @@
 
   private double evenFraction() {
     return Math.min(
-        1,
-        Math.max(minEndpoints / Math.max(1, members.size()), MIN_NODES_PER_ENDPOINT / nodeCount));
+        1, Math.max(minEndpoints / Math.max(1, byId.size()), MIN_NODES_PER_ENDPOINT / nodeCount));
   }
 
-  /** How many servers a node holds on average with an even arc. */
+  /** How many endpoints a node holds on average with an even arc. */
   public double evenSize() {
-    return evenFraction() * members.size();
+    return evenFraction() * byId.size();
   }
 
-  /** Whether every node holds all that are known. */
+  /** Whether every node holds all endpoints that are known. */
   public boolean holdsAll() {
     return evenFraction() >= 1;
   }
 
+  /** Whether this node holds an endpoint. */
   public boolean contains(String id) {
-    Member<S> member = members.get(id);
+    Member<E> member = byId.get(id);
     return member != null && member.offset < arcLength;
   }
 
-  /** All that are known and up, held or not. */
+  /** How many of the known endpoints are up, held or not. */
   public int upCount() {
     return upCount;
   }
 
   /**
-   * Servers of a group that are up, so many at most: those held first, and nodes differ in whom
-   * they burden.
+   * Endpoints of a group that are up: those behind this node's place first, so that nodes differ in
+   * whom they burden.
+   *
+   * @param maxCount how many at most
    */
-  public List<S> groupMembers(Object group, int maxCount) {
-    return membersByGroup.getOrDefault(group, new TreeSet<>()).stream()
-        .limit(MAX_GROUP_MEMBERS_SCANNED)
-        .filter(e -> e.isUp)
+  public List<E> groupMembers(Object group, int maxCount) {
+    return byGroup.getOrDefault(group, new TreeSet<>()).stream()
+        .limit(MAX_MEMBERS_SCANNED)
+        .filter(member -> member.isUp)
         .limit(maxCount)
-        .map(e -> e.endpoint)
+        .map(member -> member.endpoint)
         .toList();
   }
 
@@ -211,18 +257,18 @@
   }
 
   /**
-   * How far behind a place a server lies; FNV-1a over the characters, as ids that count up may fall
-   * anywhere.
+   * How far behind a place an endpoint lies: FNV-1a over the characters, then mixed, as ids that
+   * count up may fall anywhere.
    */
   static long offsetOf(String id, long arcStart) {
-    long hash = 0xcbf29ce484222325L;
+    long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < id.length(); i++) {
-      hash = (hash ^ id.charAt(i)) * 0x100000001b3L;
+      hash = (hash ^ id.charAt(i)) * FNV_PRIME;
     }
     return mix64(hash) - arcStart >>> 2;
   }
 
-  /** The finaliser of SplitMix64: every bit depends on all. */
+  /** The finaliser of SplitMix64: every bit of the result depends on all bits of the value. */
   public static long mix64(long value) {
     long first = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
     long second = (first ^ first >>> 27) * 0x94d049bb133111ebL;
--- a/src/test/java/edgenode/policy/PolicyRulesTest.java
+++ b/src/test/java/edgenode/policy/PolicyRulesTest.java
@@ -17,7 +17,7 @@
 class PolicyRulesTest {
   /** A day of releases brings ever new servers: nothing is kept of those that left. */
   @Test
-  void serversThatLeftAreForgotten() throws ReflectiveOperationException {
+  void serversThatLeftAreForgotten() {
     FakeGateway gateway = FakeGateway.withoutCounter().start().listEndpoints(2);
     for (int i = 10; i < 60; i++) {
       gateway.engine.endpointsChanged(
@@ -25,9 +25,7 @@
       gateway.engine.endpointsChanged(
           gateway.nowMs, List.of(FakeGateway.endpoint(i, EndpointState.REMOVED, 0)), false);
     }
-    java.lang.reflect.Field hosts = PolicyEngine.class.getDeclaredField("hosts");
-    hosts.setAccessible(true);
-    assertEquals(2, ((java.util.Map<?, ?>) hosts.get(gateway.engine)).size());
+    assertEquals(2, gateway.engine.endpoints().knownCount());
   }
 
   @Test
--- a/src/test/java/edgenode/policy/SubsetLoadBalancingTest.java
+++ b/src/test/java/edgenode/policy/SubsetLoadBalancingTest.java
@@ -5,11 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgenode.policy.subset.EndpointSubset;
-import java.lang.reflect.Field;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -26,10 +24,8 @@
     return gateway.start().listEndpoints(4000);
   }
 
-  private static int endpointRecordCount(FakeGateway gateway) throws ReflectiveOperationException {
-    Field hosts = PolicyEngine.class.getDeclaredField("hosts");
-    hosts.setAccessible(true);
-    return ((Map<?, ?>) hosts.get(gateway.engine)).size();
+  private static int endpointRecordCount(FakeGateway gateway) {
+    return gateway.engine.endpoints().knownCount();
   }
 
   private static Set<String> serveRequests(FakeGateway gateway, long from, int n, double every) {
@@ -73,7 +69,7 @@
 
   /** 9 */
   @Test
-  void aNodeKeepsRecordsOfItsSubsetOnly() throws Exception {
+  void aNodeKeepsRecordsOfItsSubsetOnly() {
     FakeGateway gateway = oneOfHundredNodes();
     serveRequests(gateway, 0, 300, 5);
     assertTrue(
@@ -114,17 +110,13 @@
 
   /** 10: of what a node holds all begin to drain; it goes on with others within two edges. */
   @Test
-  void aSubsetWidensWhereNothingOfItIsUp() throws Exception {
+  void aSubsetWidensWhereNothingOfItIsUp() {
     FakeGateway gateway = oneOfHundredNodes();
-    Field view = PolicyEngine.class.getDeclaredField("view");
-    view.setAccessible(true);
     List<EndpointInfo> drained = new ArrayList<>();
-    Field id = Class.forName("edgenode.policy.PolicyEngine$Host").getDeclaredField("id");
-    id.setAccessible(true);
-    for (Object h : (List<?>) view.get(gateway.engine)) {
+    for (Endpoint endpoint : gateway.engine.endpoints().held()) {
       drained.add(
           FakeGateway.endpoint(
-              Integer.parseInt(((String) id.get(h)).substring(1)), EndpointState.DRAINING, 0));
+              Integer.parseInt(endpoint.id.substring(1)), EndpointState.DRAINING, 0));
     }
     gateway.engine.endpointsChanged(gateway.nowMs, drained, false);
     gateway.advanceTo(300);
@@ -147,7 +139,7 @@
 
   /** 10: a node with much more than its part of the traffic, and answers that do not come. */
   @Test
-  void aSubsetWidensWhereAllOfItIsFull() throws Exception {
+  void aSubsetWidensWhereAllOfItIsFull() {
     FakeGateway gateway = oneOfHundredNodes();
     serveRequests(gateway, 5000, 20, 5); // in time: nothing is paced
     for (int i = 0; i < 3000; i++) {
--- a/src/test/java/edgenode/policy/subset/EndpointSubsetProperties.java
+++ b/src/test/java/edgenode/policy/subset/EndpointSubsetProperties.java
@@ -111,11 +111,11 @@
         }
         case 1 -> {
           model.width = 1 + 3 * random.nextDouble();
-          subset.widthFactor(model.width);
+          subset.setWidthFactor(model.width);
         }
         case 2 -> {
           model.width = 1;
-          subset.widthFactor(random.nextDouble()); // under 1 it is the even arc
+          subset.setWidthFactor(random.nextDouble()); // under 1 it is the even arc
         }
         default -> {}
       }
@@ -357,14 +357,14 @@
     follow(view, subset.applyChanges());
     Set<String> even = new HashSet<>(view);
     for (double width : new double[] {1.5, 2, 4, 16}) {
-      subset.widthFactor(width);
+      subset.setWidthFactor(width);
       EndpointSubset.Changes<Server> moves = subset.applyChanges();
       assertEquals(List.of(), moves.removed());
       follow(view, moves);
     }
     assertEquals(500, view.size(), "sixteen times a twelfth is all");
     for (double width = 16; width > 0.9; width *= 0.95) {
-      subset.widthFactor(width);
+      subset.setWidthFactor(width);
       EndpointSubset.Changes<Server> moves = subset.applyChanges();
       assertEquals(List.of(), moves.added());
       follow(view, moves);
