--- a/src/main/java/edgenode/policy/EndpointInfo.java
+++ b/src/main/java/edgenode/policy/EndpointInfo.java
@@ -1,6 +1,16 @@
 package edgenode.policy;
 
-/** A server as the list names it; startedAt is 0 where it started long ago. */
+/**
+ * An endpoint as the list names it.
+ *
+ * @param id its name; never used again for another process elsewhere
+ * @param cell the rack
+ * @param zone the zone
+ * @param state whether it may get requests
+ * @param kind the kind of machine
+ * @param startedAtMs when it started, 0 where that was long ago
+ * @param weight its part of the load
+ */
 public record EndpointInfo(
     String id,
     int cell,
--- a/src/main/java/edgenode/policy/PolicyEvents.java
+++ b/src/main/java/edgenode/policy/PolicyEvents.java
@@ -2,20 +2,38 @@
 
 import java.util.List;
 
-/** What a host tells one instance. */
+/**
+ * What a shell reports to the engine. All calls are made by one thread; the engine answers by
+ * calling {@link PolicyActions} during the event or not at all. Times are milliseconds on the
+ * shell's clock, and a time before that of the event before counts as that one. Ids that are not
+ * known are ignored.
+ */
 public interface PolicyEvents {
-  /** The list of servers: all of it, or the changed ones only. */
+  /**
+   * Endpoints have changed.
+   *
+   * @param isComplete the list is the whole one, not only what has changed
+   */
   void endpointsChanged(double nowMs, List<EndpointInfo> endpoints, boolean isComplete);
 
-  /** A call to discovery failed or the subscription dropped. */
+  /** A call to discovery failed, or the subscription ended. */
   void discoveryFailed(double nowMs);
 
+  /** A request arrived. It is rejected where its class or plan is unknown. */
   void requestArrived(double nowMs, IncomingRequest request);
 
-  /** A streamed answer has begun: from here on the attempt is the client's. */
+  /** A streamed answer has begun: the request is not answered by the engine any more. */
   void responseStarted(double nowMs, long requestId, int attempt);
 
-  /** One attempt ended; over: the request needs no answer any more. */
+  /**
+   * An attempt ended.
+   *
+   * @param tookMs from when it was sent
+   * @param isRequestOver the request needs no answer any more
+   * @param trueUnits what the request really took of the quota, 0 where this is not known
+   * @param loadReport the endpoint's own figures, in the order of {@link
+   *     PolicySettings#loadReportFields}; not used
+   */
   void attemptEnded(
       double nowMs,
       long requestId,
@@ -26,21 +44,30 @@
       int trueUnits,
       double[] loadReport);
 
+  /** The client of a request has gone: nothing more is sent for it. */
   void clientDisconnected(double nowMs, long requestId);
 
+  /** A timer fired. */
   void timerFired(double nowMs, long token);
 
+  /**
+   * A health check ended.
+   *
+   * @param loadReport as for {@link #attemptEnded}
+   */
   void healthCheckEnded(
       double nowMs, String endpointId, CallOutcome outcome, double tookMs, double[] loadReport);
 
   /**
-   * How a call to the counter ended. Where it is overdue that is told first, and its end later: the
-   * answer may still come. A host that gives up instead tells the one end TIMEOUT. The calls of a
-   * name end in their order.
+   * A call to the counter ended. An overdue one is reported as {@link CallOutcome#OVERDUE} first,
+   * and its end later, as the answer may still come; a shell that gives up at once reports one
+   * {@link CallOutcome#TIMEOUT}. The calls of a name end in their order.
+   *
+   * @param total the count with the amount added, where the outcome is OK
    */
   void counterCallEnded(double nowMs, long name, CallOutcome outcome, double tookMs, double total);
 
-  /** A question, not an event: how many servers are listed as up and yet get nothing for now. */
+  /** How many endpoints are listed as up and yet get nothing for now. Not an event. */
   default int ejectedCount(double nowMs) {
     return 0;
   }
--- a/src/main/java/edgenode/policy/PolicySettings.java
+++ b/src/main/java/edgenode/policy/PolicySettings.java
@@ -2,7 +2,23 @@
 
 import java.util.List;
 
-/** Everything one instance is told at its start. */
+/**
+ * What one node is told at its start.
+ *
+ * @param nodeIndex its number in the fleet, from 0
+ * @param nodeCount nodes of the fleet
+ * @param zone its zone
+ * @param tickMs the shortest time that the shell's timers can tell apart
+ * @param mustPollDiscovery whether the engine calls discovery itself
+ * @param settlesUnits whether answers tell what a request really took of the quota
+ * @param maxRequestUnits units of a request at most
+ * @param loadReportFields names of the figures in load reports
+ * @param requestClasses the classes of requests
+ * @param plans the quota plans
+ * @param capabilities what the installation allows
+ * @param rules the figures of the rules
+ * @param prices what the installation charges
+ */
 public record PolicySettings(
     int nodeIndex,
     int nodeCount,
@@ -19,8 +35,8 @@
     Prices prices) {
 
   /**
-   * For how long (ms) servers drop a repeat of this class; for ever where a repeat does no harm by
-   * itself.
+   * For how long (ms) endpoints drop duplicates of a class; infinite where the class has no
+   * idempotency key, or is unknown.
    */
   public double idempotencyWindowMs(String className) {
     for (RequestClass requestClass : requestClasses) {
@@ -32,7 +48,7 @@
     return Double.POSITIVE_INFINITY;
   }
 
-  /** Whether requests of this class may be told apart by their idempotency keys. */
+  /** Whether requests of a class have an idempotency key; false for unknown classes. */
   public boolean hasIdempotencyKey(String className) {
     for (RequestClass requestClass : requestClasses) {
       if (requestClass.name().equals(className)) {
--- a/src/main/java/edgenode/policy/Prices.java
+++ b/src/main/java/edgenode/policy/Prices.java
@@ -1,6 +1,14 @@
 package edgenode.policy;
 
-/** What costs points of the result. */
+/**
+ * What the installation charges, in answers in time.
+ *
+ * @param wastedAttempt an attempt whose answer nobody gets
+ * @param healthCheck a health check
+ * @param counterCall a call to the counter
+ * @param crossZone an attempt in another zone
+ * @param lateFailure a request that fails at its deadline rather than early
+ */
 public record Prices(
     double wastedAttempt,
     double healthCheck,
--- a/src/test/java/edgenode/policy/DiscoveryBackoffTest.java
+++ b/src/test/java/edgenode/policy/DiscoveryBackoffTest.java
@@ -8,43 +8,43 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where discovery must be asked: calls to it that fail are made again, in time and not by the whole
+ * Where discovery must be polled: calls that fail are made again, in time and not by the whole
  * fleet at once.
  */
 class DiscoveryBackoffTest {
-  /** What discovery has, and a failed call kept back, counts as told after this (ms). */
+  /** A change that failed calls delay counts as known after this: the operators' bound. */
   private static final double RECOVERY_BOUND_MS = 6000;
 
-  /** A call that is lost is given up after this (ms). */
+  /** A call that is lost times out after this. */
   private static final double CALL_TIMEOUT_MS = 2000;
 
   private static FakeGateway pollingGateway(long seed) {
     FakeGateway gateway = new FakeGateway();
     gateway.mustPollDiscovery = true;
-    gateway.seed = seed * 0x9e3779b97f4a7c15L; // a new one is any number of 64 bits
+    gateway.seed = seed * 0x9e3779b97f4a7c15L; // seeds are any numbers of 64 bits
     gateway.start();
-    assertEquals(1, gateway.count("subscribe"));
+    assertEquals(1, gateway.actionCount("subscribe"));
     return gateway;
   }
 
-  /** Fails the call that is out; ms until the next. */
+  /** Fails the call that is in flight, and waits for the next: how long that took (ms). */
   private static double failAndAwaitNextCall(FakeGateway gateway) {
-    long before = gateway.count("subscribe");
-    double failed = gateway.nowMs;
-    gateway.engine.discoveryFailed(failed);
-    while (gateway.count("subscribe") == before) {
-      assertTrue(gateway.nowMs - failed < 10 * RECOVERY_BOUND_MS, "no call any more");
+    long before = gateway.actionCount("subscribe");
+    double failedAtMs = gateway.nowMs;
+    gateway.engine.discoveryFailed(failedAtMs);
+    while (gateway.actionCount("subscribe") == before) {
+      assertTrue(gateway.nowMs - failedAtMs < 10 * RECOVERY_BOUND_MS, "no further call");
       gateway.advanceTo(gateway.nowMs + 1);
     }
-    return gateway.nowMs - failed;
+    return gateway.nowMs - failedAtMs;
   }
 
   /**
-   * Discovery can be reached just after a call that is lost: that is given up, the next is made,
-   * and it may take a second until its answer.
+   * Discovery can be reached again just after a call was lost: that call times out, the next is
+   * made, and its answer may take a second.
    */
   @Test
-  void theNextCallIsMadeInTimeHoweverManyHaveFailed() {
+  void nextCallIsMadeInTimeHoweverManyHaveFailed() {
     double worst = 0;
     for (long seed = 0; seed < 100; seed++) {
       FakeGateway gateway = pollingGateway(seed);
@@ -58,25 +58,24 @@
     assertTrue(worst <= RECOVERY_BOUND_MS - 1000, "after " + worst + " ms");
   }
 
-  /**
-   * A hundred subscriptions that break at one moment, and calls that go on failing, come back
-   * spread.
-   */
+  /** A hundred subscriptions that break at one moment are not renewed at one moment. */
   @Test
-  void aFleetDoesNotAskAtOnce() {
+  void fleetDoesNotCallDiscoveryAtOnce() {
     for (int failures : new int[] {1, 6}) {
-      Map<Integer, Integer> at = new TreeMap<>();
+      Map<Integer, Integer> callsByTenth = new TreeMap<>();
       for (long seed = 0; seed < 100; seed++) {
         FakeGateway gateway = pollingGateway(seed);
-        double wait = 0;
+        double waitMs = 0;
         for (int i = 0; i < failures; i++) {
-          wait = failAndAwaitNextCall(gateway);
+          waitMs = failAndAwaitNextCall(gateway);
         }
-        at.merge((int) (wait / 100), 1, Integer::sum);
+        callsByTenth.merge((int) (waitMs / 100), 1, Integer::sum);
       }
-      int most = at.values().stream().mapToInt(n -> n).max().orElse(0);
-      assertTrue(most <= 25, "of a hundred within 100 ms, after " + failures + " failures: " + at);
-      assertTrue(at.size() >= 8, at.toString());
+      int most = callsByTenth.values().stream().mapToInt(n -> n).max().orElse(0);
+      assertTrue(
+          most <= 25,
+          "of a hundred within 100 ms, after " + failures + " failures: " + callsByTenth);
+      assertTrue(callsByTenth.size() >= 8, callsByTenth.toString());
     }
   }
 }
--- a/src/test/java/edgenode/policy/FakeGateway.java
+++ b/src/test/java/edgenode/policy/FakeGateway.java
@@ -6,24 +6,45 @@
 import java.util.Map;
 
 /**
- * A host for tests: one instance, a fake clock, every action recorded as a line; timers fire on
- * demand.
+ * A shell for tests: one engine, a clock that the test moves, and every action recorded as a line.
+ * Timers fire as the clock passes them; calls to the counter are answered on demand.
  */
 final class FakeGateway implements PolicyActions {
+  /**
+   * A nanosecond: no timer fires early. Timers that were rounded down left the clock standing for
+   * ever.
+   */
+  private static final double TIMER_DELAY_MS = 1e-6;
+
+  /** How long calls to the counter take. */
+  private static final double COUNTER_CALL_MS = 2;
+
+  private record SetTimer(double atMs, long token) {}
+
+  /** A call to the counter with the total that stood after it. */
+  record OpenCounterCall(long name, double total) {}
+
   final List<String> actions = new ArrayList<>();
-  final List<double[]> timers = new ArrayList<>();
-  final List<long[]> counterCalls = new ArrayList<>();
-  final List<Double> counterTotals = new ArrayList<>();
+  final List<OpenCounterCall> counterCalls = new ArrayList<>();
+
+  /** The counts on the counter; gateways of one fleet share them. */
   Map<Long, Double> counterSums = new HashMap<>();
+
   int nodeIndex;
-  long seed = 7;
   int nodeCount = 2;
+  long seed = 7;
   int minSubsetSize; // 0: the default
+  boolean canHedge = true;
+  boolean hasCounter = true;
+  boolean settlesUnits;
+  boolean mustPollDiscovery;
+  double keepAliveMs;
+  int maxRequestUnits = 1;
 
-  /** The module's last wish (ms from then). */
+  /** The delay of the timer that the engine set last. */
   double lastTimerDelayMs;
 
-  private double otherUnits;
+  private final List<SetTimer> timers = new ArrayList<>();
   private double othersUpdatedAtMs;
   double nowMs;
   PolicyEngine engine;
@@ -53,16 +74,10 @@
           new QuotaPlan("open", 0, 0, 3, 1, 0, 1, 0, 0, 0),
           new QuotaPlan("big", 1000, 1000, 0, 1, 0, 1, 0, 0, 0),
           new QuotaPlan("ceiling", 100, 100, 0, 1, 0, 1, 4, 8, 0));
-  boolean canHedge = true;
-  boolean hasCounter = true;
-  boolean settlesUnits;
-  boolean mustPollDiscovery;
-  double keepAliveMs;
-  int maxRequestUnits = 1;
 
   /**
-   * Without a counter: the even part is there at once, so that a test of servers need not mind
-   * quotas.
+   * Without a counter the even share of a quota is there at once, so that tests of endpoints need
+   * not mind quotas.
    */
   static FakeGateway withoutCounter() {
     FakeGateway gateway = new FakeGateway();
@@ -95,42 +110,47 @@
         new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
-  /** Servers s0..s(n-1), two a cell, cells in turn over zones a and b. */
-  FakeGateway listEndpoints(int n) {
+  /** Lists the endpoints from s0 on, two a cell, cells in turn over zones a and b. */
+  FakeGateway listEndpoints(int count) {
     List<EndpointInfo> list = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
+    for (int i = 0; i < count; i++) {
       list.add(endpoint(i, EndpointState.UP, 0));
     }
     engine.endpointsChanged(nowMs, list, true);
     return this;
   }
 
-  static EndpointInfo endpoint(int i, EndpointState state, double startedAt) {
-    return new EndpointInfo("s" + i, i / 2, i / 2 % 2 == 0 ? "a" : "b", state, "k", startedAt, 1);
+  static EndpointInfo endpoint(int number, EndpointState state, double startedAtMs) {
+    int cell = number / 2;
+    String zone = cell % 2 == 0 ? "a" : "b";
+    return new EndpointInfo("s" + number, cell, zone, state, "k", startedAtMs, 1);
   }
 
-  /** Other gateways add to every name, at this rate since the last time. */
+  /** Other nodes add to every count, at this rate since the last time. */
   void addUsageOfOtherNodes(double perSecond) {
-    otherUnits = (nowMs - othersUpdatedAtMs) / 1000 * perSecond;
+    double units = (nowMs - othersUpdatedAtMs) / 1000 * perSecond;
     othersUpdatedAtMs = nowMs;
-    counterSums.replaceAll((name, sum) -> sum + otherUnits);
+    counterSums.replaceAll((name, sum) -> sum + units);
   }
 
   /** Answers the calls made so far, with the totals that stood when they were made. */
   void answerCounter(CallOutcome outcome) {
-    for (int n = counterCalls.size(); n > 0; n--) {
-      engine.counterCallEnded(
-          nowMs, counterCalls.remove(0)[0], outcome, 2, counterTotals.remove(0));
+    for (int open = counterCalls.size(); open > 0; open--) {
+      OpenCounterCall call = counterCalls.remove(0);
+      engine.counterCallEnded(nowMs, call.name, outcome, COUNTER_CALL_MS, call.total);
     }
   }
 
-  void arrive(long id, String type, String plan, String customer) {
-    arrive(id, type, plan, customer, 1, 2);
+  void arrive(long id, String className, String planName, String customerName) {
+    arrive(id, className, planName, customerName, 1, 2);
   }
 
-  void arrive(long id, String type, String plan, String customer, int units, int spread) {
+  void arrive(
+      long id, String className, String planName, String customerName, int units, int nodeSpread) {
     engine.requestArrived(
-        nowMs, new IncomingRequest(id, type, plan, customer, 2000, units, spread, 0, false));
+        nowMs,
+        new IncomingRequest(
+            id, className, planName, customerName, 2000, units, nodeSpread, 0, false));
   }
 
   void endAttempt(long id, int attempt, CallOutcome outcome) {
@@ -138,30 +158,72 @@
         nowMs, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
   }
 
+  /** The first attempt of a request is answered, after so long. */
+  void answerAfter(long id, double tookMs) {
+    engine.attemptEnded(nowMs, id, 0, CallOutcome.OK, tookMs, true, 0, new double[0]);
+  }
+
   /** Advances the clock, firing the timers that fall due. */
-  void advanceTo(double time) {
-    while (true) {
-      double[] next = null;
-      for (double[] t : timers) {
-        if (t[0] <= time && (next == null || t[0] < next[0])) {
-          next = t;
-        }
-      }
-      if (next == null) {
-        break;
-      }
+  void advanceTo(double timeMs) {
+    SetTimer next = earliestTimer();
+    while (next != null && next.atMs <= timeMs) {
       timers.remove(next);
-      nowMs = Math.max(nowMs, next[0]);
-      engine.timerFired(nowMs, (long) next[1]);
+      nowMs = Math.max(nowMs, next.atMs);
+      engine.timerFired(nowMs, next.token);
+      next = earliestTimer();
     }
-    nowMs = time;
+    nowMs = timeMs;
+  }
+
+  private SetTimer earliestTimer() {
+    SetTimer earliest = null;
+    for (SetTimer timer : timers) {
+      if (earliest == null || timer.atMs < earliest.atMs) {
+        earliest = timer;
+      }
+    }
+    return earliest;
+  }
+
+  int openTimers() {
+    return timers.size();
   }
 
-  long count(String prefix) {
+  long actionCount(String prefix) {
     return actions.stream().filter(line -> line.startsWith(prefix)).count();
   }
 
-  /** The server of the last send of a request. */
+  /** The amounts that calls have added to the counter, in their order. */
+  List<Double> addedAmounts() {
+    return actions.stream()
+        .filter(line -> line.startsWith("add "))
+        .map(line -> Double.parseDouble(line.substring("add ".length())))
+        .toList();
+  }
+
+  /** The amount that the last call added to the counter. */
+  double lastAddedAmount() {
+    List<Double> amounts = addedAmounts();
+    return amounts.get(amounts.size() - 1);
+  }
+
+  /** Attempts that were sent to an endpoint. */
+  long sendsTo(String endpointId) {
+    return actions.stream()
+        .filter(line -> line.startsWith("send ") && line.endsWith(" " + endpointId))
+        .count();
+  }
+
+  /** Requests that were sent, however often. */
+  long requestsSent() {
+    return actions.stream()
+        .filter(line -> line.startsWith("send "))
+        .map(line -> line.split(" ")[1])
+        .distinct()
+        .count();
+  }
+
+  /** The endpoint of the last attempt of a request, null where there was none. */
   String lastEndpointOf(long id) {
     String found = null;
     for (String line : actions) {
@@ -172,9 +234,14 @@
     return found;
   }
 
+  /** The number in the name of the endpoint of the last attempt of a request. */
+  int lastEndpointNumberOf(long id) {
+    return Integer.parseInt(lastEndpointOf(id).substring(1));
+  }
+
   @Override
-  public void send(long id, String server, double until) {
-    actions.add("send " + id + " " + server);
+  public void send(long id, String endpointId, double untilMs) {
+    actions.add("send " + id + " " + endpointId);
   }
 
   @Override
@@ -183,8 +250,8 @@
   }
 
   @Override
-  public void reject(long id, double retryAfter) {
-    actions.add("refuse " + id);
+  public void reject(long id, double retryAfterMs) {
+    actions.add("reject " + id);
   }
 
   @Override
@@ -193,22 +260,20 @@
   }
 
   @Override
-  public void setTimer(double delay, long token) {
-    this.lastTimerDelayMs = delay;
-    // a nanosecond late, as no timer is early: rounding down left the clock standing for ever
-    timers.add(new double[] {nowMs + delay + 1e-6, token});
+  public void setTimer(double delayMs, long token) {
+    lastTimerDelayMs = delayMs;
+    timers.add(new SetTimer(nowMs + delayMs + TIMER_DELAY_MS, token));
   }
 
   @Override
-  public void checkHealth(String server) {
-    actions.add("probe " + server);
+  public void checkHealth(String endpointId) {
+    actions.add("checkHealth " + endpointId);
   }
 
   @Override
-  public void addToCounter(long name, double amount, double keepFor) {
-    actions.add("count " + amount);
-    counterCalls.add(new long[] {name});
-    counterTotals.add(counterSums.merge(name, amount, Double::sum));
+  public void addToCounter(long name, double amount, double keepMs) {
+    actions.add("add " + amount);
+    counterCalls.add(new OpenCounterCall(name, counterSums.merge(name, amount, Double::sum)));
   }
 
   @Override
--- a/src/test/java/edgenode/policy/LargeFleetPolicyTest.java
+++ b/src/test/java/edgenode/policy/LargeFleetPolicyTest.java
@@ -10,52 +10,48 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is harmless at one gateway of a large fleet and harmful when all do it, and what thin
- * traffic tells late.
+ * What is harmless at one node of a large fleet and harmful when all do it, and what a node with
+ * little traffic learns late. The invariants are those of docs/design/fleet.md.
  */
 class LargeFleetPolicyTest {
   private static final int NODES = 14;
 
-  private static FakeGateway one(FakeGateway gateway) {
+  private static FakeGateway oneNode(FakeGateway gateway) {
     gateway.nodeCount = NODES;
     return gateway.start().listEndpoints(60);
   }
 
   /**
-   * A crowded class took longer than half its aim: each request was given up before the counter
-   * could answer.
+   * Where answers took over half the objective, requests were given up before the counter answered.
    */
   @Test
-  void aRequestOutlivesItsQuestionToTheCounter() {
-    FakeGateway gateway = one(new FakeGateway());
+  void queuedRequestOutlivesItsCounterCall() {
+    FakeGateway gateway = oneNode(new FakeGateway());
     for (int i = 0; i < 200; i++) {
       gateway.advanceTo(i * 50);
       gateway.arrive(i, "read", "big", "c");
       gateway.answerCounter(CallOutcome.OK);
-      gateway.engine.attemptEnded(gateway.nowMs, i, 0, CallOutcome.OK, 590, true, 0, new double[0]);
+      gateway.answerAfter(i, 590);
     }
     gateway.arrive(1000, "read", "rate", "d");
     gateway.advanceTo(gateway.nowMs + 10);
-    assertEquals(0, gateway.count("refuse 1000"));
+    assertEquals(0, gateway.actionCount("reject 1000"));
     gateway.answerCounter(CallOutcome.OK);
-    assertEquals(1, gateway.count("send 1000"));
+    assertEquals(1, gateway.actionCount("send 1000"));
   }
 
   @Test
-  void waitingForTheCounterEndsBeforeTheClientsWait() {
-    FakeGateway gateway = one(new FakeGateway());
+  void waitForTheCounterEndsBeforeTheClientsDeadline() {
+    FakeGateway gateway = oneNode(new FakeGateway());
     gateway.engine.requestArrived(
         0, new IncomingRequest(1, "read", "rate", "c", 20, 1, 2, 0, false));
     gateway.advanceTo(18);
-    assertEquals(1, gateway.count("refuse 1"), "the counter has 50 ms, this client 20");
+    assertEquals(1, gateway.actionCount("reject 1"), "the counter has 50 ms, this client 20");
   }
 
-  /**
-   * The cold ones were given their part of what all bore on average: next to nothing where most are
-   * cold.
-   */
+  /** Cold endpoints got their part of the mean over all: next to nothing where most are cold. */
   @Test
-  void coldServersAreGivenTheirPartOfWhatWarmOnesBear() {
+  void coldEndpointsGetTheirPartOfWhatWarmOnesGet() {
     FakeGateway gateway = FakeGateway.withoutCounter().start().listEndpoints(20);
     List<EndpointInfo> cold = new ArrayList<>();
     for (int i = 0; i < 18; i++) {
@@ -71,81 +67,64 @@
     }
     long toCold =
         gateway.actions.stream()
-            .filter(l -> l.startsWith("send") && !l.endsWith(" s18") && !l.endsWith(" s19"))
+            .filter(l -> l.startsWith("send ") && !l.endsWith(" s18") && !l.endsWith(" s19"))
             .count();
     assertTrue(toCold > 50, "of 150, two of 20 are warm: " + toCold);
   }
 
-  /**
-   * With few calls the counter heard of a third of what was sent, and all readings found too much
-   * room.
-   */
+  /** With few calls the counter heard of a third of what was sent: readings found too much left. */
   @Test
-  void anAddForAThinStoreStandsForWhatWasNeverTold() {
+  void addOfAnUnderSampledCustomerStandsForUnreportedUnits() {
     FakeGateway gateway = new FakeGateway();
-    gateway.nodeCount = 1000; // a call or two: the rest goes by belief
+    gateway.nodeCount = 1000; // a call or two: the rest goes by the estimate
     gateway.start().listEndpoints(2000);
     for (int i = 0; i < 12; i++) {
       gateway.arrive(i, "read", "rate", "c" + i, 1, 20);
       gateway.answerCounter(CallOutcome.OK);
       gateway.endAttempt(i, 0, CallOutcome.OK);
     }
-    long told = gateway.count("count");
+    long before = gateway.actionCount("add");
     gateway.advanceTo(260); // a call more
     gateway.arrive(20, "read", "rate", "d", 1, 20);
     gateway.advanceTo(600);
     gateway.arrive(21, "read", "rate", "e", 1, 20);
-    assertTrue(gateway.count("count") > told, "another add");
-    double last =
-        Double.parseDouble(
-            gateway.actions.stream()
-                .filter(l -> l.startsWith("count"))
-                .reduce((x, y) -> y)
-                .orElseThrow()
-                .split(" ")[1]);
+    assertTrue(gateway.actionCount("add") > before, "another add");
+    double last = gateway.lastAddedAmount();
     assertTrue(last > 1.5 && last <= 2.5, "stands for " + last);
   }
 
   /**
-   * Half of a crowded counter's answers came too late, and each of these requests was refused with
-   * quota unused.
+   * Half of a crowded counter's answers came too late: requests were rejected with quota unused.
    */
   @Test
-  void aCallWithoutAnswerLeavesItToBelief() {
-    FakeGateway gateway = one(new FakeGateway());
+  void callWithoutAnswerLeavesTheRequestToTheEstimate() {
+    FakeGateway gateway = oneNode(new FakeGateway());
     gateway.arrive(1, "read", "rate", "c");
-    assertEquals(0, gateway.count("send 1"));
+    assertEquals(0, gateway.actionCount("send 1"));
     gateway.answerCounter(CallOutcome.TIMEOUT);
-    assertEquals(1, gateway.count("send 1"), "nothing speaks against it");
+    assertEquals(1, gateway.actionCount("send 1"), "the estimate covers it");
   }
 
   /**
-   * The most that was tried was believed for half a minute: a quarter of the calls went unanswered
-   * all day.
+   * A budget that had failed was kept for half a minute: a quarter of the calls went unanswered.
    */
   @Test
-  void callsSettleUnderWhatTheCounterAnswers() {
-    FakeGateway gateway = one(new FakeGateway());
+  void callBudgetSettlesUnderWhatTheCounterAnswers() {
+    FakeGateway gateway = oneNode(new FakeGateway());
     int calls = 0;
     int unanswered = 0;
-    int room = 0;
+    int capacity = 0; // this node's part of what the counter can answer in a tick
     for (int i = 0; i < 2000; i++) {
       gateway.advanceTo(i * 10);
-      room =
-          i % 25 == 0
-              ? 4
-              : room; // this gateway's part of what the counter can answer in a subperiod
+      capacity = i % 25 == 0 ? 4 : capacity;
       gateway.arrive(i, "read", "rate", "c" + i);
       for (int k = gateway.counterCalls.size(); k > 0; k--) {
-        boolean late = room-- <= 0;
+        boolean late = capacity-- <= 0;
         calls += i < 1000 ? 0 : 1;
         unanswered += i < 1000 || !late ? 0 : 1;
-        gateway.engine.counterCallEnded(
-            gateway.nowMs,
-            gateway.counterCalls.remove(0)[0],
-            late ? CallOutcome.TIMEOUT : CallOutcome.OK,
-            2,
-            gateway.counterTotals.remove(0));
+        FakeGateway.OpenCounterCall call = gateway.counterCalls.remove(0);
+        CallOutcome outcome = late ? CallOutcome.TIMEOUT : CallOutcome.OK;
+        gateway.engine.counterCallEnded(gateway.nowMs, call.name(), outcome, 2, call.total());
       }
       gateway.endAttempt(i, 0, CallOutcome.OK);
     }
@@ -153,38 +132,35 @@
     assertTrue(unanswered * 8 < calls, unanswered + " of " + calls + " unanswered");
   }
 
-  /**
-   * By calls spent and gateways of the customer: on few nodes a give-back that was carried was
-   * taken twice.
-   */
+  private record ReleaseCase(int callsSpent, int nodeSpread, int releaseCalls) {}
+
+  /** Of a customer on few nodes, a release that went with the next add was taken off twice. */
   @Test
-  void scarceCallsCarryWhatIsGivenBack() {
-    for (int[] w : new int[][] {{0, 20, 1}, {3, 20, 0}, {3, 2, 1}}) {
+  void releasesGoWithTheNextAddWhileCallsAreScarce() {
+    for (ReleaseCase given :
+        List.of(new ReleaseCase(0, 20, 1), new ReleaseCase(3, 20, 0), new ReleaseCase(3, 2, 1))) {
       FakeGateway gateway = new FakeGateway();
       gateway.nodeCount = 1000; // four calls are saved up
       gateway.start().listEndpoints(2000);
-      for (int i = 0; i < w[0]; i++) {
+      for (int i = 0; i < given.callsSpent; i++) {
         gateway.arrive(i, "read", "rate", "c" + i);
         gateway.answerCounter(CallOutcome.OK);
       }
-      gateway.arrive(9, "read", "rate", "d", 1, w[1]);
+      gateway.arrive(9, "read", "rate", "d", 1, given.nodeSpread);
       gateway.engine.counterCallEnded(
           gateway.nowMs,
-          gateway.counterCalls.remove(0)[0],
+          gateway.counterCalls.remove(0).name(),
           CallOutcome.OK,
           2,
-          12 + 1); // others took more than all
-      assertEquals(0, gateway.count("send 9"));
-      assertEquals(
-          w[2], gateway.count("count -1.0"), "after " + w[0] + " calls, of " + w[1] + " gateways");
+          12 + 1); // other nodes took more than all
+      assertEquals(0, gateway.actionCount("send 9"));
+      assertEquals(given.releaseCalls, gateway.actionCount("add -1.0"), given.toString());
     }
   }
 
-  /**
-   * Hardly a connection was used twice: a handshake an attempt, and a server known by one answer.
-   */
+  /** Hardly a connection was used twice: a handshake an attempt, and one answer an endpoint. */
   @Test
-  void aNodeStaysWithTheServersItIsConnectedTo() {
+  void nodeStaysWithTheEndpointsItIsConnectedTo() {
     FakeGateway gateway = FakeGateway.withoutCounter();
     gateway.keepAliveMs = 15_000;
     gateway.nodeCount = NODES;
@@ -193,8 +169,7 @@
     for (int i = 0; i < 100; i++) {
       gateway.advanceTo(i * 100);
       gateway.arrive(i, "read", "big", "c");
-      gateway.engine.attemptEnded(
-          gateway.nowMs, i, 0, CallOutcome.OK, 75, true, 0, new double[0]); // as long as all take
+      gateway.answerAfter(i, 75); // as long as all endpoints take
       used.add(gateway.lastEndpointOf(i));
     }
     assertTrue(used.size() <= 3, "one request at a time: " + used);
@@ -206,28 +181,27 @@
   }
 
   @Test
-  void aNodeLeavesAServerThatIsSlowerThanAHandshakeIsDear() {
+  void nodeLeavesAnEndpointThatIsSlowerThanAHandshakeCosts() {
     FakeGateway gateway = FakeGateway.withoutCounter();
     gateway.keepAliveMs = 15_000;
     gateway.nodeCount = NODES;
     gateway.start().listEndpoints(60);
     String slow = null;
-    int kept = 0;
+    int stayed = 0;
     for (int i = 0; i < 100; i++) {
       gateway.advanceTo(i * 100);
       gateway.arrive(i, "read", "big", "c");
       slow = slow == null ? gateway.lastEndpointOf(i) : slow;
-      kept += gateway.lastEndpointOf(i).equals(slow) ? 1 : 0;
+      stayed += gateway.lastEndpointOf(i).equals(slow) ? 1 : 0;
       double took = gateway.lastEndpointOf(i).equals(slow) ? 145 : 75;
-      gateway.engine.attemptEnded(
-          gateway.nowMs, i, 0, CallOutcome.OK, took, true, 0, new double[0]);
+      gateway.answerAfter(i, took);
     }
-    assertTrue(kept < 30, "one in four at most: " + kept);
+    assertTrue(stayed < 30, "one in four at most: " + stayed);
   }
 
-  /** The pace was a bound on idle servers: of ten at once every 1.25 s two to five were served. */
+  /** The pace held back idle endpoints: of ten at once every 1.25 s two to five were served. */
   @Test
-  void whatComesAllAtOnceGoesWhereAnswersAreInTime() {
+  void burstIsNotPacedWhileAnswersAreInTime() {
     FakeGateway gateway = FakeGateway.withoutCounter();
     gateway.nodeCount = 1;
     gateway.start().listEndpoints(10);
@@ -239,16 +213,14 @@
         for (int k = i - 9; k <= i; k++) {
           gateway.endAttempt(k, 0, CallOutcome.OK);
         }
-        assertEquals(i + 1, gateway.count("send"), "all of round " + i / 10);
+        assertEquals(i + 1, gateway.actionCount("send"), "all of round " + i / 10);
       }
     }
   }
 
-  /**
-   * One late answer took the pace under all that is asked, and nothing was believed for a second.
-   */
+  /** One late answer took the pace under the arrivals, and no estimate was trusted for a second. */
   @Test
-  void oneLateAnswerDoesNotEndBelief() {
+  void oneLateAnswerDoesNotEndTrustInEstimates() {
     FakeGateway gateway = new FakeGateway();
     gateway.nodeCount = 1000; // a call or two
     gateway.start().listEndpoints(2000);
@@ -260,21 +232,12 @@
         gateway.endAttempt(i, 0, CallOutcome.OK);
       }
     }
-    assertEquals(
-        100,
-        gateway.actions.stream()
-            .filter(l -> l.startsWith("send"))
-            .map(l -> l.split(" ")[1])
-            .distinct()
-            .count());
+    assertEquals(100, gateway.requestsSent());
   }
 
-  /**
-   * Where all warm ones were equally late a cold one still seemed worse than any, and its budget
-   * lapsed.
-   */
+  /** Where all warm endpoints were late, a cold one still scored worse, and its budget lapsed. */
   @Test
-  void aColdServersBudgetIsSpentWhileWarmOnesAreFree() {
+  void slowStartBudgetIsSpentWhileWarmEndpointsAreIdle() {
     FakeGateway gateway = FakeGateway.withoutCounter().start().listEndpoints(4);
     long toCold = 0;
     for (int i = 0; i < 160; i++) { // 20 a second, one at a time: five for each
@@ -287,7 +250,7 @@
       }
       gateway.arrive(i, "read", "big", "c");
       toCold += i >= 60 && "s0".equals(gateway.lastEndpointOf(i)) ? 1 : 0;
-      gateway.engine.attemptEnded(gateway.nowMs, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
+      gateway.answerAfter(i, 75);
     }
     assertTrue(
         toCold >= 3 && toCold <= 10, "a fifth to a half of five a second in 5 s is 8: " + toCold);
--- a/src/test/java/edgenode/policy/QuotaTest.java
+++ b/src/test/java/edgenode/policy/QuotaTest.java
@@ -9,14 +9,19 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The plan "rate": 8 units a second, burst 8, so D = 2 a subperiod. */
+/**
+ * What customers may spend: reservations, estimates, the counter's call budget and the cap on open
+ * requests. The plan "rate" has 8 units a second and a burst of 8, so 2 units a quota tick.
+ */
 class QuotaTest {
   private static final CallOutcome OK = CallOutcome.OK;
 
   /**
-   * Sends a second in the last 4 s of 12 s of far too many requests; others add as told in between.
+   * Attempts a second in the last 4 s of 12 s of far too many requests, while other nodes add to
+   * the counter.
    */
-  private static double rate(FakeGateway gateway, CallOutcome outcome, double othersPerSecond) {
+  private static double sendsPerSecond(
+      FakeGateway gateway, CallOutcome outcome, double othersPerSecond) {
     gateway.start().listEndpoints(8);
     long before = 0;
     for (int i = 0; i < 600; i++) {
@@ -24,68 +29,63 @@
       gateway.addUsageOfOtherNodes(othersPerSecond);
       gateway.answerCounter(outcome);
       if (i == 400) {
-        before = gateway.count("send");
+        before = gateway.actionCount("send");
       }
       gateway.arrive(i, "read", "rate", "c");
       gateway.answerCounter(outcome);
-      for (int k = Math.max(0, i - 60);
-          k <= i;
-          k++) { // what was sent is answered; else an odd event
-        gateway.endAttempt(k, 0, OK);
+      for (int k = Math.max(0, i - 60); k <= i; k++) {
+        gateway.endAttempt(k, 0, OK); // ignored where nothing was sent
       }
     }
-    return (gateway.count("send") - before) / 4.0;
+    return (gateway.actionCount("send") - before) / 4.0;
   }
 
   @Test
-  void aFirstRequestIsClaimedAtOnceAndHeldUntilTheTotalIsKnown() {
+  void firstRequestIsReservedAtOnceAndQueuedUntilTheTotalIsKnown() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     gateway.arrive(1, "read", "rate", "c");
-    assertEquals(0, gateway.count("send"), "no part has been given yet");
-    assertEquals(1, gateway.count("count 1.0"), "its weight");
+    assertEquals(0, gateway.actionCount("send"), "nothing is granted yet");
+    assertEquals(1, gateway.actionCount("add 1.0"), "its unit");
     gateway.answerCounter(OK);
-    assertEquals(1, gateway.count("send 1"));
+    assertEquals(1, gateway.actionCount("send 1"));
   }
 
   @Test
-  void whatTheStoreDoesNotCoverWaitsForTheRateAndTheRestIsGivenBack() {
+  void unitsOverTheBurstWaitForTheRateAndTheRestIsReleased() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     for (int i = 0; i < 20; i++) {
       gateway.arrive(i, "read", "rate", "c");
     }
     gateway.answerCounter(OK);
     gateway.answerCounter(OK);
-    assertEquals(8, gateway.count("send"), "the burst of 8");
-    long before = gateway.count("send");
+    assertEquals(8, gateway.actionCount("send"), "the burst of 8");
+    long before = gateway.actionCount("send");
     gateway.advanceTo(260);
     assertTrue(
-        gateway.count("send") - before >= 1 && gateway.count("send") - before <= 3,
-        "D = 2 a subperiod");
-    assertTrue(gateway.count("count -") > 0, "what comes too late is given back");
+        gateway.actionCount("send") - before >= 1 && gateway.actionCount("send") - before <= 3,
+        "2 units a tick");
+    assertTrue(gateway.actionCount("add -") > 0, "what comes too late is released");
   }
 
   @Test
-  void aloneItTakesTheWholeQuota() {
-    assertEquals(8, rate(new FakeGateway(), OK, 0), 0.8);
+  void onlyActiveNodeGetsTheWholeQuota() {
+    assertEquals(8, sendsPerSecond(new FakeGateway(), OK, 0), 0.8);
   }
 
   @Test
-  void whatOthersTookIsLeftOut() {
-    assertEquals(2, rate(new FakeGateway(), OK, 6), 0.9);
+  void unitsUsedByOtherNodesAreNotSpentAgain() {
+    assertEquals(2, sendsPerSecond(new FakeGateway(), OK, 6), 0.9);
   }
 
   @Test
-  void aCounterThatNeverAnswersMeansNoMoreThanTheEvenPart() {
-    double rate = rate(new FakeGateway(), CallOutcome.NO_CONNECTION, 0);
-    assertTrue(rate > 2 && rate < 5, "even part 4: " + rate);
+  void silentCounterMeansNoMoreThanTheEvenShare() {
+    double rate = sendsPerSecond(new FakeGateway(), CallOutcome.NO_CONNECTION, 0);
+    assertTrue(rate > 2 && rate < 5, "even share 4: " + rate);
   }
 
-  /**
-   * A connection to the counter that breaks is no crowding: slowing down for it refused nine in
-   * ten.
-   */
+  /** Taken for a crowded counter, broken connections made nine in ten requests be rejected. */
   @Test
-  void brokenCounterConnectionsDoNotSlowTheCalls() {
+  void brokenCounterConnectionsDoNotLowerTheCallBudget() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     for (int i = 0; i < 200; i++) {
       gateway.advanceTo(i * 250);
@@ -95,88 +95,70 @@
       gateway.answerCounter(OK);
     }
     gateway.advanceTo(51_000);
-    long before = gateway.count("count 1.0");
+    long before = gateway.actionCount("add 1.0");
     for (int i = 1000; i < 1060; i++) {
       gateway.arrive(i, "read", "rate", "z" + i);
     }
-    assertEquals(60, gateway.count("count 1.0") - before, "a call for each new customer");
+    assertEquals(60, gateway.actionCount("add 1.0") - before, "a call for each new customer");
   }
 
-  /**
-   * A give-back that was turned away was added once more in place of taken off with the next call.
-   */
+  /** A release that failed was added once more in place of taken off with the next call. */
   @Test
-  void aGiveBackThatWasTurnedAwayIsMadeUp() {
-    double[] given = afterGiveBack(OK);
+  void failedReleaseGoesWithTheNextAdd() {
+    ReleaseAmounts released = amountsAfterRelease(OK);
     for (CallOutcome outcome : List.of(CallOutcome.FULL, CallOutcome.RESET)) {
-      double[] turned = afterGiveBack(outcome);
-      assertEquals(given[0], turned[0]);
-      assertEquals(given[1] + given[0], turned[1], "the next call takes it off too");
+      ReleaseAmounts failed = amountsAfterRelease(outcome);
+      assertEquals(released.release, failed.release);
+      assertEquals(
+          released.nextAdd + released.release, failed.nextAdd, "the next call takes it off too");
     }
   }
 
-  /**
-   * What was given back of a claim past the store, and the next amount added once that had ended.
-   */
-  private static double[] afterGiveBack(CallOutcome outcome) {
+  private record ReleaseAmounts(double release, double nextAdd) {}
+
+  /** The release of a reservation that the store did not cover, and the add after its end. */
+  private static ReleaseAmounts amountsAfterRelease(CallOutcome outcome) {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     for (int i = 0; i < 20; i++) {
       gateway.arrive(i, "read", "rate", "c");
     }
-    gateway.answerCounter(OK); // the claim of the first
-    gateway.answerCounter(OK); // of the rest
+    gateway.answerCounter(OK); // the reservation of the first request
+    gateway.answerCounter(OK); // and of the rest
     assertEquals(1, gateway.counterCalls.size(), gateway.actions.toString());
-    double back =
-        Double.parseDouble(
-            gateway.actions.stream()
-                .filter(l -> l.startsWith("count "))
-                .reduce((p, l) -> l)
-                .orElseThrow()
-                .substring("count ".length()));
-    assertTrue(back < 0, gateway.actions.toString());
+    double release = gateway.lastAddedAmount();
+    assertTrue(release < 0, gateway.actions.toString());
     gateway.answerCounter(outcome);
     gateway.actions.clear();
     gateway.advanceTo(300);
-    return new double[] {
-      back,
-      Double.parseDouble(
-          gateway.actions.stream()
-              .filter(l -> l.startsWith("count "))
-              .findFirst()
-              .orElseThrow()
-              .substring("count ".length()))
-    };
+    return new ReleaseAmounts(release, gateway.addedAmounts().get(0));
   }
 
-  /**
-   * Eight broken connections in a row were taken for a counter that is away: nothing was asked for
-   * 2 s.
-   */
+  /** Eight broken connections in a row were taken for a silent counter: no call for 2 s. */
   @Test
-  void brokenCounterConnectionsDoNotMeanSilence() {
+  void brokenCounterConnectionsDoNotMeanASilentCounter() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     for (int i = 0; i < 20; i++) {
       gateway.arrive(i, "read", "rate", "x" + i);
       gateway.answerCounter(CallOutcome.RESET);
     }
     gateway.arrive(20, "read", "rate", "y");
-    assertEquals(21, gateway.count("count 1.0"), "the counter is still asked");
+    assertEquals(21, gateway.actionCount("add 1.0"), "the counter is still called");
   }
 
   @Test
-  void aRefusingCounterIsNotFlooded() {
+  void fullCounterIsNotFlooded() {
     FakeGateway gateway = new FakeGateway();
-    rate(gateway, CallOutcome.FULL, 0);
-    assertTrue(gateway.count("count") < 12 * 4 * 2, "calls: " + gateway.count("count"));
+    sendsPerSecond(gateway, CallOutcome.FULL, 0);
+    assertTrue(gateway.actionCount("add") < 12 * 4 * 2, "calls: " + gateway.actionCount("add"));
   }
 
   @Test
-  void aHundredGatewaysTogetherKeepTheQuotaAndFollowWeight() {
+  void aHundredNodesTogetherKeepTheQuotaAndShareItByTraffic() {
     Map<Long, Double> counter = new HashMap<>();
     List<FakeGateway> all = new ArrayList<>();
-    for (int n = 0; n < 100; n++) {
+    for (int index = 0; index < 100; index++) {
       FakeGateway gateway = new FakeGateway();
-      gateway.nodeIndex = n;
+      gateway.nodeIndex = index;
       gateway.nodeCount = 100;
       gateway.counterSums = counter;
       all.add(gateway.start().listEndpoints(400));
@@ -187,120 +169,120 @@
         gateway.advanceTo(t);
       }
       FakeGateway gateway =
-          all.get(t % 160 == 0 ? 7 : (int) (id % 50)); // gateway 7 has a quarter and more
+          all.get(t % 160 == 0 ? 7 : (int) (id % 50)); // node 7 has a quarter and more
       gateway.engine.requestArrived(
           t, new IncomingRequest(id, "read", "rate", "c", 2000, 1, 100, 0, false));
       gateway.answerCounter(OK);
       gateway.endAttempt(id++, 0, OK);
     }
-    long sent = all.stream().mapToLong(gateway -> gateway.count("send")).sum();
+    long sent = all.stream().mapToLong(gateway -> gateway.actionCount("send")).sum();
     assertTrue(
         sent <= 8 + 8 * 20 + 2 && sent > 8 * 20 * 0.8, "burst 8 and 8 a second for 20 s: " + sent);
-    assertTrue(all.get(7).count("send") > sent / 8.0, "weight: " + all.get(7).count("send"));
+    assertTrue(
+        all.get(7).actionCount("send") > sent / 8.0, "node 7: " + all.get(7).actionCount("send"));
   }
 
   @Test
-  void aNewCustomerOverThreeHundredGatewaysDoesNotExceedItsBurst() {
+  void newCustomerOverThreeHundredNodesDoesNotExceedItsBurst() {
     Map<Long, Double> counter = new HashMap<>();
     long sent = 0;
-    for (int n = 0; n < 300; n++) {
+    for (int index = 0; index < 300; index++) {
       FakeGateway gateway = new FakeGateway();
-      gateway.nodeIndex = n;
+      gateway.nodeIndex = index;
       gateway.nodeCount = 300;
       gateway.counterSums = counter;
       gateway.start().listEndpoints(8);
       gateway.engine.requestArrived(
-          0, new IncomingRequest(n, "read", "rate", "c", 2000, 1, 300, 0, false));
+          0, new IncomingRequest(index, "read", "rate", "c", 2000, 1, 300, 0, false));
       gateway.answerCounter(OK);
-      sent += gateway.count("send");
+      sent += gateway.actionCount("send");
     }
     assertEquals(8, sent);
   }
 
   @Test
-  void aLostNameDoesNotGiveTheBurstAgain() {
+  void countLostByTheCounterDoesNotGrantTheBurstAgain() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     for (int i = 0; i < 8; i++) {
       gateway.arrive(i, "read", "rate", "c");
       gateway.answerCounter(OK);
     }
-    assertEquals(8, gateway.count("send"));
+    assertEquals(8, gateway.actionCount("send"));
     gateway.counterSums.clear();
     gateway.advanceTo(100);
     for (int i = 10; i < 18; i++) {
       gateway.arrive(i, "read", "rate", "c");
       gateway.answerCounter(OK);
     }
-    assertTrue(gateway.count("send") <= 9, "sent " + gateway.count("send"));
+    assertTrue(gateway.actionCount("send") <= 9, "sent " + gateway.actionCount("send"));
   }
 
   @Test
-  void aLateCallIsMadeUpForByTheNextAdd() {
+  void unitsOfATimedOutCallAreNotAddedAgain() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     gateway.arrive(1, "read", "rate", "c");
     gateway.answerCounter(CallOutcome.TIMEOUT);
-    assertEquals(1, gateway.count("send 1"), "by belief");
+    assertEquals(1, gateway.actionCount("send 1"), "by the estimate");
     gateway.advanceTo(300);
     gateway.arrive(2, "read", "rate", "c");
-    assertEquals(2, gateway.count("count 1.0"), "the first one's weight is on the counter already");
+    assertEquals(2, gateway.actionCount("add 1.0"), "the first unit is on the counter already");
     gateway.answerCounter(OK);
-    assertEquals(1, gateway.count("send 2"));
+    assertEquals(1, gateway.actionCount("send 2"));
   }
 
-  /**
-   * Half of the counter's answers came after the time in the settings, and all of their totals were
-   * thrown away.
-   */
+  /** Half of a crowded counter's answers came after the time-out, and their totals were lost. */
   @Test
-  void theTotalOfALateAnswerIsTaken() {
+  void totalOfALateAnswerIsUsed() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     gateway.arrive(1, "read", "rate", "c");
     gateway.engine.counterCallEnded(
-        gateway.nowMs, gateway.counterCalls.get(0)[0], CallOutcome.OVERDUE, 50, 0);
-    assertEquals(1, gateway.count("send 1"), "by belief: it waits no longer");
+        gateway.nowMs, gateway.counterCalls.get(0).name(), CallOutcome.OVERDUE, 50, 0);
+    assertEquals(1, gateway.actionCount("send 1"), "by the estimate: it waits no longer");
     gateway.advanceTo(30);
     gateway.engine.counterCallEnded(
         gateway.nowMs,
-        gateway.counterCalls.remove(0)[0],
+        gateway.counterCalls.remove(0).name(),
         OK,
         80,
-        1 + 20); // others took more than all
+        1 + 20); // other nodes took more than all
     gateway.arrive(2, "read", "rate", "c");
-    assertEquals(0, gateway.count("send 2"), "the late total says that nothing is left");
+    assertEquals(0, gateway.actionCount("send 2"), "the late total says that nothing is left");
   }
 
   @Test
-  void whatWentByBeliefWhileACallWasOverdueIsCoveredByThatCall() {
+  void requestsSentByEstimateDuringAnOverdueCallAreCoveredByIt() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     gateway.arrive(1, "read", "rate", "c");
     gateway.arrive(2, "read", "rate", "c");
     gateway.engine.counterCallEnded(
-        gateway.nowMs, gateway.counterCalls.get(0)[0], CallOutcome.OVERDUE, 50, 0);
-    assertEquals(2, gateway.count("send"), "both by belief");
+        gateway.nowMs, gateway.counterCalls.get(0).name(), CallOutcome.OVERDUE, 50, 0);
+    assertEquals(2, gateway.actionCount("send"), "both by the estimate");
     gateway.advanceTo(30);
-    gateway.answerCounter(OK); // to the one unit of the first
-    gateway.advanceTo(300); // after an overdue call the next one waits for the next edge
+    gateway.answerCounter(OK); // for the unit of the first request
+    gateway.advanceTo(300); // after an overdue call the next one waits for a quota tick
     gateway.arrive(3, "read", "rate", "c");
     assertEquals(
-        1, gateway.count("count 2.0"), "the second one, which was never told, and this one");
+        1,
+        gateway.actionCount("add 2.0"),
+        "the second one, which was never reported, and this one");
   }
 
   @Test
-  void withNoCallToBeHadARequestGoesByBeliefAndIsToldLater() {
+  void withoutACallToSpareRequestsGoByEstimate() {
     FakeGateway gateway = new FakeGateway();
-    gateway.nodeCount = 1000; // a first allowance of one call for this gateway
+    gateway.nodeCount = 1000; // one call a tick for this node
     gateway.start().listEndpoints(2000);
     for (int i = 0; i < 12; i++) {
       gateway.arrive(i, "read", "rate", "c" + i);
       gateway.answerCounter(OK);
       gateway.endAttempt(i, 0, OK);
     }
-    assertTrue(gateway.count("count 1.0") < 6, "calls: " + gateway.count("count 1.0"));
-    assertEquals(12, gateway.count("send"), "all earlier ones were covered");
+    assertTrue(gateway.actionCount("add 1.0") < 6, "calls: " + gateway.actionCount("add 1.0"));
+    assertEquals(12, gateway.actionCount("send"), "all earlier ones were covered");
   }
 
   @Test
-  void trueUnitsAreTakenFromTheCredits() {
+  void trueUnitsAreSettledWithTheNextAdd() {
     FakeGateway gateway = new FakeGateway();
     gateway.settlesUnits = true;
     gateway.maxRequestUnits = 4;
@@ -310,29 +292,29 @@
     gateway.engine.attemptEnded(0, 1, 0, OK, 20, true, 4, new double[0]);
     gateway.arrive(2, "read", "rate", "c", 1, 2);
     assertEquals(
-        1, gateway.count("count 4.0"), "the 3 more of the first request and the 1 of this one");
+        1, gateway.actionCount("add 4.0"), "the 3 more of the first request and the 1 of this one");
   }
 
   @Test
-  void openCapIsHeldByTheCount() {
+  void openRequestCapIsKeptByTheCount() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     gateway.arrive(1, "read", "open", "c");
-    assertEquals(0, gateway.count("send"), "not before the counter has answered");
+    assertEquals(0, gateway.actionCount("send"), "not before the counter has answered");
     gateway.answerCounter(OK);
-    assertEquals(1, gateway.count("send 1"));
+    assertEquals(1, gateway.actionCount("send 1"));
     gateway.arrive(2, "read", "open", "c");
-    long name = gateway.counterCalls.remove(0)[0];
+    long name = gateway.counterCalls.remove(0).name();
     gateway.engine.counterCallEnded(0, name, OK, 2, 4);
-    assertEquals(0, gateway.count("send 2"), "the fourth slot of three");
-    assertEquals(1, gateway.count("count -1.0"), "given back");
+    assertEquals(0, gateway.actionCount("send 2"), "the fourth slot of three");
+    assertEquals(1, gateway.actionCount("add -1.0"), "released");
     gateway.endAttempt(1, 0, OK);
-    assertEquals(1, gateway.count("send 2"), "the slot of the first request is used again");
+    assertEquals(1, gateway.actionCount("send 2"), "the slot of the first request is used again");
   }
 
   @Test
-  void openCapWithoutACallIsOneAtATimeWhileTheLastCountsShowedRoom() {
+  void openRequestCapWithoutACallIsOneAtATime() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
-    for (int i = 0; i < 20; i++) { // the counter is away
+    for (int i = 0; i < 20; i++) { // the counter is silent
       gateway.arrive(100 + i, "read", "open", "d" + i, 1, 100);
       gateway.answerCounter(CallOutcome.NO_CONNECTION);
       gateway.endAttempt(100 + i, 0, OK);
@@ -340,30 +322,30 @@
     gateway.actions.clear();
     gateway.arrive(1, "read", "open", "c", 1, 100);
     gateway.arrive(2, "read", "open", "c", 1, 100);
-    assertEquals(1, gateway.count("send"), "the even part of 3 over 100 is under one");
+    assertEquals(1, gateway.actionCount("send"), "the even share of 3 over 100 is under one");
     gateway.endAttempt(1, 0, OK);
-    assertEquals(2, gateway.count("send"));
+    assertEquals(2, gateway.actionCount("send"));
   }
 
   @Test
-  void aMarkedRepeatIsRefusedWhileItsCustomerIsShort() {
+  void clientRetryIsRejectedWhileTheQuotaIsShort() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(8);
     for (int i = 0; i < 30; i++) {
       gateway.arrive(i, "read", "rate", "c");
     }
     gateway.answerCounter(OK);
     gateway.advanceTo(600);
-    assertTrue(gateway.count("refuse") > 0);
+    assertTrue(gateway.actionCount("reject") > 0);
     gateway.engine.requestArrived(
         gateway.nowMs, new IncomingRequest(99, "read", "rate", "c", 1500, 1, 2, 0, true));
-    assertEquals(1, gateway.count("refuse 99"));
+    assertEquals(1, gateway.actionCount("reject 99"));
     gateway.engine.requestArrived(
         gateway.nowMs, new IncomingRequest(98, "read", "rate", "c", 1500, 1, 2, 0, false));
-    assertEquals(0, gateway.count("refuse 98"));
+    assertEquals(0, gateway.actionCount("reject 98"));
   }
 
   @Test
-  void aStaleReminderArmsNoFurtherOne() {
+  void staleTimerSetsNoFurtherOne() {
     FakeGateway gateway = new FakeGateway().start().listEndpoints(4);
     for (int i = 0; i < 200; i++) {
       gateway.arrive(i, "read", "big", "c");
@@ -371,15 +353,15 @@
       gateway.advanceTo(i * 10);
     }
     gateway.advanceTo(20000);
-    assertTrue(gateway.timers.size() <= 2, "timers out: " + gateway.timers.size());
+    assertTrue(gateway.openTimers() <= 2, "timers set: " + gateway.openTimers());
   }
 
   @Test
   void sameEventsGiveTheSameActions() {
     FakeGateway one = new FakeGateway();
     FakeGateway two = new FakeGateway();
-    rate(one, OK, 3);
-    rate(two, OK, 3);
+    sendsPerSecond(one, OK, 3);
+    sendsPerSecond(two, OK, 3);
     assertEquals(one.actions, two.actions);
     assertTrue(one.actions.size() > 100);
   }
--- a/src/test/java/edgenode/policy/SlowStartFleetTest.java
+++ b/src/test/java/edgenode/policy/SlowStartFleetTest.java
@@ -15,27 +15,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a whole fleet sends to cold servers: each node a module of its own, in virtual time, on one
- * queue of events. A cold server bears N requests in a span of the rules and 2 root N + 2 more by
- * chance, from all nodes together.
+ * What a whole fleet sends to cold endpoints: an engine for each node, in virtual time, on one
+ * queue of events. From all nodes together a cold endpoint may get N requests in a window of the
+ * rules and 2 root N + 2 more by chance.
  */
 class SlowStartFleetTest {
-  /** A play of 100 nodes takes a quarter of a second: all of them stay within half a minute. */
+  /** Four runs of 100 nodes take a second: all of them stay within half a minute. */
   private static final int SEEDS = 4;
 
-  /** The server that joins is warm by then. */
-  private static final double END = 24_000;
+  /** The endpoint that joins is warm by then. */
+  private static final double END_MS = 24_000;
 
-  /** One server comes back at one time and another joins later, between the pauses. */
-  private static final double RESTART = 4000;
+  /** Endpoints restart at one time and another joins later, between the pauses. */
+  private static final double RESTART_MS = 4000;
 
-  private static final double JOIN = 7000;
-  private static final double WARM = 15_000;
+  private static final double JOIN_MS = 7000;
+  private static final double WARM_UP_MS = 15_000;
 
-  /** Quotas are no matter here: far more than is asked. */
+  /** More than is asked for: quotas hold nothing back here. */
   private static final QuotaPlan PLAN = new QuotaPlan("big", 100_000, 100_000, 0, 1, 0, 1, 0, 0, 0);
 
-  private record ScheduledEvent(double at, long serial, Runnable what) {}
+  private record ScheduledEvent(double atMs, long serial, Runnable action) {}
 
   /**
    * Traffic over time, as a multiple of the mean: a pause, or a trickle, comes before each burst.
@@ -54,247 +54,263 @@
       this.burst = burst;
     }
 
-    double load(double at) {
-      return at > 5000 && at < 7500 || at > 10_500 && at < 15_500
-          ? lull
-          : at > 7500 && at < 9500 || at > 15_500 && at < 17_500 ? burst : 1;
+    double load(double timeMs) {
+      if (timeMs > 5000 && timeMs < 7500 || timeMs > 10_500 && timeMs < 15_500) {
+        return lull;
+      }
+      return timeMs > 7500 && timeMs < 9500 || timeMs > 15_500 && timeMs < 17_500 ? burst : 1;
     }
   }
 
   private static final class SimulatedEndpoint {
-    double free;
-    double startedAt = Double.NEGATIVE_INFINITY;
-    final ArrayDeque<Double> came = new ArrayDeque<>();
-    int got;
+    double idleFromMs;
+    double startedAtMs = Double.NEGATIVE_INFINITY;
+
+    /** When the requests of the current window came, while it warms up. */
+    final ArrayDeque<Double> arrivalsMs = new ArrayDeque<>();
+
+    int requestsWhileCold;
   }
 
   /**
-   * Requests a second a node; a fall is so many times what a server can; the part of the servers
-   * that restarts.
+   * A fleet and its load.
+   *
+   * @param perSecond requests a second at each node
+   * @param overloadFactor an endpoint is overloaded by this many times what it can do
+   * @param restartShare the part of the endpoints that restarts
    */
-  private record FleetSize(int nodes, int servers, double perNode, double factor, double part) {
+  private record FleetSize(
+      int nodes, int endpoints, double perSecond, double overloadFactor, double restartShare) {
     /**
-     * What a server that restarts and one that joins would get if it went by their warmth: 0.6 on
-     * the mean.
+     * Requests that an endpoint that restarts and one that joins would get by their capacity, which
+     * is 0.6 on the mean.
      */
-    double fair() {
-      return 2 * 0.6 * perNode * nodes / servers * WARM / 1000;
+    double fairRequests() {
+      return 2 * 0.6 * perSecond * nodes / endpoints * WARM_UP_MS / 1000;
     }
   }
 
-  /** One day of a fleet. */
+  /** One run of a fleet. */
   private static final class SimulatedFleet {
     private final PriorityQueue<ScheduledEvent> queue =
         new PriorityQueue<>(
-            Comparator.comparingDouble(ScheduledEvent::at)
+            Comparator.comparingDouble(ScheduledEvent::atMs)
                 .thenComparingLong(ScheduledEvent::serial));
-    private final SimulatedEndpoint[] servers;
-    private final PolicyEngine[] nodes;
-    private final Map<Long, Double> totals = new HashMap<>();
+    private final SimulatedEndpoint[] endpoints;
+    private final PolicyEngine[] engines;
+    private final Map<Long, Double> counterSums = new HashMap<>();
     private final Random random;
     private final Traffic traffic;
-    private final double perNode;
+    private final double perSecond;
     private final RuleLimits rules;
-    private final double warmSpeed;
+    private final double warmRequestsPerMs;
     private final int restarts;
-    private final double patience;
-    private double now;
+    private final double remainingMs;
+    private double nowMs;
     private long serial;
-    private double worst;
-    private String worstAt = "";
+    private double worstRatio;
+    private String worstCase = "";
 
-    SimulatedFleet(FleetSize of, double keepAlive, Traffic traffic, long seed) {
-      int size = of.nodes;
-      int servers = of.servers;
-      perNode = of.perNode;
+    SimulatedFleet(FleetSize size, double keepAliveMs, Traffic traffic, long seed) {
+      perSecond = size.perSecond;
       random = new Random(seed);
-      // as the settings and Bench have them: 0.2 of a warm one at first, warm after 15 s, a fall
-      // within 2 s
-      rules = new RuleLimits(16, 250, 0.2, WARM, of.factor, 2000);
+      // as in FakeGateway: 0.2 of the capacity at first, warm after 15 s, a window of 2 s
+      rules = new RuleLimits(16, 250, 0.2, WARM_UP_MS, size.overloadFactor, 2000);
       this.traffic = traffic;
-      restarts = Math.max(1, (int) (of.part * servers));
-      warmSpeed = 2 * perNode * size / servers / 1000; // half used by the mean load: requests a ms
-      this.servers = new SimulatedEndpoint[servers];
-      Arrays.setAll(this.servers, i -> new SimulatedEndpoint());
-      double aim = 40 / warmSpeed; // waiting behind a cold one is no matter here either
+      restarts = Math.max(1, (int) (size.restartShare * size.endpoints));
+      // the mean load uses half of it
+      warmRequestsPerMs = 2 * perSecond * size.nodes / size.endpoints / 1000;
+      endpoints = new SimulatedEndpoint[size.endpoints];
+      Arrays.setAll(endpoints, i -> new SimulatedEndpoint());
+      double objectiveMs = 40 / warmRequestsPerMs; // long: a queue at a cold one is no matter here
+      remainingMs = 4 * objectiveMs;
+      engines = new PolicyEngine[size.nodes];
+      for (int i = 0; i < size.nodes; i++) {
+        PolicySettings settings = settings(i, size.nodes, objectiveMs, keepAliveMs);
+        engines[i] = new PolicyEngine(settings, seed * 1000 + i, 0, new SimulatedNode(i));
+      }
+    }
+
+    private PolicySettings settings(
+        int nodeIndex, int nodeCount, double objectiveMs, double keepAliveMs) {
       RequestClass read =
           new RequestClass(
-              "read", Idempotency.IDEMPOTENT, IdempotencyGroup.CELL, aim, 4 * aim, 1, 0, 0, false);
-      patience = 4 * aim;
-      nodes = new PolicyEngine[size];
-      for (int i = 0; i < size; i++) {
-        nodes[i] =
-            new PolicyEngine(
-                new PolicySettings(
-                    i,
-                    size,
-                    "a",
-                    2,
-                    false,
-                    false,
-                    1,
-                    List.of(),
-                    List.of(read),
-                    List.of(PLAN),
-                    new Capabilities(
-                        false, false, false, true, false, true, 3, 2000, 50, keepAlive),
-                    rules,
-                    new Prices(0.05, 0.01, 0.02, 0, 0.03)),
-                seed * 1000 + i,
-                0,
-                new SimulatedNode(i));
-      }
+              "read",
+              Idempotency.IDEMPOTENT,
+              IdempotencyGroup.CELL,
+              objectiveMs,
+              4 * objectiveMs,
+              1,
+              0,
+              0,
+              false);
+      return new PolicySettings(
+          nodeIndex,
+          nodeCount,
+          "a",
+          2,
+          false,
+          false,
+          1,
+          List.of(),
+          List.of(read),
+          List.of(PLAN),
+          new Capabilities(false, false, false, true, false, true, 3, 2000, 50, keepAliveMs),
+          rules,
+          new Prices(0.05, 0.01, 0.02, 0, 0.03));
     }
 
-    void at(double time, Runnable what) {
-      queue.add(new ScheduledEvent(time, serial++, what));
+    void at(double timeMs, Runnable action) {
+      queue.add(new ScheduledEvent(timeMs, serial++, action));
     }
 
-    /** The module's host at one node. */
+    /** The shell of the engine at one node. */
     private final class SimulatedNode implements PolicyActions {
-      private final int me;
+      private final int index;
       private final Map<Long, Integer> attempts = new HashMap<>();
 
-      SimulatedNode(int me) {
-        this.me = me;
+      SimulatedNode(int index) {
+        this.index = index;
       }
 
       @Override
-      public void send(long id, String name, double until) {
+      public void send(long id, String endpointId, double untilMs) {
         int number = attempts.merge(id, 1, Integer::sum) - 1;
-        double sent = now;
-        at(
-            came(servers[Integer.parseInt(name.substring(1))]),
-            () ->
-                nodes[me].attemptEnded(
-                    now, id, number, CallOutcome.OK, now - sent, true, 0, new double[0]));
+        double sentAtMs = nowMs;
+        SimulatedEndpoint endpoint = endpoints[Integer.parseInt(endpointId.substring(1))];
+        at(answerAtMs(endpoint), () -> answer(id, number, nowMs - sentAtMs));
+      }
+
+      private void answer(long id, int number, double tookMs) {
+        engines[index].attemptEnded(
+            nowMs, id, number, CallOutcome.OK, tookMs, true, 0, new double[0]);
       }
 
       @Override
       public void cancel(long id, int attempt) {}
 
       @Override
-      public void reject(long id, double retryAfter) {}
+      public void reject(long id, double retryAfterMs) {}
 
       @Override
       public void fail(long id) {}
 
       @Override
-      public void setTimer(double delay, long token) {
-        // late, as hosts are: on the very instant of an edge rounding may name that edge again, for
-        // ever
-        at(now + delay + 0.1, () -> nodes[me].timerFired(now, token));
+      public void setTimer(double delayMs, long token) {
+        // late, as shells are: on the very instant of a quota tick rounding may name it again
+        at(nowMs + delayMs + 0.1, () -> engines[index].timerFired(nowMs, token));
       }
 
       @Override
-      public void checkHealth(String server) {}
+      public void checkHealth(String endpointId) {}
 
       @Override
-      public void addToCounter(long name, double amount, double keepFor) {
-        double total = totals.merge(name, amount, Double::sum);
-        at(now + 1, () -> nodes[me].counterCallEnded(now, name, CallOutcome.OK, 1, total));
+      public void addToCounter(long name, double amount, double keepMs) {
+        double total = counterSums.merge(name, amount, Double::sum);
+        at(nowMs + 1, () -> engines[index].counterCallEnded(nowMs, name, CallOutcome.OK, 1, total));
       }
 
       @Override
       public void subscribe() {}
     }
 
-    private double share(double age) {
-      return Math.min(
-          1,
-          rules.coldCapacityShare()
-              + (1 - rules.coldCapacityShare()) * Math.max(0, age) / rules.warmUpMs());
+    private double capacityShare(double ageMs) {
+      double coldShare = rules.coldCapacityShare();
+      return Math.min(1, coldShare + (1 - coldShare) * Math.max(0, ageMs) / rules.warmUpMs());
     }
 
-    /** Counts a request against the term; tells when its answer is ready: one after the other. */
-    private double came(SimulatedEndpoint s) {
-      double age = now - s.startedAt;
-      if (age < rules.warmUpMs()) {
-        s.got++;
-        s.came.add(now);
-        while (s.came.peek() <= now - rules.overloadWindowMs()) {
-          s.came.poll();
-        }
-        // a whole span, so that a burst right after the start is held against all of it
-        double middle = Math.max(0, age - rules.overloadWindowMs()) + rules.overloadWindowMs() / 2;
-        double n = rules.overloadFactor() * warmSpeed * rules.overloadWindowMs() * share(middle);
-        double ratio = s.came.size() / (n + 2 * Math.sqrt(n) + 2);
-        if (ratio > worst) {
-          worst = ratio;
-          worstAt = String.format(Locale.ROOT, "%d, N %.1f, at %.0f", s.came.size(), n, now);
-        }
+    /** Counts a request against the bound. When it is answered: one after the other. */
+    private double answerAtMs(SimulatedEndpoint endpoint) {
+      double ageMs = nowMs - endpoint.startedAtMs;
+      if (ageMs < rules.warmUpMs()) {
+        endpoint.requestsWhileCold++;
+        countInWindow(endpoint, ageMs);
+      }
+      endpoint.idleFromMs =
+          Math.max(nowMs, endpoint.idleFromMs)
+              + (0.5 + random.nextDouble()) / warmRequestsPerMs / capacityShare(ageMs);
+      return endpoint.idleFromMs;
+    }
+
+    private void countInWindow(SimulatedEndpoint endpoint, double ageMs) {
+      double windowMs = rules.overloadWindowMs();
+      endpoint.arrivalsMs.add(nowMs);
+      while (endpoint.arrivalsMs.peek() <= nowMs - windowMs) {
+        endpoint.arrivalsMs.poll();
+      }
+      // a whole window, so that a burst right after the start is held against all of it
+      double middleMs = Math.max(0, ageMs - windowMs) + windowMs / 2;
+      double bound =
+          rules.overloadFactor() * warmRequestsPerMs * windowMs * capacityShare(middleMs);
+      int count = endpoint.arrivalsMs.size();
+      double ratio = count / (bound + 2 * Math.sqrt(bound) + 2);
+      if (ratio > worstRatio) {
+        worstRatio = ratio;
+        worstCase = String.format(Locale.ROOT, "%d, N %.1f, at %.0f", count, bound, nowMs);
       }
-      s.free = Math.max(now, s.free) + (0.5 + random.nextDouble()) / warmSpeed / share(age);
-      return s.free;
     }
 
-    private void tell(int server, EndpointState state) {
-      EndpointInfo told =
-          new EndpointInfo(
-              "s" + server, 0, "a", state, "k", Math.max(0, servers[server].startedAt), 1);
-      for (PolicyEngine node : nodes) {
-        node.endpointsChanged(now, List.of(told), false);
+    private void list(int number, EndpointState state) {
+      double startedAtMs = Math.max(0, endpoints[number].startedAtMs);
+      EndpointInfo info = new EndpointInfo("s" + number, 0, "a", state, "k", startedAtMs, 1);
+      for (PolicyEngine engine : engines) {
+        engine.endpointsChanged(nowMs, List.of(info), false);
       }
     }
 
-    private void start(int server) {
-      servers[server].startedAt = now;
-      tell(server, EndpointState.UP);
+    private void start(int number) {
+      endpoints[number].startedAtMs = nowMs;
+      list(number, EndpointState.UP);
     }
 
     private void arrive(int node, long count) {
-      double load = traffic.load(now);
+      double load = traffic.load(nowMs);
       if (load > 0) {
-        nodes[node].requestArrived(
-            now,
+        long id = count * engines.length + node;
+        String customer = "c" + count % 3;
+        engines[node].requestArrived(
+            nowMs,
             new IncomingRequest(
-                count * nodes.length + node,
-                "read",
-                "big",
-                "c" + count % 3,
-                patience,
-                1,
-                nodes.length,
-                0,
-                false));
+                id, "read", "big", customer, remainingMs, 1, engines.length, 0, false));
       }
-      double wait =
+      double waitMs =
           load > 0
-              ? -Math.log(1 - random.nextDouble()) * 1000 / perNode / load
+              ? -Math.log(1 - random.nextDouble()) * 1000 / perSecond / load
               : 20 * random.nextDouble(); // looks again whether the pause is over
-      at(now + wait, () -> arrive(node, count + 1));
+      at(nowMs + waitMs, () -> arrive(node, count + 1));
     }
 
-    SimulatedFleet play() {
-      for (int i = 0; i < servers.length - 1; i++) {
-        tell(i, EndpointState.UP);
+    SimulatedFleet run() {
+      for (int i = 0; i < endpoints.length - 1; i++) {
+        list(i, EndpointState.UP);
       }
-      for (int i = 0; i < nodes.length; i++) {
+      for (int i = 0; i < engines.length; i++) {
         int node = i;
-        at(random.nextDouble() * 1000 / perNode, () -> arrive(node, 1));
+        at(random.nextDouble() * 1000 / perSecond, () -> arrive(node, 1));
       }
       for (int i = 0; i < restarts; i++) {
-        int server = i;
-        at(RESTART - 1000, () -> tell(server, EndpointState.REMOVED));
-        at(RESTART, () -> start(server));
+        int number = i;
+        at(RESTART_MS - 1000, () -> list(number, EndpointState.REMOVED));
+        at(RESTART_MS, () -> start(number));
       }
-      at(JOIN, () -> start(servers.length - 1));
-      while (queue.peek().at < END) {
+      at(JOIN_MS, () -> start(endpoints.length - 1));
+      while (queue.peek().atMs < END_MS) {
         ScheduledEvent due = queue.poll();
-        now = due.at;
-        due.what.run();
+        nowMs = due.atMs;
+        due.action.run();
       }
       return this;
     }
 
-    int used() {
-      return servers[0].got + servers[servers.length - 1].got;
+    /** Requests that the first endpoint that restarted and the one that joined got while cold. */
+    int requestsWhileCold() {
+      return endpoints[0].requestsWhileCold + endpoints[endpoints.length - 1].requestsWhileCold;
     }
   }
 
   /**
-   * With the factor of the settings, 3, and with 2, which is stricter; one server restarts, or most
-   * at one time.
+   * With the factor of the settings, 3, and with 2, which is stricter; one endpoint restarts, or
+   * most at one time.
    */
   @ParameterizedTest
   @CsvSource({
@@ -308,39 +324,37 @@
     "30, 30, 5, 3, 0.6",
     "100, 50, 2, 3, 0.6"
   })
-  void allNodesTogetherKeepAColdServersTerm(
-      int nodes, int servers, double perNode, double factor, double part) {
-    FleetSize size = new FleetSize(nodes, servers, perNode, factor, part);
+  void allNodesTogetherKeepAColdEndpointsBound(
+      int nodes, int endpoints, double perSecond, double overloadFactor, double restartShare) {
+    FleetSize size = new FleetSize(nodes, endpoints, perSecond, overloadFactor, restartShare);
     double worst = 0;
     double leastUsed = 1;
-    StringBuilder days = new StringBuilder();
+    StringBuilder runs = new StringBuilder();
     for (Traffic traffic : Traffic.values()) {
-      for (double keepAlive : new double[] {0, 4000}) {
+      for (double keepAliveMs : new double[] {0, 4000}) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-          SimulatedFleet day = new SimulatedFleet(size, keepAlive, traffic, seed).play();
-          double used = day.used() / size.fair();
-          worst = Math.max(worst, day.worst);
-          if (traffic == Traffic.STEADY
-              && keepAlive > 0) { // else others that are idle as well do better
+          SimulatedFleet fleet = new SimulatedFleet(size, keepAliveMs, traffic, seed).run();
+          double used = fleet.requestsWhileCold() / size.fairRequests();
+          worst = Math.max(worst, fleet.worstRatio);
+          if (traffic == Traffic.STEADY && keepAliveMs > 0) { // else idle warm ones do better
             leastUsed = Math.min(leastUsed, used);
           }
-          days.append(
+          runs.append(
               String.format(
                   Locale.ROOT,
-                  "%n  %s, kept %.0f, seed %d: %.2f of the term (%s), %.2f of"
-                      + " the fair part used",
+                  "%n  %s, keep-alive %.0f, seed %d: %.2f of the bound (%s), %.2f of the fair part",
                   traffic,
-                  keepAlive,
+                  keepAliveMs,
                   seed,
-                  day.worst,
-                  day.worstAt,
+                  fleet.worstRatio,
+                  fleet.worstCase,
                   used));
         }
       }
     }
     System.out.printf(
-        Locale.ROOT, "%s: worst %.2f of the term, used %.2f%n", size, worst, leastUsed);
-    assertTrue(worst <= 1, "a cold server got more than N + 2 root N + 2 within a span: " + days);
-    assertTrue(leastUsed > 0.25, "cold servers are of use: " + days);
+        Locale.ROOT, "%s: worst %.2f of the bound, used %.2f%n", size, worst, leastUsed);
+    assertTrue(worst <= 1, "a cold endpoint got more than N + 2 root N + 2 in a window: " + runs);
+    assertTrue(leastUsed > 0.25, "cold endpoints are used: " + runs);
   }
 }
--- a/src/test/java/edgenode/policy/SubsetLoadBalancingTest.java
+++ b/src/test/java/edgenode/policy/SubsetLoadBalancingTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The choice where a node holds a part of the servers; the numbers are those of
+ * The choice where a node holds a part of the endpoints; the numbers are those of the invariants in
  * docs/design/subset.md.
  */
 class SubsetLoadBalancingTest {
-  /** A node that holds 320 of 4,000 on average: 8 holders of 100 nodes. */
+  /** A node that holds 320 of 4,000 endpoints on average: 8 of 100 nodes hold each. */
   private static FakeGateway oneOfHundredNodes() {
     FakeGateway gateway = FakeGateway.withoutCounter();
     gateway.nodeCount = 100;
@@ -28,48 +28,45 @@
     return gateway.engine.endpoints().knownCount();
   }
 
-  private static Set<String> serveRequests(FakeGateway gateway, long from, int n, double every) {
+  private static Set<String> serveRequests(
+      FakeGateway gateway, long firstId, int count, double everyMs) {
     Set<String> used = new HashSet<>();
-    for (long i = from; i < from + n; i++) {
-      gateway.advanceTo(gateway.nowMs + every);
+    for (long i = firstId; i < firstId + count; i++) {
+      gateway.advanceTo(gateway.nowMs + everyMs);
       gateway.arrive(i, "read", "big", "c");
       if (gateway.lastEndpointOf(i) != null) {
         used.add(gateway.lastEndpointOf(i));
-        gateway.engine.attemptEnded(
-            gateway.nowMs, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
+        gateway.answerAfter(i, 75);
       }
     }
     return used;
   }
 
-  /**
-   * 8: lists of up to 256 on any fleet, and any list on three nodes, without a bound and with the
-   * default.
-   */
+  /** 8: lists of up to 256 on any fleet, and any list on three nodes. */
   @Test
-  void smallListsAndFleetsAreServedAsWithoutABound() {
+  void smallListsAndFleetsAreServedAsWithoutASubset() {
     for (int seed = 0; seed < 20; seed++) {
-      List<List<String>> logs = new ArrayList<>();
-      for (int bound : new int[] {0, Integer.MAX_VALUE}) {
+      List<List<String>> actions = new ArrayList<>();
+      for (int minSubsetSize : new int[] {0, Integer.MAX_VALUE}) {
         FakeGateway gateway = seed % 3 == 0 ? new FakeGateway() : FakeGateway.withoutCounter();
         gateway.nodeCount = new int[] {1, 2, 3, 14, 100}[seed % 5];
         gateway.nodeIndex = seed % gateway.nodeCount;
         gateway.keepAliveMs = seed % 2 * 15_000;
-        gateway.minSubsetSize = bound;
-        int servers =
+        gateway.minSubsetSize = minSubsetSize;
+        int endpoints =
             gateway.nodeCount <= 3 && seed % 4 == 0
                 ? 400
                 : new int[] {3, 12, 60, 200, 1, 30}[seed % 6];
-        logs.add(RandomScenario.run(gateway, seed, servers, 200).actions);
+        actions.add(RandomScenario.run(gateway, seed, endpoints, 200).actions);
       }
-      assertEquals(logs.get(1), logs.get(0), "seed " + seed);
-      assertTrue(logs.get(0).size() > 20, "seed " + seed);
+      assertEquals(actions.get(1), actions.get(0), "seed " + seed);
+      assertTrue(actions.get(0).size() > 20, "seed " + seed);
     }
   }
 
-  /** 9 */
+  /** 9: ever new endpoints replace others. */
   @Test
-  void aNodeKeepsRecordsOfItsSubsetOnly() {
+  void nodeKeepsRecordsOfItsSubsetOnly() {
     FakeGateway gateway = oneOfHundredNodes();
     serveRequests(gateway, 0, 300, 5);
     assertTrue(
@@ -89,18 +86,18 @@
     assertEquals(10, endpointRecordCount(gateway), "a short list is held whole");
   }
 
-  /** 7 */
+  /** 7: a retry that is bound to a cell of two. */
   @Test
-  void aKeyedRepeatFindsItsCellOutsideTheSubset() {
+  void keyedRetryFindsItsCellOutsideTheSubset() {
     FakeGateway gateway = oneOfHundredNodes();
     int alone = 0;
     for (int i = 0; i < 40; i++) {
       gateway.advanceTo(gateway.nowMs + 20);
       gateway.arrive(i, "cell", "big", "c");
-      int first = Integer.parseInt(gateway.lastEndpointOf(i).substring(1));
+      int first = gateway.lastEndpointNumberOf(i);
       gateway.endAttempt(i, 0, CallOutcome.ERROR);
       gateway.advanceTo(gateway.nowMs + 60);
-      int second = Integer.parseInt(gateway.lastEndpointOf(i).substring(1));
+      int second = gateway.lastEndpointNumberOf(i);
       assertEquals(first / 2, second / 2);
       alone += first == second ? 1 : 0;
       gateway.endAttempt(i, 1, CallOutcome.OK);
@@ -108,9 +105,9 @@
     assertEquals(0, alone, "two in a cell: the other one each time");
   }
 
-  /** 10: of what a node holds all begin to drain; it goes on with others within two edges. */
+  /** 10: all that a node holds drains; it goes on with others within two quota ticks. */
   @Test
-  void aSubsetWidensWhereNothingOfItIsUp() {
+  void subsetWidensWhereNothingOfItIsUp() {
     FakeGateway gateway = oneOfHundredNodes();
     List<EndpointInfo> drained = new ArrayList<>();
     for (Endpoint endpoint : gateway.engine.endpoints().held()) {
@@ -121,14 +118,14 @@
     gateway.engine.endpointsChanged(gateway.nowMs, drained, false);
     gateway.advanceTo(300);
     assertTrue(
-        endpointRecordCount(gateway) > 500,
-        "before anybody asked: " + endpointRecordCount(gateway));
+        endpointRecordCount(gateway) > 500, "before any request: " + endpointRecordCount(gateway));
     assertTrue(serveRequests(gateway, 1, 100, 5).size() > 20);
     assertTrue(
         endpointRecordCount(gateway) > 500,
         "twice or four times as wide: " + endpointRecordCount(gateway));
     drained.replaceAll(
-        s -> FakeGateway.endpoint(Integer.parseInt(s.id().substring(1)), EndpointState.UP, 0));
+        info ->
+            FakeGateway.endpoint(Integer.parseInt(info.id().substring(1)), EndpointState.UP, 0));
     gateway.engine.endpointsChanged(gateway.nowMs, drained, false);
     gateway.advanceTo(gateway.nowMs + 2000);
     assertTrue(
@@ -137,9 +134,9 @@
     assertTrue(endpointRecordCount(gateway) < 400, "320 again: " + endpointRecordCount(gateway));
   }
 
-  /** 10: a node with much more than its part of the traffic, and answers that do not come. */
+  /** 10: a node with much more than its share of the traffic, and no answers. */
   @Test
-  void aSubsetWidensWhereAllOfItIsFull() {
+  void subsetWidensWhereAllOfItIsFull() {
     FakeGateway gateway = oneOfHundredNodes();
     serveRequests(gateway, 5000, 20, 5); // in time: nothing is paced
     for (int i = 0; i < 3000; i++) {
@@ -150,9 +147,9 @@
     assertTrue(endpointRecordCount(gateway) > 500, "wider: " + endpointRecordCount(gateway));
   }
 
-  /** 11: one request at a time stays with the servers that are connected. */
+  /** 11: one request at a time stays with the endpoints that are connected. */
   @Test
-  void oneRequestAtATimeUsesFewServersOfASubset() {
+  void oneRequestAtATimeUsesFewEndpointsOfASubset() {
     FakeGateway gateway = FakeGateway.withoutCounter();
     gateway.keepAliveMs = 15_000;
     gateway.nodeCount = 100;
@@ -163,7 +160,7 @@
 
   /** 12: nodes start anywhere on the circle, and chance is by names. */
   @Test
-  void nodesDifferAndOneNodeIsTheSameEachTime() {
+  void nodesDifferAndOneNodeRepeatsItsChoices() {
     FakeGateway one = oneOfHundredNodes();
     FakeGateway again = oneOfHundredNodes();
     assertEquals(serveRequests(one, 0, 200, 5), serveRequests(again, 0, 200, 5));
@@ -177,22 +174,22 @@
     assertTrue(both.size() < 20, "a twelfth in common by chance: " + both.size());
   }
 
-  /** 13: a cold server gets what its holders' parts sum to, not that of all nodes. */
+  /** 13: a cold endpoint gets the budgets of the nodes that hold it, not of all nodes. */
   @Test
-  void theHoldersOfAColdServerShareItsRamp() {
+  void nodesThatHoldAColdEndpointShareItsBudget() {
     int holders = 0;
     int cold = 0;
     int sent = 0;
-    for (int m = 0; m < 100; m++) {
+    for (int index = 0; index < 100; index++) {
       FakeGateway gateway = FakeGateway.withoutCounter();
       gateway.nodeCount = 100;
-      gateway.nodeIndex = m;
-      gateway.seed = m;
+      gateway.nodeIndex = index;
+      gateway.seed = index;
       gateway.keepAliveMs = 15_000;
       gateway.start();
       gateway.nowMs = 10_000;
       gateway.listEndpoints(4000);
-      if (!nodeHoldsFirstEndpoint(m)) {
+      if (!nodeHoldsFirstEndpoint(index)) {
         continue;
       }
       holders++;
@@ -205,23 +202,21 @@
         }
         gateway.advanceTo(gateway.nowMs + 2);
         gateway.arrive(i, "read", "big", "c");
-        gateway.engine.attemptEnded(
-            gateway.nowMs, i, 0, CallOutcome.OK, 75, true, 0, new double[0]);
+        gateway.answerAfter(i, 75);
         if (i == 999) {
           gateway.actions.clear();
         }
       }
-      cold +=
-          gateway.actions.stream().filter(l -> l.startsWith("send") && l.endsWith(" s0")).count();
-      sent += gateway.count("send");
+      cold += gateway.sendsTo("s0");
+      sent += gateway.actionCount("send");
     }
     assertTrue(holders >= 5 && holders <= 11, "holders " + holders);
     double warm = sent / 320.0;
     assertTrue(cold > 0 && cold <= 0.6 * warm, "cold " + cold + ", a warm one " + warm);
   }
 
-  private static boolean nodeHoldsFirstEndpoint(int me) {
-    EndpointSubset<String> subset = new EndpointSubset<>(me, 100, 256);
+  private static boolean nodeHoldsFirstEndpoint(int nodeIndex) {
+    EndpointSubset<String> subset = new EndpointSubset<>(nodeIndex, 100, 256);
     for (int i = 0; i < 4000; i++) {
       subset.put("s" + i, true, "s" + i);
     }
--- a/src/test/java/edgenode/policy/subset/EndpointSubsetProperties.java
+++ b/src/test/java/edgenode/policy/subset/EndpointSubsetProperties.java
@@ -18,149 +18,166 @@
 import net.jqwik.api.constraints.LongRange;
 
 /**
- * The core against a model that knows only the definition, and whole fleets against the figures of
- * the design note. The numbers in the comments are those of docs/design/subset.md.
+ * The subset against a model that knows only the definition, and whole fleets against the figures
+ * of the design note. The numbers in the comments are those of the invariants in
+ * docs/design/subset.md.
  */
 class EndpointSubsetProperties {
-  private record Server(String id, String zone, int cell, boolean up) {}
+  private record TestEndpoint(String id, String zone, int cell, boolean isUp) {}
 
   /** The definition, by sorting everything anew. */
-  private static final class Model {
-    final Map<String, Server> known = new TreeMap<>();
-    final int me;
-    final double nodes;
-    final double least;
-    double width = 1;
+  private static final class NaiveSubset {
+    final Map<String, TestEndpoint> known = new TreeMap<>();
+    final int nodeIndex;
+    final double nodeCount;
+    final double minEndpoints;
+    double widthFactor = 1;
 
-    Model(int me, int nodes, int least) {
-      this.me = me;
-      this.nodes = nodes;
-      this.least = least;
+    NaiveSubset(int nodeIndex, int nodeCount, int minEndpoints) {
+      this.nodeIndex = nodeIndex;
+      this.nodeCount = nodeCount;
+      this.minEndpoints = minEndpoints;
     }
 
-    double share() {
-      return Math.min(
-          1, width * Math.min(1, Math.max(least / Math.max(1, known.size()), 8 / nodes)));
+    double fraction() {
+      double even = Math.min(1, Math.max(minEndpoints / Math.max(1, known.size()), 8 / nodeCount));
+      return Math.min(1, widthFactor * even);
     }
 
     Set<String> held() {
       Set<String> held = new TreeSet<>(known.keySet());
       held.removeIf(
           id ->
-              EndpointSubset.offsetOf(id, EndpointSubset.arcStart(me))
-                  >= (long) (share() * EndpointSubset.CIRCLE_LENGTH));
+              EndpointSubset.offsetOf(id, EndpointSubset.arcStart(nodeIndex))
+                  >= (long) (fraction() * EndpointSubset.CIRCLE_LENGTH));
       return held;
     }
   }
 
-  private static Server server(int i, int zones) {
-    return new Server("s-" + Integer.toHexString(i), "z" + i / 10 % zones, i / 10, true);
+  private static TestEndpoint endpoint(int number, int zones) {
+    int cell = number / 10;
+    return new TestEndpoint("s-" + Integer.toHexString(number), "z" + cell % zones, cell, true);
   }
 
-  private static void put(EndpointSubset<Server> subset, Server s) {
-    subset.put(s.id, s.up, s, s.zone, s.cell);
+  private static void put(EndpointSubset<TestEndpoint> subset, TestEndpoint endpoint) {
+    subset.put(endpoint.id, endpoint.isUp, endpoint, endpoint.zone, endpoint.cell);
   }
 
-  /** What the shell believes is held, by the moves that it was told. */
-  private static void follow(Set<String> view, EndpointSubset.Changes<Server> moves) {
-    for (String id : moves.removed()) {
-      assertTrue(view.remove(id), "left, and was never told: " + id);
+  /** Applies changes to what the caller of the subset takes to be held. */
+  private static void follow(Set<String> view, EndpointSubset.Changes<TestEndpoint> changes) {
+    for (String id : changes.removed()) {
+      assertTrue(view.remove(id), "removed, and was not held: " + id);
     }
-    for (Server s : moves.added()) {
-      assertTrue(view.add(s.id), "entered twice: " + s.id);
+    for (TestEndpoint endpoint : changes.added()) {
+      assertTrue(view.add(endpoint.id), "added twice: " + endpoint.id);
     }
   }
 
   /**
-   * 1, 2: any events, names told twice, unknown ones, other zones, lists that go back or are empty.
+   * 1, 2: any events: the same endpoint again, unknown ones, other zones, shorter and empty lists.
    */
   @Property(tries = 300, seed = "1")
-  void isWhatTheDefinitionSays(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+  void subsetIsWhatTheDefinitionSays(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
     Random random = new Random(seed);
-    int nodes = 1 + random.nextInt(random.nextBoolean() ? 12 : 300);
-    int least = 1 + random.nextInt(20);
-    int me = random.nextInt(nodes);
-    EndpointSubset<Server> subset = new EndpointSubset<>(me, nodes, least);
-    Model model = new Model(me, nodes, least);
+    int nodeCount = 1 + random.nextInt(random.nextBoolean() ? 12 : 300);
+    int minEndpoints = 1 + random.nextInt(20);
+    int nodeIndex = random.nextInt(nodeCount);
+    EndpointSubset<TestEndpoint> subset = new EndpointSubset<>(nodeIndex, nodeCount, minEndpoints);
+    NaiveSubset model = new NaiveSubset(nodeIndex, nodeCount, minEndpoints);
     Set<String> view = new HashSet<>();
     int names = 5 + random.nextInt(80);
     for (int step = 0; step < 120; step++) {
-      for (int n = random.nextInt(6); n >= 0; n--) {
-        Server s =
-            new Server(
-                "s" + random.nextInt(names),
-                "z" + random.nextInt(3),
-                random.nextInt(8),
-                random.nextInt(4) > 0);
-        if (random.nextInt(3) > 0) {
-          put(subset, s);
-          model.known.put(s.id, s);
-        } else {
-          subset.remove(s.id);
-          model.known.remove(s.id);
-        }
-      }
-      switch (random.nextInt(12)) {
-        case 0 -> {
-          Set<String> ids = new HashSet<>();
-          for (int n = random.nextInt(names); n > 0; n--) {
-            ids.add("s" + random.nextInt(names));
-          }
-          subset.retainOnly(ids);
-          model.known.keySet().retainAll(ids);
-        }
-        case 1 -> {
-          model.width = 1 + 3 * random.nextDouble();
-          subset.setWidthFactor(model.width);
-        }
-        case 2 -> {
-          model.width = 1;
-          subset.setWidthFactor(random.nextDouble()); // under 1 it is the even arc
-        }
-        default -> {}
-      }
+      changeEndpoints(random, names, subset, model);
+      changeListOrWidth(random, names, subset, model);
       follow(view, subset.applyChanges());
-      Set<String> held = model.held();
-      assertEquals(held, view, "step " + step);
-      double even = Math.min(1, Math.max(least / Math.max(1.0, model.known.size()), 8.0 / nodes));
-      assertEquals(even * model.known.size(), subset.evenSize(), 1e-9);
-      assertEquals(model.known.values().stream().filter(s -> s.up).count(), subset.upCount());
-      model.known.keySet().forEach(id -> assertEquals(held.contains(id), subset.contains(id)));
-      assertTrue(!subset.holdsAll() || held.equals(model.known.keySet()), "2: whole");
-      assertTrue(
-          subset.holdsAll()
-              || model.known.size() > least && nodes > EndpointSubset.MIN_NODES_PER_ENDPOINT,
-          "2: bound and fleet");
+      assertEquals(model.held(), view, "step " + step);
+      assertFigures(subset, model);
       assertEquals(
-          new EndpointSubset<Server>(0, 1, 1).applyChanges(),
+          new EndpointSubset<TestEndpoint>(0, 1, 1).applyChanges(),
           subset.applyChanges(),
           "nothing moves by itself");
     }
   }
 
-  /**
-   * 8: a list of many zones, each server in one of its own, or all in one cell, costs and keeps the
-   * same.
-   */
+  private static void changeEndpoints(
+      Random random, int names, EndpointSubset<TestEndpoint> subset, NaiveSubset model) {
+    for (int left = random.nextInt(6); left >= 0; left--) {
+      TestEndpoint endpoint =
+          new TestEndpoint(
+              "s" + random.nextInt(names),
+              "z" + random.nextInt(3),
+              random.nextInt(8),
+              random.nextInt(4) > 0);
+      if (random.nextInt(3) > 0) {
+        put(subset, endpoint);
+        model.known.put(endpoint.id, endpoint);
+      } else {
+        subset.remove(endpoint.id);
+        model.known.remove(endpoint.id);
+      }
+    }
+  }
+
+  private static void changeListOrWidth(
+      Random random, int names, EndpointSubset<TestEndpoint> subset, NaiveSubset model) {
+    switch (random.nextInt(12)) {
+      case 0 -> {
+        Set<String> ids = new HashSet<>();
+        for (int left = random.nextInt(names); left > 0; left--) {
+          ids.add("s" + random.nextInt(names));
+        }
+        subset.retainOnly(ids);
+        model.known.keySet().retainAll(ids);
+      }
+      case 1 -> {
+        model.widthFactor = 1 + 3 * random.nextDouble();
+        subset.setWidthFactor(model.widthFactor);
+      }
+      case 2 -> {
+        model.widthFactor = 1;
+        subset.setWidthFactor(random.nextDouble()); // under 1 it is the even arc
+      }
+      default -> {}
+    }
+  }
+
+  private static void assertFigures(EndpointSubset<TestEndpoint> subset, NaiveSubset model) {
+    Set<String> held = model.held();
+    int size = model.known.size();
+    double evenFraction =
+        Math.min(1, Math.max(model.minEndpoints / Math.max(1.0, size), 8.0 / model.nodeCount));
+    assertEquals(evenFraction * size, subset.evenSize(), 1e-9);
+    long up = model.known.values().stream().filter(endpoint -> endpoint.isUp).count();
+    assertEquals(up, subset.upCount());
+    model.known.keySet().forEach(id -> assertEquals(held.contains(id), subset.contains(id)));
+    assertTrue(!subset.holdsAll() || held.equals(model.known.keySet()), "2: all are held");
+    assertTrue(
+        subset.holdsAll()
+            || size > model.minEndpoints && model.nodeCount > EndpointSubset.MIN_NODES_PER_ENDPOINT,
+        "2: long lists and large fleets only");
+  }
+
+  /** 8: endpoints in one zone or in many, all in one cell. */
   @Property(tries = 20, seed = "1")
-  void oddListsAreHeldToo(
+  void oddListsAreHeld(
       @ForAll @IntRange(min = 1, max = 400) int zones,
       @ForAll @LongRange(min = 0, max = 1000) long seed) {
     Random random = new Random(seed);
-    EndpointSubset<Server> subset = new EndpointSubset<>(3, 100, 16);
+    EndpointSubset<TestEndpoint> subset = new EndpointSubset<>(3, 100, 16);
     Set<String> view = new HashSet<>();
     Set<String> known = new HashSet<>();
     for (int i = 0; i < 1500; i++) {
-      Server s = new Server("s" + random.nextInt(400), "z" + random.nextInt(zones), 1, true);
+      TestEndpoint endpoint =
+          new TestEndpoint("s" + random.nextInt(400), "z" + random.nextInt(zones), 1, true);
       if (i % 3 < 2) {
-        put(subset, s);
-        known.add(s.id);
+        put(subset, endpoint);
+        known.add(endpoint.id);
       } else {
-        subset.remove(s.id);
-        known.remove(s.id);
+        subset.remove(endpoint.id);
+        known.remove(endpoint.id);
       }
       follow(view, subset.applyChanges());
-      assertTrue(known.containsAll(view), "held, and unknown");
+      assertTrue(known.containsAll(view), "held, and not known");
     }
     assertEquals(known.size(), subset.upCount());
     assertTrue(view.size() < 100, "a few of " + known.size() + ": " + view.size());
@@ -171,152 +188,160 @@
     assertTrue(subset.holdsAll());
   }
 
-  private record Fleet(List<EndpointSubset<Server>> nodes, List<Set<String>> views) {
-    static Fleet of(int nodes, int least, List<Server> list) {
-      Fleet f = new Fleet(new ArrayList<>(), new ArrayList<>());
+  private record TestFleet(List<EndpointSubset<TestEndpoint>> nodes, List<Set<String>> views) {
+    static TestFleet of(int nodes, int minEndpoints, List<TestEndpoint> list) {
+      TestFleet fleet = new TestFleet(new ArrayList<>(), new ArrayList<>());
       for (int m = 0; m < nodes; m++) {
-        f.nodes.add(new EndpointSubset<>(m, nodes, least));
-        f.views.add(new HashSet<>());
-        for (Server s : list) {
-          put(f.nodes.get(m), s);
+        fleet.nodes.add(new EndpointSubset<>(m, nodes, minEndpoints));
+        fleet.views.add(new HashSet<>());
+        for (TestEndpoint endpoint : list) {
+          put(fleet.nodes.get(m), endpoint);
         }
       }
-      f.settle();
-      return f;
+      fleet.applyChanges();
+      return fleet;
     }
 
-    /** How many entered or left, at all nodes together. */
-    int settle() {
+    /** How many were added or removed, at all nodes together. */
+    int applyChanges() {
       int moved = 0;
       for (int m = 0; m < nodes.size(); m++) {
-        EndpointSubset.Changes<Server> moves = nodes.get(m).applyChanges();
-        moved += moves.added().size() + moves.removed().size();
-        follow(views.get(m), moves);
+        EndpointSubset.Changes<TestEndpoint> changes = nodes.get(m).applyChanges();
+        moved += changes.added().size() + changes.removed().size();
+        follow(views.get(m), changes);
       }
       return moved;
     }
   }
 
-  private static List<Server> list(int n, int zones) {
-    List<Server> list = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      list.add(server(i, zones));
+  private static List<TestEndpoint> list(int size, int zones) {
+    List<TestEndpoint> list = new ArrayList<>();
+    for (int i = 0; i < size; i++) {
+      list.add(endpoint(i, zones));
     }
     return list;
   }
 
-  /** Three off the mean at most: what the nodes' places on the circle are uneven. */
-  private static void even(Fleet f, List<Server> list, double share) {
+  /** Three off the mean at most: that is how uneven the nodes' places on the circle are. */
+  private static void assertEvenlyHeld(TestFleet fleet, List<TestEndpoint> list, double share) {
     Map<String, Integer> holders = new HashMap<>();
-    f.views.forEach(v -> v.forEach(id -> holders.merge(id, 1, Integer::sum)));
-    double mean = Math.min(1, share) * f.nodes.size();
-    for (Server s : list) {
-      int h = holders.getOrDefault(s.id, 0);
-      assertTrue(Math.abs(h - mean) <= 3, s.id + " has " + h + " holders, the mean is " + mean);
+    fleet.views.forEach(held -> held.forEach(id -> holders.merge(id, 1, Integer::sum)));
+    double mean = Math.min(1, share) * fleet.nodes.size();
+    for (TestEndpoint endpoint : list) {
+      int count = holders.getOrDefault(endpoint.id, 0);
+      assertTrue(
+          Math.abs(count - mean) <= 3,
+          endpoint.id + " is held by " + count + " nodes, the mean is " + mean);
     }
   }
 
-  /** 3: every server has as many holders, but for the unevenness of the nodes' places. */
+  /** 3: every endpoint is held by as many nodes, but for the unevenness of the nodes' places. */
   @Property(tries = 15, seed = "1")
-  void everyServerHasAsManyHolders(
+  void everyEndpointIsHeldByAsManyNodes(
       @ForAll @IntRange(min = 20, max = 150) int nodes,
-      @ForAll @IntRange(min = 100, max = 1200) int servers,
-      @ForAll @IntRange(min = 16, max = 64) int least) {
-    List<Server> list = list(servers, 3);
-    Fleet f = Fleet.of(nodes, least, list);
-    double share = Math.max((double) least / servers, 8.0 / nodes);
-    even(f, list, share);
-    for (Set<String> v : f.views) {
-      double even =
-          share * servers; // a node's servers are a Poisson variable: six standard deviations
+      @ForAll @IntRange(min = 100, max = 1200) int endpoints,
+      @ForAll @IntRange(min = 16, max = 64) int minEndpoints) {
+    List<TestEndpoint> list = list(endpoints, 3);
+    TestFleet fleet = TestFleet.of(nodes, minEndpoints, list);
+    double share = Math.max((double) minEndpoints / endpoints, 8.0 / nodes);
+    assertEvenlyHeld(fleet, list, share);
+    for (Set<String> held : fleet.views) {
+      double even = share * endpoints; // a Poisson variable: six standard deviations
       assertTrue(
-          Math.abs(v.size() - even) <= 6 * Math.sqrt(even) + 3, "size " + v.size() + " of " + even);
+          Math.abs(held.size() - even) <= 6 * Math.sqrt(even) + 3,
+          "size " + held.size() + " of " + even);
     }
   }
 
   /**
-   * 4: one server moves itself and the ends of arcs; a node that goes or comes moves next to
+   * 4: one endpoint moves itself and the ends of arcs; a node that comes or goes moves next to
    * nothing elsewhere.
    */
   @Property(tries = 8, seed = "1")
-  void littleMoves(
+  void changesMoveLittle(
       @ForAll @IntRange(min = 20, max = 120) int nodes,
-      @ForAll @IntRange(min = 200, max = 1200) int servers) {
-    int least = 32;
-    List<Server> list = list(servers, 3);
-    Fleet f = Fleet.of(nodes, least, list);
-    double share = Math.max((double) least / servers, 8.0 / nodes);
-    List<Set<String>> before = f.views.stream().map(v -> (Set<String>) new HashSet<>(v)).toList();
+      @ForAll @IntRange(min = 200, max = 1200) int endpoints) {
+    int minEndpoints = 32;
+    List<TestEndpoint> list = list(endpoints, 3);
+    TestFleet fleet = TestFleet.of(nodes, minEndpoints, list);
+    double share = Math.max((double) minEndpoints / endpoints, 8.0 / nodes);
+    List<Set<String>> before =
+        fleet.views.stream().map(view -> (Set<String>) new HashSet<>(view)).toList();
     int moved = 0;
     for (int i = 0; i < 40; i++) {
-      Server s = list.get(i * servers / 40);
-      f.nodes.forEach(n -> n.remove(s.id));
-      moved += f.settle();
+      TestEndpoint endpoint = list.get(i * endpoints / 40);
+      fleet.nodes.forEach(node -> node.remove(endpoint.id));
+      moved += fleet.applyChanges();
     }
-    // each has share * nodes holders, and the arcs are longer by a part of a server
+    // each is held by share * nodes, and the arcs are longer by a part of an endpoint
     assertTrue(
-        moved <= 40 * 2.5 * (share * nodes + 1), "gone: " + moved / 40.0 + " of " + share * nodes);
-    int back = 0;
+        moved <= 40 * 2.5 * (share * nodes + 1),
+        "removed: " + moved / 40.0 + " of " + share * nodes);
+    int added = 0;
     for (int i = 0; i < 40; i++) {
-      Server s = list.get(i * servers / 40);
-      f.nodes.forEach(n -> put(n, s));
-      back += f.settle();
+      TestEndpoint endpoint = list.get(i * endpoints / 40);
+      fleet.nodes.forEach(node -> put(node, endpoint));
+      added += fleet.applyChanges();
     }
     assertTrue(
-        back <= 40 * 2.5 * (share * nodes + 1), "back: " + back / 40.0 + " of " + share * nodes);
-    assertEquals(before, f.views, "and all is as it was");
-    Fleet more = Fleet.of(nodes + 1, least, list);
+        added <= 40 * 2.5 * (share * nodes + 1),
+        "added again: " + added / 40.0 + " of " + share * nodes);
+    assertEquals(before, fleet.views, "all is as before");
+    TestFleet more = TestFleet.of(nodes + 1, minEndpoints, list);
     int differs = 0;
     for (int m = 0; m < nodes; m++) {
-      Set<String> one = new HashSet<>(f.views.get(m));
-      one.removeAll(more.views.get(m));
-      differs += one.size();
+      Set<String> onlyBefore = new HashSet<>(fleet.views.get(m));
+      onlyBefore.removeAll(more.views.get(m));
+      differs += onlyBefore.size();
     }
     assertTrue(
-        differs <= 2 * 8.0 * servers / nodes + 10,
-        "one node more: " + differs + " of " + share * servers * nodes);
+        differs <= 2 * 8.0 * endpoints / nodes + 10,
+        "one node more: " + differs + " of " + share * endpoints * nodes);
   }
 
-  /** 5: a zone or a rack lost takes nothing else away, and the rest is held as evenly. */
+  /** 5: a zone or a cell that is lost takes nothing else away, and the rest is held as evenly. */
   @Property(tries = 8, seed = "1")
-  void aLossOnlyBringsIn(
+  void lossOfAGroupOnlyAddsOthers(
       @ForAll @IntRange(min = 20, max = 100) int nodes,
-      @ForAll @IntRange(min = 300, max = 1200) int servers,
-      @ForAll boolean rack) {
-    List<Server> list = list(servers, 3);
-    Fleet f = Fleet.of(nodes, 48, list);
-    List<Set<String>> before = f.views.stream().map(v -> (Set<String>) new HashSet<>(v)).toList();
-    List<Server> rest =
-        list.stream().filter(s -> rack ? s.cell != 7 : !s.zone.equals("z1")).toList();
+      @ForAll @IntRange(min = 300, max = 1200) int endpoints,
+      @ForAll boolean isCell) {
+    List<TestEndpoint> list = list(endpoints, 3);
+    TestFleet fleet = TestFleet.of(nodes, 48, list);
+    List<Set<String>> before =
+        fleet.views.stream().map(view -> (Set<String>) new HashSet<>(view)).toList();
+    List<TestEndpoint> rest =
+        list.stream()
+            .filter(endpoint -> isCell ? endpoint.cell != 7 : !endpoint.zone.equals("z1"))
+            .toList();
     Set<String> ids = new HashSet<>();
-    rest.forEach(s -> ids.add(s.id));
-    f.nodes.forEach(n -> n.retainOnly(ids));
-    f.settle();
-    even(f, rest, Math.max(48.0 / rest.size(), 8.0 / nodes));
+    rest.forEach(endpoint -> ids.add(endpoint.id));
+    fleet.nodes.forEach(node -> node.retainOnly(ids));
+    fleet.applyChanges();
+    assertEvenlyHeld(fleet, rest, Math.max(48.0 / rest.size(), 8.0 / nodes));
     for (int m = 0; m < nodes; m++) {
-      Set<String> kept = new HashSet<>(before.get(m));
-      kept.retainAll(ids);
-      assertTrue(f.views.get(m).containsAll(kept), "node " + m);
+      Set<String> stillListed = new HashSet<>(before.get(m));
+      stillListed.retainAll(ids);
+      assertTrue(fleet.views.get(m).containsAll(stillListed), "node " + m);
     }
   }
 
   /**
-   * 6: no zone and no rack is much more, and no large zone much less, of a subset than of the list.
+   * 6: no zone and no cell is much more, and no large zone much less, of a subset than of the list.
    */
   @Property(tries = 15, seed = "1")
-  void noSubsetHangsOnAZoneOrARack(
+  void noSubsetDependsOnOneZoneOrCell(
       @ForAll @IntRange(min = 20, max = 100) int nodes,
-      @ForAll @IntRange(min = 300, max = 1200) int servers,
+      @ForAll @IntRange(min = 300, max = 1200) int endpoints,
       @ForAll @IntRange(min = 2, max = 6) int zones) {
-    List<Server> list = list(servers, zones);
-    double share = Math.max(64.0 / servers, 8.0 / nodes);
-    for (Set<String> v : Fleet.of(nodes, 64, list).views) {
+    List<TestEndpoint> list = list(endpoints, zones);
+    double share = Math.max(64.0 / endpoints, 8.0 / nodes);
+    for (Set<String> view : TestFleet.of(nodes, 64, list).views) {
       Map<Object, Integer> held = new HashMap<>();
       Map<Object, Integer> all = new HashMap<>();
-      for (Server s : list) {
-        for (Object group : new Object[] {s.zone, s.cell}) {
+      for (TestEndpoint endpoint : list) {
+        for (Object group : new Object[] {endpoint.zone, endpoint.cell}) {
           all.merge(group, 1, Integer::sum);
-          held.merge(group, v.contains(s.id) ? 1 : 0, Integer::sum);
+          held.merge(group, view.contains(endpoint.id) ? 1 : 0, Integer::sum);
         }
       }
       all.forEach(
@@ -327,47 +352,51 @@
     }
   }
 
-  /** 7: whoever holds a server finds its mates of a group that are up, itself among them or not. */
+  /** 7: all members of a group that are up are found, held or not. */
   @Property(tries = 30, seed = "1")
-  void matesAreFound(@ForAll @LongRange(min = 0, max = 1000) long seed) {
+  void groupMembersAreFound(@ForAll @LongRange(min = 0, max = 1000) long seed) {
     Random random = new Random(seed);
-    EndpointSubset<Server> subset = new EndpointSubset<>(random.nextInt(50), 50, 8);
-    List<Server> list = new ArrayList<>();
+    EndpointSubset<TestEndpoint> subset = new EndpointSubset<>(random.nextInt(50), 50, 8);
+    List<TestEndpoint> list = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      list.add(new Server("s" + i, "z" + i % 3, random.nextInt(60), random.nextInt(5) > 0));
+      list.add(new TestEndpoint("s" + i, "z" + i % 3, random.nextInt(60), random.nextInt(5) > 0));
       put(subset, list.get(i));
     }
     subset.applyChanges();
-    for (Server s : list) {
-      Set<Server> cell = new HashSet<>(subset.groupMembers(s.cell, 1000));
+    for (TestEndpoint endpoint : list) {
+      Set<TestEndpoint> cell = new HashSet<>(subset.groupMembers(endpoint.cell, 1000));
       assertEquals(
-          new HashSet<>(list.stream().filter(o -> o.up && o.cell == s.cell).toList()), cell);
-      List<Server> zone = subset.groupMembers(s.zone, 4);
-      assertTrue(zone.size() == 4 && zone.stream().allMatch(o -> o.up && o.zone.equals(s.zone)));
+          new HashSet<>(
+              list.stream().filter(other -> other.isUp && other.cell == endpoint.cell).toList()),
+          cell);
+      List<TestEndpoint> zone = subset.groupMembers(endpoint.zone, 4);
+      assertTrue(
+          zone.size() == 4
+              && zone.stream().allMatch(other -> other.isUp && other.zone.equals(endpoint.zone)));
     }
     assertEquals(List.of(), subset.groupMembers(99, 3));
   }
 
-  /** 9: wider takes only in, narrower only out, and the even arc comes back. */
+  /** 9: widening only adds, narrowing only removes, and the even arc comes back. */
   @Property(tries = 30, seed = "1")
-  void widerOnlyTakesIn(@ForAll @IntRange(min = 0, max = 99) int me) {
-    EndpointSubset<Server> subset = new EndpointSubset<>(me, 100, 16);
+  void wideningOnlyAdds(@ForAll @IntRange(min = 0, max = 99) int nodeIndex) {
+    EndpointSubset<TestEndpoint> subset = new EndpointSubset<>(nodeIndex, 100, 16);
     Set<String> view = new HashSet<>();
-    list(500, 3).forEach(s -> put(subset, s));
+    list(500, 3).forEach(endpoint -> put(subset, endpoint));
     follow(view, subset.applyChanges());
     Set<String> even = new HashSet<>(view);
     for (double width : new double[] {1.5, 2, 4, 16}) {
       subset.setWidthFactor(width);
-      EndpointSubset.Changes<Server> moves = subset.applyChanges();
-      assertEquals(List.of(), moves.removed());
-      follow(view, moves);
+      EndpointSubset.Changes<TestEndpoint> changes = subset.applyChanges();
+      assertEquals(List.of(), changes.removed());
+      follow(view, changes);
     }
     assertEquals(500, view.size(), "sixteen times a twelfth is all");
     for (double width = 16; width > 0.9; width *= 0.95) {
       subset.setWidthFactor(width);
-      EndpointSubset.Changes<Server> moves = subset.applyChanges();
-      assertEquals(List.of(), moves.added());
-      follow(view, moves);
+      EndpointSubset.Changes<TestEndpoint> changes = subset.applyChanges();
+      assertEquals(List.of(), changes.added());
+      follow(view, changes);
     }
     assertEquals(even, view);
   }
