--- a/src/main/java/edgenode/policy/AdmissionQueue.java
+++ b/src/main/java/edgenode/policy/AdmissionQueue.java
@@ -7,7 +7,7 @@
  * useful for the shortest time, while its quota covers it and an endpoint can take it.
  *
  * <p>Inputs: quota, hard ceiling and open-request cap, the time that is left (ms). A request that
- * cannot be sent is held until an answer would come too late, then rejected.
+ * cannot be sent stays queued until an answer would come too late, then it is rejected.
  */
 final class AdmissionQueue {
   private final PolicyTimers timers;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Until when a request is held. The mean time of a crowded class may leave no time at all: the
-   * counter's answer is waited for, within the client's time.
+   * Until when a request is queued. The mean time of a slow class may leave no time at all; the
+   * counter's answer is waited for all the same, within the client's time.
    */
   private double expiryMs(PendingRequest request) {
     double nowMs = timers.nowMs();
@@ -63,7 +63,7 @@
     return Math.max(nowMs + tickMs, lastMs);
   }
 
-  /** Sends queued requests until each customer is held back or no endpoint can take one. */
+  /** Sends queued requests until each customer lacks quota or no endpoint can take one. */
   void dispatch() {
     int blocked = 0;
     while (blocked < dispatchRing.size()) {
@@ -102,7 +102,7 @@
     lifecycle.send(request, endpoint);
   }
 
-  /** A queued request was held until it would be late: its customer's quota is short. */
+  /** A queued request has waited in vain: its customer's quota is short for a while. */
   void expire(PendingRequest request) {
     if (!request.isFinished && request.attempts.isEmpty()) {
       request.customer.shortUntilMs = timers.nowMs() + request.latencyObjectiveMs();
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Whether a client's retry would only be held in vain once more. */
+  /** Whether a client's retry would only wait in vain once more. */
   boolean isFutile(PendingRequest request) {
     return request.incoming.isClientRetry() && timers.nowMs() < request.customer.shortUntilMs;
   }
--- a/src/main/java/edgenode/policy/CounterCallBudget.java
+++ b/src/main/java/edgenode/policy/CounterCallBudget.java
@@ -6,8 +6,8 @@
 
 /**
  * When the counter is called: a token bucket of calls per quota tick that follows what the counter
- * can answer, as TCP follows a link, and a backoff while it does not answer at all. Also knows the
- * calls in flight: those of one name end in their order.
+ * can answer, as TCP follows a link, and a backoff while it does not answer at all. Knows the calls
+ * in flight; those of one name end in their order.
  *
  * <p>Inputs: outcomes and times of calls. Reason: the counter serves all nodes, and a queue before
  * it that is longer than the time-out makes every call late.
@@ -19,7 +19,7 @@
   /** The least budget, as a part of the first one. */
   private static final double MIN_BUDGET_DIVISOR = 16;
 
-  /** Ticks' worth of calls that may be saved up, and that a start has. */
+  /** The bucket holds the calls of so many ticks; it is full at the start. */
   private static final double SAVED_TICKS = 4;
 
   /** An answer that took more than this part of the time-out stood in a long queue. */
@@ -70,7 +70,7 @@
     tokens = SAVED_TICKS * callsPerTick;
   }
 
-  /** Whether the counter has stopped answering and is left alone for now. */
+  /** Whether the counter has stopped answering and is not called for now. */
   boolean isCounterSilent() {
     return timers.nowMs() < silentUntilMs;
   }
@@ -84,13 +84,13 @@
     return !isCounterSilent() && tokens >= 1;
   }
 
-  /** Less than a tick's worth of calls is left. */
-  boolean isScarce() {
+  /** The bucket holds less than the calls of a tick. */
+  boolean isLow() {
     return tokens < callsPerTick;
   }
 
-  /** Calls left are a smaller part of a tick's worth than these units are of a burst. */
-  boolean isScarcerThan(double units, double burstUnits) {
+  /** The bucket holds a smaller part of a tick's calls than these units are of a burst. */
+  boolean isEmptierThan(double units, double burstUnits) {
     return tokens < callsPerTick * units / burstUnits;
   }
 
--- a/src/main/java/edgenode/policy/Customer.java
+++ b/src/main/java/edgenode/policy/Customer.java
@@ -7,9 +7,9 @@
 import java.util.UUID;
 
 /**
- * What this node knows of one customer: its queue and its spending. The customer's *store* is the
- * token bucket that its plan describes; the counter holds the running total of what all nodes took
- * out of it.
+ * What this node knows of one customer: its queue and its spending. The customer's bucket is the
+ * token bucket that its plan describes; the counter has the running total of what all nodes took
+ * out of it. Each rule owns the fields of its section.
  */
 final class Customer {
   final String name;
@@ -21,7 +21,7 @@
   /** No other node spends this quota, or there is no counter to share it by. */
   final boolean isUnshared;
 
-  /** Less than half a unit of the store for each node: what one adds too much is soon made up. */
+  /** Less than half a unit of the bucket for each node: what one adds too much is soon made up. */
   final boolean isUnderSampled;
 
   private final long counterKey;
@@ -73,7 +73,7 @@
   /** The call in flight, or the last one, brought no answer in time. */
   boolean isCallUnanswered;
 
-  /** Not called again before then. */
+  /** No call to the counter before then. */
   double nextCallAtMs;
 
   /** Units that the last reservation asked for. */
@@ -94,12 +94,12 @@
 
   boolean hasReading;
 
-  /** Units in the store by the last reading of the counter. */
+  /** Units in the bucket by the last reading of the counter. */
   double lastReadUnits;
 
   double lastReadAtMs;
 
-  /** The same, less what was sent since, scaled to all nodes. */
+  /** The same, less the units spent since, scaled to all nodes. */
   double estimatedUnits;
 
   double estimatedAtMs;
@@ -111,7 +111,7 @@
 
   // ---- open-request cap (OpenRequestCap) ----
 
-  /** The epochs under whose names the slots held here are counted. */
+  /** The epochs under whose names the slots of this node are counted. */
   final ArrayDeque<Long> openSlotEpochs = new ArrayDeque<>();
 
   long openSlotEpoch;
@@ -169,7 +169,7 @@
     return EndpointSubset.mix64(counterKey + 2 * epoch + 1) >>> 1;
   }
 
-  /** Nothing queued, in flight or held, and hardly any traffic. */
+  /** Nothing queued, in flight or reserved, and hardly any traffic. */
   boolean isIdle() {
     return queue.isEmpty()
         && inFlight == 0
--- a/src/main/java/edgenode/policy/CustomerTable.java
+++ b/src/main/java/edgenode/policy/CustomerTable.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The customers seen lately. Those with traffic are active: each quota tick looks at them. */
+/** The customers seen lately. Those with traffic are active: each quota tick goes through them. */
 final class CustomerTable {
   private final boolean hasCounter;
   private final PolicyTimers timers;
@@ -56,7 +56,10 @@
     return active.iterator();
   }
 
-  /** Forgets customers that have been idle for so long that their stores must be full. */
+  /**
+   * Forgets customers that have been idle for so long that their buckets must be full: a new record
+   * is as good.
+   */
   void forgetIdle() {
     double nowMs = timers.nowMs();
     Iterator<Customer> iterator = byName.values().iterator();
--- a/src/main/java/edgenode/policy/Endpoint.java
+++ b/src/main/java/edgenode/policy/Endpoint.java
@@ -22,7 +22,8 @@
   /** May get requests by the list: up, and in this node's subset. */
   boolean isListed = true;
 
-  boolean hasLeftSubset;
+  /** Not in the subset: known only while attempts are in flight, or for a bound retry. */
+  boolean isFormer;
 
   // ---- score (EndpointScore) ----
 
--- a/src/main/java/edgenode/policy/EndpointInfo.java
+++ b/src/main/java/edgenode/policy/EndpointInfo.java
@@ -3,7 +3,7 @@
 /**
  * An endpoint as the list names it.
  *
- * @param id its name; never used again for another process elsewhere
+ * @param id its name; another process elsewhere has another one
  * @param cell the rack
  * @param zone the zone
  * @param state whether it may get requests
--- a/src/main/java/edgenode/policy/EndpointTable.java
+++ b/src/main/java/edgenode/policy/EndpointTable.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * The endpoints that this node knows: those of its subset, those that left it with attempts still
- * in flight, and members of idempotency groups that a retry was bound to. The subset widens at once
+ * The endpoints that this node knows: those of its subset, former ones with attempts still in
+ * flight, and members of idempotency groups that a retry was bound to. The subset widens at once
  * where too little of it can be used, and narrows slowly.
  *
  * <p>Inputs: the endpoint list; ejections and warm-up, by which a part of the subset is of no use.
@@ -41,11 +41,13 @@
   private final IdempotencyGroupRule groupRule;
   private final EndpointSubset<EndpointInfo> subset;
 
-  /** By id: the order in which the load balancer looks at endpoints. */
+  /** By id, which is the order of the load balancer's choice. */
   private final Map<String, Endpoint> byId = new TreeMap<>();
 
-  private final Set<Endpoint> leaving = new LinkedHashSet<>();
-  private List<Endpoint> held = List.of();
+  /** Those that are known and not in the subset, until nothing is in flight there. */
+  private final Set<Endpoint> former = new LinkedHashSet<>();
+
+  private List<Endpoint> inSubset = List.of();
   private double width = 1;
   private boolean hadNoCapacity;
 
@@ -58,8 +60,8 @@
   }
 
   /** The endpoints of the subset, by id. The list is replaced, never changed. */
-  List<Endpoint> held() {
-    return held;
+  List<Endpoint> inSubset() {
+    return inSubset;
   }
 
   /** All endpoints of which this node has a record, by id. */
@@ -72,17 +74,17 @@
     return byId.size();
   }
 
-  /** Whether the subset is the whole list. */
+  /** Whether the subset is the complete list. */
   boolean holdsAll() {
     return subset.holdsAll();
   }
 
-  /** All listed endpoints that are up, held or not. */
+  /** All listed endpoints that are up, in the subset or not. */
   int upCount() {
     return subset.upCount();
   }
 
-  /** Takes a list: the whole one, or what has changed. */
+  /** Takes a list: the complete one, or what has changed. */
   void update(List<EndpointInfo> list, boolean isComplete) {
     if (isComplete) {
       Set<String> ids = new HashSet<>();
@@ -103,15 +105,15 @@
   }
 
   /**
-   * Brings in what entered the subset. What left is forgotten once nothing is in flight there: a
-   * day of releases brings ever new endpoints.
+   * Adds what entered the subset. What left it is forgotten once nothing is in flight there: a day
+   * of releases brings ever new endpoints.
    */
   private void applySubsetChanges(List<EndpointInfo> list) {
     EndpointSubset.Changes<EndpointInfo> changes = subset.applyChanges();
     for (String id : changes.removed()) {
       Endpoint endpoint = byId.get(id);
-      endpoint.hasLeftSubset = true;
-      leaving.add(endpoint);
+      endpoint.isFormer = true;
+      former.add(endpoint);
     }
     for (EndpointInfo info : list) {
       if (subset.holdsAll() || byId.containsKey(info.id())) {
@@ -121,8 +123,8 @@
     for (EndpointInfo info : changes.added()) {
       updateEndpoint(info);
     }
-    forgetLeaving();
-    collectHeld();
+    forgetFormer();
+    collectSubset();
   }
 
   private Endpoint updateEndpoint(EndpointInfo info) {
@@ -131,10 +133,10 @@
       endpoint = new Endpoint(info.id());
       byId.put(endpoint.id, endpoint);
     }
-    endpoint.hasLeftSubset = !subset.contains(info.id());
-    endpoint.isListed = !endpoint.hasLeftSubset && info.state() == EndpointState.UP;
-    if (endpoint.hasLeftSubset) {
-      leaving.add(endpoint);
+    endpoint.isFormer = !subset.contains(info.id());
+    endpoint.isListed = !endpoint.isFormer && info.state() == EndpointState.UP;
+    if (endpoint.isFormer) {
+      former.add(endpoint);
     }
     boolean hasRestarted =
         endpoint.info != null && info.startedAtMs() > endpoint.info.startedAtMs();
@@ -146,11 +148,11 @@
     return endpoint;
   }
 
-  private void forgetLeaving() {
-    Iterator<Endpoint> iterator = leaving.iterator();
+  private void forgetFormer() {
+    Iterator<Endpoint> iterator = former.iterator();
     while (iterator.hasNext()) {
       Endpoint endpoint = iterator.next();
-      if (!endpoint.hasLeftSubset) {
+      if (!endpoint.isFormer) {
         iterator.remove();
         continue;
       }
@@ -161,14 +163,14 @@
     }
   }
 
-  private void collectHeld() {
-    List<Endpoint> inSubset = new ArrayList<>(byId.size());
+  private void collectSubset() {
+    List<Endpoint> members = new ArrayList<>(byId.size());
     for (Endpoint endpoint : byId.values()) {
-      if (!endpoint.hasLeftSubset) {
-        inSubset.add(endpoint);
+      if (!endpoint.isFormer) {
+        members.add(endpoint);
       }
     }
-    held = inSubset;
+    inSubset = members;
   }
 
   /** No endpoint could take a request: the subset may be too small. */
@@ -198,7 +200,7 @@
   /** Endpoints that can be used, those that warm up by the part of their capacity. */
   private double usableCapacity() {
     double nowMs = timers.nowMs();
-    return held.stream()
+    return inSubset.stream()
         .filter(endpoint -> endpoint.isListed && !endpoint.isEjected(nowMs))
         .mapToDouble(slowStart::capacityShare)
         .sum();
--- a/src/main/java/edgenode/policy/LoadBalancer.java
+++ b/src/main/java/edgenode/policy/LoadBalancer.java
@@ -11,14 +11,14 @@
  *
  * <p>Inputs: the rules that say whether an endpoint may get a request (list, ejection, idempotency
  * group, slow start, concurrency limit) and {@link EndpointScore}. In a large subset some endpoints
- * are looked at, and all only where none of these may: few choices are nearly as good as all
+ * are candidates, and all only where none of these may: few choices are nearly as good as all
  * (Mitzenmacher 2001).
  */
 final class LoadBalancer {
   /** Endpoints drawn from a large subset: in 97% of the draws one is of the best tenth. */
   private static final int SAMPLED = 32;
 
-  /** The endpoints that attempts were sent to last are looked at too: they are connected. */
+  /** The endpoints of the last attempts are candidates too: they are connected. */
   private static final int RECENT = 16;
 
   /** Endpoints of about the same cost are chosen in random turn. */
@@ -56,27 +56,28 @@
 
   /** The endpoint for the next attempt of a request, null where none may get it now. */
   Endpoint choose(PendingRequest request) {
-    List<Endpoint> held = endpoints.held();
+    List<Endpoint> members = endpoints.inSubset();
     if (!endpoints.holdsAll()) {
       if (IdempotencyGroupRule.isBound(request.requestClass()) && !request.attempts.isEmpty()) {
         endpoints.addGroupMembers(request);
         return cheapest(request, endpoints.known());
       }
-      Endpoint sampled = held.size() > SAMPLED + RECENT ? cheapest(request, sample(held)) : null;
+      Endpoint sampled =
+          members.size() > SAMPLED + RECENT ? cheapest(request, sample(members)) : null;
       if (sampled != null) {
         return sampled;
       }
     }
-    Endpoint cheapest = cheapest(request, held);
+    Endpoint cheapest = cheapest(request, members);
     if (cheapest == null) {
       endpoints.recordNoCapacity();
     }
     return cheapest;
   }
 
-  private List<Endpoint> sample(List<Endpoint> held) {
+  private List<Endpoint> sample(List<Endpoint> members) {
     List<Endpoint> sample = new ArrayList<>(Arrays.asList(recent));
-    random.ints(SAMPLED, 0, held.size()).forEach(i -> sample.add(held.get(i)));
+    random.ints(SAMPLED, 0, members.size()).forEach(i -> sample.add(members.get(i)));
     return sample;
   }
 
--- a/src/main/java/edgenode/policy/OpenRequestCap.java
+++ b/src/main/java/edgenode/policy/OpenRequestCap.java
@@ -2,13 +2,13 @@
 
 /**
  * The cap of a plan on a customer's open requests: a slot for each, counted on the counter for all
- * nodes together. A slot that is free again is kept while requests are queued.
+ * nodes together. A slot whose request has ended is reused while requests are queued.
  *
  * <p>Inputs: the plan's cap (0: none), attempts in flight, counts from the counter. Without a call
  * to spare, or without a counter, this node's even part of the cap holds.
  */
 final class OpenRequestCap {
-  /** A slot that was not to be had is asked for again after this: a few of the shortest ticks. */
+  /** A slot that was not granted is asked for once more after this. */
   private static final double RETRY_DELAY_MS = 25;
 
   private final PolicyTimers timers;
@@ -41,8 +41,8 @@
   }
 
   /**
-   * A call for a slot ended: within the cap the slot is held, else it is released and asked for
-   * again.
+   * A call for a slot ended: within the cap the slot is granted, else it is released and asked for
+   * later.
    */
   void slotCallEnded(Customer customer, CallOutcome outcome, double total) {
     customer.isCallInFlight = false;
--- a/src/main/java/edgenode/policy/OutlierDetector.java
+++ b/src/main/java/edgenode/policy/OutlierDetector.java
@@ -5,7 +5,7 @@
 /**
  * Which endpoints are ejected: those with three faults' weight since their last success, for longer
  * each time. After an ejection an endpoint is on trial: it gets one attempt at a time until one is
- * answered, and one more fault ejects it again. Never more than half of the subset is ejected.
+ * answered, and one more fault ejects it once more. Never more than half of the subset is ejected.
  *
  * <p>Inputs: outcomes of attempts.
  */
@@ -58,12 +58,12 @@
     return 2 * ejectedCount(nowMs) + 2 <= listedCount();
   }
 
-  /** Endpoints that are listed as up and yet get nothing for now. */
+  /** Endpoints of the subset that are listed as up and yet get nothing for now. */
   int ejectedCount(double nowMs) {
     int count = 0;
-    List<Endpoint> held = endpoints.held();
-    for (int i = 0; i < held.size(); i++) {
-      if (held.get(i).isListed && held.get(i).isEjected(nowMs)) {
+    List<Endpoint> members = endpoints.inSubset();
+    for (int i = 0; i < members.size(); i++) {
+      if (members.get(i).isListed && members.get(i).isEjected(nowMs)) {
         count++;
       }
     }
@@ -72,9 +72,9 @@
 
   private int listedCount() {
     int count = 0;
-    List<Endpoint> held = endpoints.held();
-    for (int i = 0; i < held.size(); i++) {
-      if (held.get(i).isListed) {
+    List<Endpoint> members = endpoints.inSubset();
+    for (int i = 0; i < members.size(); i++) {
+      if (members.get(i).isListed) {
         count++;
       }
     }
--- a/src/main/java/edgenode/policy/PendingRequest.java
+++ b/src/main/java/edgenode/policy/PendingRequest.java
@@ -8,7 +8,7 @@
  * which it is useful, then by arrival.
  */
 final class PendingRequest implements Comparable<PendingRequest> {
-  /** With less than this many mean times left, answers are too often late to spend capacity on. */
+  /** With less than this many mean times left, answers are late too often. */
   private static final double MIN_MEAN_TIMES_LEFT = 2;
 
   final IncomingRequest incoming;
--- a/src/main/java/edgenode/policy/PolicyEngine.java
+++ b/src/main/java/edgenode/policy/PolicyEngine.java
@@ -43,7 +43,7 @@
   /**
    * Starts the first quota tick, and calls discovery where it must be polled.
    *
-   * @param settings what this node is told at its start
+   * @param settings what this node is given at its start
    * @param seed of all chance
    * @param nowMs the time on the shell's clock
    * @param actions what the shell does for the engine
@@ -120,7 +120,7 @@
     RequestClassStats classStats = requestClasses.find(incoming.className());
     QuotaPlan plan = customers.findPlan(incoming.planName());
     if (classStats == null || plan == null) {
-      actions.reject(incoming.id(), 0); // no quota can be kept for it
+      actions.reject(incoming.id(), 0); // there is no quota to count it against
       return;
     }
     Customer customer = customers.findOrAdd(incoming, plan, reservations.usualGrantShare());
@@ -257,7 +257,7 @@
     tickCount++;
     timers.schedule(TimerKind.QUOTA_TICK, timers.nextQuotaTickMs());
     endpoints.onQuotaTick();
-    slowStart.onQuotaTick(endpoints.held());
+    slowStart.onQuotaTick(endpoints.inSubset());
     estimator.onQuotaTick();
     pacer.onQuotaTick(tickCount);
     counterCalls.onQuotaTick();
--- a/src/main/java/edgenode/policy/PolicyEvents.java
+++ b/src/main/java/edgenode/policy/PolicyEvents.java
@@ -44,7 +44,7 @@
       int trueUnits,
       double[] loadReport);
 
-  /** The client of a request has gone: nothing more is sent for it. */
+  /** The client of a request has disconnected: no further attempt is made. */
   void clientDisconnected(double nowMs, long requestId);
 
   /** A timer fired. */
--- a/src/main/java/edgenode/policy/PolicySettings.java
+++ b/src/main/java/edgenode/policy/PolicySettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What one node is told at its start.
+ * What one node is given at its start.
  *
  * @param nodeIndex its number in the fleet, from 0
  * @param nodeCount nodes of the fleet
--- a/src/main/java/edgenode/policy/QuotaReservations.java
+++ b/src/main/java/edgenode/policy/QuotaReservations.java
@@ -5,18 +5,19 @@
 /**
  * What a customer may spend: units reserved on the counter, by weight among all nodes.
  *
- * <p>A customer's store is a token bucket (plan: units a second, burst units). The counter holds a
- * running total under a name for each customer and epoch: what all nodes have added. What the store
- * has accrued in the epoch less that total is what is left. A node adds the units that it wants,
- * reads the total before its own add, keeps what the store covers and releases the rest.
+ * <p>A customer's bucket is a token bucket (plan: units a second, burst units). The counter holds a
+ * running total under a name for each customer and epoch: what all nodes have added. What the
+ * bucket has accrued in the epoch less that total is what may still be spent. A node adds the units
+ * that it wants, reads the total before its own add, keeps what the bucket covers and releases the
+ * rest.
  *
  * <p>Inputs: arrivals, the queue, totals from the counter. A quota without a rate has no limit. One
- * that is spent at this node only, and all while the counter is away, accrue at this node's share
- * of the rate.
+ * that is spent at this node only, and all while the counter is silent, accrue at this node's share
+ * of the rate. A call that fails leaves its requests to {@link UsageEstimator}.
  */
 final class QuotaReservations {
   /**
-   * A unit that the rate fills later falls due this much later (units): sent a moment early it
+   * A unit that the rate fills later falls due this much later (units): spent a moment early it
    * would be over quota.
    */
   private static final double DUE_DELAY_UNITS = 0.1;
@@ -93,9 +94,9 @@
     return expected >= request.units();
   }
 
-  /** A request is sent: its units are spent, by credits or by the estimate. */
+  /** Spends the units of a request that is sent, by credits or by the estimate. */
   void spend(Customer customer, int units) {
-    estimator.recordSent(customer, units);
+    estimator.recordSpent(customer, units);
     customer.credits -= customer.plan.ratePerSecond() > 0 ? units : 0;
     if (customer.credits < 0 || counterCalls.isCounterSilent()) { // goes with the next add
       estimator.recordUncovered(customer, units);
@@ -155,6 +156,7 @@
     }
   }
 
+  /** Reserves what is missing for the coming tick, or releases what is left over. */
   private void rebalance(Customer customer) {
     double missing =
         Math.floor(customer.usualUnitsPerTick)
@@ -184,6 +186,7 @@
     counterCalls.call(customer, customer.quotaCounterName(epoch), amount, kind);
   }
 
+  /** Asks the counter for units, where a call may be made now; one at a time for a customer. */
   private void reserve(Customer customer, double units) {
     if (customer.isCallInFlight
         || customer.isUnshared
@@ -228,13 +231,7 @@
   void reservationEnded(Customer customer, CallOutcome outcome, double total) {
     customer.isCallInFlight = false;
     if (outcome != CallOutcome.OK) {
-      // a late call is added all the same, as a crowded counter serves those too
-      customer.unreportedUnits +=
-          isLost(outcome)
-              ? customer.addedUnits - customer.requestedUnits
-              : -customer.requestedUnits;
-      customer.nextCallAtMs = timers.nextQuotaTickMs();
-      customer.isCallUnanswered = true;
+      reservationFailed(customer, outcome);
       return;
     }
     double before = accruedInEpoch(customer) - (total - customer.addedUnits);
@@ -260,6 +257,14 @@
     customer.isCallUnanswered = false;
   }
 
+  /** The next add makes up for it. A late call is added all the same by a crowded counter. */
+  private void reservationFailed(Customer customer, CallOutcome outcome) {
+    customer.unreportedUnits +=
+        isLost(outcome) ? customer.addedUnits - customer.requestedUnits : -customer.requestedUnits;
+    customer.nextCallAtMs = timers.nextQuotaTickMs();
+    customer.isCallUnanswered = true;
+  }
+
   /** What the quota has accrued in the epoch of the last reservation: a burst and the rate. */
   private double accruedInEpoch(Customer customer) {
     double epochStartMs = customer.reservationEpoch * CounterCallKind.QUOTA_EPOCH_MS;
@@ -268,26 +273,26 @@
   }
 
   /**
-   * By how much a reading is over what the store can hold: a burst at most, and no more than was
+   * By how much a reading is over what the bucket can hold: a burst at most, and no more than was
    * read last and has come since. Below 0 where more was taken than the rate makes up in time.
    */
-  private double excessUnits(Customer customer, double storeUnits) {
+  private double excessUnits(Customer customer, double bucketUnits) {
     double ratePerMs = customer.plan.ratePerSecond() / 1000;
     double sinceReadingMs = timers.nowMs() - customer.lastReadAtMs;
     double maxUnits =
         Math.min(
             customer.plan.burstUnits(),
             Math.max(0, customer.lastReadUnits) + ratePerMs * sinceReadingMs);
-    return storeUnits - Math.max(-ratePerMs * longestObjectiveMs, Math.min(storeUnits, maxUnits));
+    return bucketUnits - Math.max(-ratePerMs * longestObjectiveMs, Math.min(bucketUnits, maxUnits));
   }
 
   /**
-   * Grants what the store covers by the time at which the last queued request is still of use.
+   * Grants what the bucket covers by the time at which the last queued request is still of use.
    *
-   * @param storeUnits what the store held before this reservation
+   * @param bucketUnits what the bucket held before this reservation
    * @return units granted: some now, the rest one by one as the rate fills them
    */
-  private double grant(Customer customer, double storeUnits) {
+  private double grant(Customer customer, double bucketUnits) {
     double nowMs = timers.nowMs();
     double ratePerMs = customer.plan.ratePerSecond() / 1000;
     // late: some of what it was for has been rejected since
@@ -301,14 +306,14 @@
         customer.queue.isEmpty()
             ? 0
             : Math.max(0, customer.queue.last().lastUsefulStartMs(tickMs) - nowMs);
-    double granted = wholeUnits(Math.min(wanted, storeUnits + ratePerMs * waitMs));
-    double ready = wholeUnits(Math.min(granted, storeUnits));
-    // sent by the estimate while this call was overdue
+    double granted = wholeUnits(Math.min(wanted, bucketUnits + ratePerMs * waitMs));
+    double ready = wholeUnits(Math.min(granted, bucketUnits));
+    // spent by the estimate while this call was overdue
     double spent = Math.min(ready, Math.max(0, customer.unreportedUnits));
     customer.unreportedUnits -= spent;
     customer.credits += ready - spent;
     for (double unit = ready + 1; unit <= granted; unit++) {
-      double dueMs = nowMs + (unit - storeUnits + DUE_DELAY_UNITS) / ratePerMs;
+      double dueMs = nowMs + (unit - bucketUnits + DUE_DELAY_UNITS) / ratePerMs;
       customer.unitDueTimesMs.add(dueMs);
       timers.schedule(TimerKind.DISPATCH, dueMs);
     }
@@ -336,10 +341,11 @@
     customer.lastTotalEpoch = customer.reservationEpoch;
   }
 
+  /** Releases what was asked for and not granted, with the next add where calls are scarce. */
   private void releaseUngranted(Customer customer, double granted) {
     double amount = granted - customer.requestedUnits;
-    boolean isCallScarce = counterCalls.isScarce() || customer.isCallUnanswered;
-    if (isCallScarce && customer.isUnderSampled) {
+    boolean isBudgetLow = counterCalls.isLow() || customer.isCallUnanswered;
+    if (isBudgetLow && customer.isUnderSampled) {
       customer.unreportedUnits += amount; // goes with the next add
     } else {
       call(customer, customer.reservationEpoch, amount, CounterCallKind.RELEASE);
@@ -347,8 +353,8 @@
   }
 
   /**
-   * A correction ended. Two nodes may correct the same excess: the later one sees it gone twice and
-   * takes its own back.
+   * A correction ended. Two nodes may correct the same excess: the later one sees it taken off
+   * twice and takes its own back.
    */
   void correctionEnded(Customer customer, CallOutcome outcome, double total) {
     if (outcome == CallOutcome.OK
--- a/src/main/java/edgenode/policy/RequestLifecycle.java
+++ b/src/main/java/edgenode/policy/RequestLifecycle.java
@@ -9,7 +9,7 @@
  * flight.
  */
 final class RequestLifecycle {
-  /** A retry that finds no endpoint looks again after this: a few of the shortest ticks. */
+  /** A retry that finds no endpoint tries once more after this. */
   private static final double RETRY_DELAY_MS = 25;
 
   private final PolicyTimers timers;
--- a/src/main/java/edgenode/policy/SlowStart.java
+++ b/src/main/java/edgenode/policy/SlowStart.java
@@ -4,7 +4,7 @@
 
 /**
  * What an endpoint that has just started may get: a token bucket of attempts, by this node's mean
- * to a warm endpoint and the part of its capacity that a cold one has by now.
+ * to a warm endpoint and the part of its capacity that this one has by now.
  *
  * <p>Inputs: start times, attempts sent to warm endpoints (a second), the rule's figures. Reason:
  * an endpoint that warms up bears a part of its load only, from all nodes together.
@@ -68,8 +68,8 @@
   }
 
   /**
-   * An endpoint is cold since a time. Its budget starts anywhere under one attempt: one of each
-   * node at once would be far too much.
+   * An endpoint is warming up since a time. Its budget starts anywhere under one attempt: one of
+   * each node at once would be far too much.
    */
   void startWarmUp(Endpoint endpoint, double sinceMs) {
     if (isWarm(endpoint)) {
@@ -87,11 +87,13 @@
   }
 
   /**
-   * @param held the endpoints of this node
+   * Learns the mean rate of a warm endpoint.
+   *
+   * @param endpoints those of the subset
    */
-  void onQuotaTick(Iterable<Endpoint> held) {
+  void onQuotaTick(Iterable<Endpoint> endpoints) {
     long warm = 0;
-    for (Endpoint endpoint : held) {
+    for (Endpoint endpoint : endpoints) {
       if (endpoint.isListed && isWarm(endpoint)) {
         warm++;
       }
--- a/src/main/java/edgenode/policy/TimerKind.java
+++ b/src/main/java/edgenode/policy/TimerKind.java
@@ -10,7 +10,7 @@
   REQUEST_DEADLINE,
   /** An attempt has taken half of its latency objective. */
   LATE_ANSWER,
-  /** A request whose attempts have all ended looks for an endpoint again. */
+  /** A request whose attempts have all ended tries to find an endpoint once more. */
   RETRY,
   /** Only wakes the engine: it dispatches queued requests after every timer. */
   DISPATCH,
--- a/src/main/java/edgenode/policy/UsageEstimator.java
+++ b/src/main/java/edgenode/policy/UsageEstimator.java
@@ -1,14 +1,14 @@
 package edgenode.policy;
 
 /**
- * How far an estimate of a customer's store is trusted in place of a call to the counter.
+ * How far an estimate of a customer's bucket is trusted in place of a call to the counter.
  *
- * <p>Inputs: the last reading of the store (units), what was sent here since, this node's share of
- * the customer's traffic, the plan's prices, the pace. Reason: the counter cannot serve a call for
- * each request of a large fleet, and a request that waits in vain for an answer earns nothing.
+ * <p>Inputs: the last reading of the bucket (units), what was spent here since, this node's share
+ * of the customer's traffic, the plan's prices, the pace. Reason: the counter cannot serve a call
+ * for each request of a large fleet, and a request that waits in vain for an answer earns nothing.
  */
 final class UsageEstimator {
-  /** Left for what other nodes have sent since the last reading: a part of the burst at most. */
+  /** Reserved for what other nodes have sent since the last reading: a part of the burst. */
   private static final double MAX_UNSEEN_BURST_SHARE = 0.25;
 
   /** An add for an under-sampled customer stands for this many times itself at most. */
@@ -21,8 +21,8 @@
   private final CounterCallBudget counterCalls;
   private final Pacer pacer;
 
-  /** Units of under-sampled customers lately: sent, and wanted by calls to the counter. */
-  private double sentUnits;
+  /** Units of under-sampled customers lately: spent, and reported to the counter. */
+  private double spentUnits;
 
   private double reportedUnits;
 
@@ -48,10 +48,10 @@
         && estimatedUnits(customer) >= request.units() + unseenUnits(customer);
   }
 
-  /** The last calls of a tick are left to customers whose stores may be short. */
+  /** The last calls of a tick are left to customers whose buckets may be short. */
   private boolean leavesCallToOthers(Customer customer) {
     return customer.hasReading
-        && counterCalls.isScarcerThan(estimatedUnits(customer), customer.plan.burstUnits());
+        && counterCalls.isEmptierThan(estimatedUnits(customer), customer.plan.burstUnits());
   }
 
   private double unseenUnits(Customer customer) {
@@ -68,7 +68,7 @@
     return !pacer.isOverloaded() && customer.grantShare > cost / (1 + cost - earned);
   }
 
-  /** What the customer's store is taken to hold now. */
+  /** What the customer's bucket is taken to hold now. */
   private double estimatedUnits(Customer customer) {
     double sinceEstimateMs = timers.nowMs() - customer.estimatedAtMs;
     return Math.min(
@@ -83,23 +83,23 @@
   }
 
   /** The counter was read. */
-  void recordReading(Customer customer, double storeUnits) {
-    customer.lastReadUnits = storeUnits;
-    customer.estimatedUnits = storeUnits;
+  void recordReading(Customer customer, double bucketUnits) {
+    customer.lastReadUnits = bucketUnits;
+    customer.estimatedUnits = bucketUnits;
     customer.hasReading = true;
     customer.lastReadAtMs = timers.nowMs();
     customer.estimatedAtMs = timers.nowMs();
   }
 
-  void recordSent(Customer customer, int units) {
+  void recordSpent(Customer customer, int units) {
     if (customer.isUnderSampled) {
-      sentUnits += units;
+      spentUnits += units;
     }
   }
 
   /**
-   * By how much an add to the counter is multiplied. Of under-sampled customers the counter hears
-   * of a part of what is sent; what it hears stands for the rest (Horvitz and Thompson 1952).
+   * By how much an add to the counter is multiplied. Of under-sampled customers a part of what is
+   * spent is reported; it stands for the rest (Horvitz and Thompson 1952).
    *
    * @param units what the add is for
    */
@@ -108,11 +108,11 @@
       return 1;
     }
     reportedUnits += units;
-    return Math.max(1, Math.min(MAX_REPORT_FACTOR, sentUnits / reportedUnits));
+    return Math.max(1, Math.min(MAX_REPORT_FACTOR, spentUnits / reportedUnits));
   }
 
   void onQuotaTick() {
-    sentUnits *= 1 - Ewma.SLOW_WEIGHT;
+    spentUnits *= 1 - Ewma.SLOW_WEIGHT;
     reportedUnits *= 1 - Ewma.SLOW_WEIGHT;
   }
 }
--- a/src/main/java/edgenode/policy/subset/EndpointSubset.java
+++ b/src/main/java/edgenode/policy/subset/EndpointSubset.java
@@ -23,12 +23,12 @@
  * @param <E> what is known of an endpoint that is not held, to bring it in
  */
 public final class EndpointSubset<E> {
-  /** Even size by default (endpoints): lists of up to so many are held whole. */
+  /** Even size by default (endpoints): shorter lists are held completely. */
   public static final int DEFAULT_MIN_ENDPOINTS = 256;
 
   /**
    * Nodes of an endpoint at least: a node with five times the mean traffic brings its endpoints
-   * half as much again.
+   * half as much more.
    */
   static final int MIN_NODES_PER_ENDPOINT = 8;
 
--- a/src/test/java/edgenode/policy/SubsetLoadBalancingTest.java
+++ b/src/test/java/edgenode/policy/SubsetLoadBalancingTest.java
@@ -110,7 +110,7 @@
   void subsetWidensWhereNothingOfItIsUp() {
     FakeGateway gateway = oneOfHundredNodes();
     List<EndpointInfo> drained = new ArrayList<>();
-    for (Endpoint endpoint : gateway.engine.endpoints().held()) {
+    for (Endpoint endpoint : gateway.engine.endpoints().inSubset()) {
       drained.add(
           FakeGateway.endpoint(
               Integer.parseInt(endpoint.id.substring(1)), EndpointState.DRAINING, 0));
