--- a/src/main/java/edgenode/membership/EndpointHealthListener.java
+++ b/src/main/java/edgenode/membership/EndpointHealthListener.java
@@ -1,18 +1,18 @@
 package edgenode.membership;
 
-/** What connections to servers show of them, beside what lists say. */
+/** Receives what connections to endpoints show, independently of the lists. */
 public interface EndpointHealthListener {
-  /** A good answer of the server's came. */
+  /** The endpoint sent a successful response. */
   void responded(String id);
 
-  /** A connection to it came up. */
+  /** A connection to the endpoint was established. */
   void connected(String id);
 
   /**
-   * A connect to it failed.
+   * A connect to the endpoint failed.
    *
-   * @param isRefused whether it was refused, else it never came up
-   * @param openConnections connections to the server that are up
+   * @param isRefused whether it was refused; otherwise it timed out
+   * @param openConnections connections to the endpoint that are established
    */
   void connectFailed(String id, boolean isRefused, int openConnections);
 }
--- a/src/main/java/edgenode/membership/EndpointSource.java
+++ b/src/main/java/edgenode/membership/EndpointSource.java
@@ -1,37 +1,23 @@
 package edgenode.membership;
 
-import java.util.List;
-
-/** Where a list of servers comes from. Lives on the event loop; tells a {@link Sink}. */
+/**
+ * Where a list of endpoints comes from. Lives on the event loop, as its {@link
+ * EndpointSourceListener} does.
+ */
 public interface EndpointSource {
-  /** What a source tells; the space is the name that the source was given. */
-  interface EndpointSourceListener {
-    /** The version from which changes are wanted, -1 where the whole list is. */
-    long resumeVersion(String sourceId);
-
-    /** See {@link Membership#endpointsReceived}. */
-    void endpointsReceived(
-        String sourceId, long version, boolean isComplete, List<DiscoveredEndpoint> endpoints);
-
-    /** See {@link Membership#confirmUnchanged}. */
-    boolean confirmUnchanged(String sourceId, long version);
-
-    /** Nothing has changed. */
-    void sourceConfirmed(String sourceId);
-
-    /** A call failed; refused: nobody listens there. */
-    void requestFailed(String sourceId, boolean isRefused);
-
-    /** The source was left and has closed its last connection. */
-    void sourceClosed(String sourceId);
-  }
-
-  /** Begins, once. */
+  /** Starts to fetch the list; called once. */
   void start();
 
-  /** What was told is in doubt: new connections, and the whole list. */
+  /**
+   * What was reported is in doubt: the source fetches the complete list again on new connections.
+   */
   void resync();
 
-  /** Another source tells from now on: asks no more, and ends its connections within so many ms. */
+  /**
+   * Another source has taken over: this one sends no more requests, and closes its connections
+   * within a time.
+   *
+   * @param graceMs how long its watch may still report changes
+   */
   void retire(double graceMs);
 }
--- a/src/main/java/edgenode/membership/Membership.java
+++ b/src/main/java/edgenode/membership/Membership.java
@@ -3,830 +3,397 @@
 import edgenode.policy.EndpointState;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
 
 /**
- * One view of the servers, from what several sources say, each late, partial or wrong in its own
- * way. A pure core: time (ms) is an argument and never goes back, the same calls give the same
- * results, nothing is read or waited for. Not safe for use by several threads.
+ * One view of the endpoints out of several sources, each of which may be late, partial or wrong. It
+ * does no I/O: the time (ms) is an argument that never goes back, and the same calls give the same
+ * results. Not thread safe; used on the event loop.
  *
- * <p>A <em>space</em> is one numbering of versions: an address of discovery. What comes from one
- * space is ordered by its versions; two spaces are not ordered at all. One space is current, those
- * that a move has left stay as witnesses until they end. The rules, in the order in which they are
- * applied to a server:
+ * <p>A source has a numbering of versions of its own. One source is in use; a source that was
+ * retired still counts against endpoints until it is closed. The rules, in the order in which they
+ * are applied to an endpoint:
  *
  * <ol>
- *   <li>It is down as soon as any source of a living space says so, also one that goes back in
- *       versions: an older version may take servers down, never up. What a newer whole list says
- *       ends that doubt.
- *   <li>It is gone if the current space's whole list lacks it, unless that list leaves less than a
- *       stated share of the servers; then it is kept for a stated time, as long as it answers.
- *   <li>It is down while connects to it are refused and none stands, whatever the lists say.
- *   <li>It comes up again a moment later than it is told, and later each time that it has lately
- *       gone down.
+ *   <li>It is down as soon as any source that is not closed says so, also with a version that is
+ *       out of order: an older version may take endpoints down, never up. A newer complete list
+ *       ends that ({@link SourceVersions}).
+ *   <li>It is removed if the complete list of the source in use lacks it, unless that list leaves
+ *       less than a share of the endpoints; then it stays in use for a limited time, as long as it
+ *       responds ({@link ShrinkQuarantine}).
+ *   <li>It is down while connects to it fail and it has no connection, whatever the lists say
+ *       ({@link EndpointLiveness}).
+ *   <li>It comes up again with a delay, which grows each time that it has gone down lately ({@link
+ *       FlapDamping}).
  * </ol>
  *
- * An address is remembered as cold, also where the server that made it so has been forgotten.
+ * An address stays warming up, also where the endpoint that made it so has been forgotten ({@link
+ * AddressWarmUps}).
  *
- * <p>Costs: a change is O(log n) for each server that it names, a whole list O(n log n), a health
- * event O(1).
+ * <p>Cost: O(log n) for each endpoint that a change names, O(n log n) for a complete list, O(1) for
+ * a connection or a response.
  */
 public final class Membership {
-  /** What one call has changed, for the decision module and for the log. */
-  public record MembershipUpdate(
-      List<DiscoveredEndpoint> endpoints,
-      boolean isComplete,
-      List<String> messages,
-      boolean mustResync) {
-    public static final MembershipUpdate NONE =
-        new MembershipUpdate(List.of(), false, List.of(), false);
-  }
-
-  /**
-   * The view in figures: servers shown, up, held, dead, and ms since a source last confirmed it.
-   */
-  public record MembershipStats(
-      int endpointCount,
-      int upCount,
-      int quarantinedCount,
-      int unreachableCount,
-      double ageMs,
-      long version) {}
-
-  private static final class Space {
-    final String name;
-    final Map<String, DiscoveredEndpoint> entries = new LinkedHashMap<>();
-    long seq = -1;
-
-    /**
-     * A source of this space itself has told; until then its entries are what was known at the
-     * start.
-     */
-    boolean confirmed;
-
-    /** The next whole list counts whatever its version: all were asked anew. */
-    boolean anew;
-
-    double endedAt = Double.NaN;
-    double newestAt = Double.NEGATIVE_INFINITY;
-
-    /** Since when only older versions have come, or NaN. */
-    double staleSince = Double.NaN;
-
-    /** When each entry was told. */
-    final Map<String, Double> toldAt = new HashMap<>();
-
-    /** Servers that it lately told as gone, and when: after a move that still counts. */
-    final Map<String, Double> gone = new HashMap<>();
-
-    /** Servers that an older version took down. */
-    final Set<String> doubted = new HashSet<>();
-
-    /** The older version that came last. */
-    long behind;
-
-    /** Since when there is doubt, or NaN. */
-    double doubtSince = Double.NaN;
-
-    /** What the older version that came last said. */
-    Collection<DiscoveredEndpoint> behindSaid = List.of();
-
-    /** An older version that was looked into and found to be of no account, and what it said. */
-    long ignored = Long.MIN_VALUE;
-
-    Collection<DiscoveredEndpoint> ignoredSaid = List.of();
-
-    /** It has told a whole list, or one was known of it: its word on who is there counts. */
-    boolean usable;
-
-    Space(String name) {
-      this.name = name;
-    }
-  }
-
-  private static final class Host {
-    DiscoveredEndpoint shown;
-    DiscoveredEndpoint kept;
-    double heldUntil = Double.NEGATIVE_INFINITY;
-    double upAt = Double.NEGATIVE_INFINITY;
-    double downAt = Double.NEGATIVE_INFINITY;
-    double answeredAt = Double.NEGATIVE_INFINITY;
-    double goneAt = Double.NaN;
-    int falls;
-    int refused;
-    int timedOut;
-    boolean dead;
-    boolean disputed;
-  }
-
-  private record Check(double at, long serial, String id) implements Comparable<Check> {
-    @Override
-    public int compareTo(Check o) {
-      int by = Double.compare(at, o.at);
-      return by != 0 ? by : Long.compare(serial, o.serial);
-    }
-  }
-
-  private record Cold(double startedAt, double until) {}
-
   private final MembershipLimits limits;
-  private final Map<String, Host> hosts = new HashMap<>();
-  private final Map<String, Cold> cold = new HashMap<>();
-  private final List<Space> left = new ArrayList<>();
-  private final PriorityQueue<Check> checks = new PriorityQueue<>();
-  private final Set<String> touched = new LinkedHashSet<>();
-  private final List<String> notes = new ArrayList<>();
-  private final Set<String> dead = new LinkedHashSet<>();
-  private final Set<String> holding = new LinkedHashSet<>();
-  private Space current;
-  private long serial;
-  private int up;
-  private double now = Double.NEGATIVE_INFINITY;
-  private double heardAt = Double.NaN;
-  private boolean endpointsReceived;
-  private boolean oldNoted;
-  private boolean askAnew;
+  private final UpdateContext context = new UpdateContext();
+  private final EndpointTable table;
+  private final AddressWarmUps warmUps;
+  private final ShrinkQuarantine quarantine;
+  private final ViewFreshness freshness;
+  private final SourceVersions sources;
+  private boolean hasReportedView;
 
   /**
-   * @param space the name of the first space; {@code known} what was known of it at the start,
-   *     perhaps old
+   * Creates an empty view.
+   *
+   * @param sourceId the name of the first source
    */
-  public Membership(MembershipLimits limits, String space) {
+  public Membership(MembershipLimits limits, String sourceId) {
     this.limits = limits;
-    current = new Space(space);
+    table = new EndpointTable(limits);
+    warmUps = new AddressWarmUps(limits, context);
+    quarantine = new ShrinkQuarantine(limits);
+    freshness = new ViewFreshness(limits, context);
+    sources = new SourceVersions(limits, context, table, warmUps, quarantine, sourceId);
   }
 
   // ---- sources ----
 
   /**
-   * What was known at the start serves until a source tells; its version says where a watch may go
-   * on.
+   * Takes a list that was known at the start, perhaps an old one. It is in use until a source
+   * reports; its version says where a watch may resume.
    */
   public MembershipUpdate loadInitialList(
-      double time, long seq, Collection<DiscoveredEndpoint> entries) {
-    begin(time);
-    if (!current.confirmed && current.seq < 0) {
-      current.seq = Math.max(-1, seq);
-      current.usable = true;
-      for (DiscoveredEndpoint e : entries) {
-        put(current, e);
-        touched.add(e.id());
-      }
-    }
+      double timeMs, long version, Collection<DiscoveredEndpoint> endpoints) {
+    begin(timeMs);
+    sources.loadInitialList(version, endpoints);
     return end();
   }
 
   /**
-   * The version from which a watch in the current space goes on, -1 where the whole list must be
-   * asked.
+   * The version from which a watch of the source in use resumes.
+   *
+   * @return -1 where the complete list must be requested
    */
   public long resumeVersion() {
-    return current.anew ? -1 : current.seq;
+    return sources.current().versions.resumeVersion();
   }
 
   /**
-   * Discovery is elsewhere now. Versions start anew; what the old space says still counts against
-   * servers.
+   * Another source is in use from now on: versions start anew, and what the former source says
+   * still counts against endpoints. Its effects are reported by the next call.
    */
-  public void switchSource(double time, String space) {
-    begin(time);
-    left.add(current);
-    current = new Space(space);
+  public void switchSource(double timeMs, String sourceId) {
+    begin(timeMs);
+    sources.switchTo(sourceId);
   }
 
-  /** A space that was left has closed its last connection. */
-  public MembershipUpdate sourceClosed(double time, String space) {
-    begin(time);
-    for (Space s : left) {
-      if (s.name.equals(space) && Double.isNaN(s.endedAt)) {
-        s.endedAt = now;
-        check(now + limits.retiredSourceTtlMs(), null);
-      }
-    }
+  /** A source that was retired has closed its last connection. */
+  public MembershipUpdate sourceClosed(double timeMs, String sourceId) {
+    begin(timeMs);
+    sources.close(sourceId);
     return end();
   }
 
-  /** A source says that nothing has changed since what it told before. */
-  public MembershipUpdate sourceConfirmed(double time, String space) {
-    begin(time);
-    if (space.equals(current.name)) {
-      fresh();
+  /** A source says that nothing has changed since its last report. */
+  public MembershipUpdate sourceConfirmed(double timeMs, String sourceId) {
+    begin(timeMs);
+    if (isInUse(sourceId)) {
+      freshness.confirm(sourceId);
     }
     return end();
   }
 
   /**
-   * The same list again, known by its bytes: an older one stays in doubt, a newer one stays
-   * confirmed. O(1).
+   * Takes a complete list that equals the last one byte for byte, in O(1).
    *
-   * @return false where the list must be given to {@link #endpointsReceived} in full after all
+   * @return false where it must be given to {@link #endpointsReceived} in full: it is not the
+   *     newest version, a conflict is open, or something else is due
    */
-  public boolean confirmUnchanged(double time, String space, long seq) {
-    if (!space.equals(current.name)
-        || seq != current.seq
-        || !current.doubted.isEmpty()
-        || current.anew
-        || !current.confirmed
-        || oldNoted
-        || nextTickMs() <= time) { // what is due is told with the list
+  public boolean confirmUnchanged(double timeMs, String sourceId, long version) {
+    if (!sources.isSettled(sourceId, version)
+        || freshness.isStale()
+        || nextTickMs() <= timeMs) { // what is due is reported with the list
       return false;
     }
-    now = Math.max(now, time);
-    current.newestAt = now;
-    current.staleSince = Double.NaN;
-    fresh();
+    context.advanceTo(timeMs);
+    sources.current().versions.newerArrived(context.nowMs());
+    freshness.confirm(sourceId);
     return true;
   }
 
   /**
-   * What a source tells.
+   * Takes what a source reports.
    *
-   * @param space where it told it
-   * @param seq the version; below 0 where there is none, which can take servers down and no more
-   * @param whole whether it is the whole list
-   * @param entries the servers that it names, the last one of a name counts
+   * @param sourceId the source that reports it; one that is not known is ignored
+   * @param version the version; below 0 where there is none: it can only take endpoints down
+   * @param isComplete whether it is the complete list
+   * @param endpoints the endpoints that it names; the last one of an id counts
    */
   public MembershipUpdate endpointsReceived(
-      double time, String space, long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
-    begin(time);
-    if (space.equals(current.name)) {
-      fresh();
-      if (seq < 0 || seq < current.seq && current.confirmed && !(current.anew && whole)) {
-        older(seq, whole, entries);
-      } else {
-        newer(seq, whole, entries);
-      }
-      return end();
-    }
-    for (Space s : left) {
-      if (s.name.equals(space)) {
-        witness(s, seq, whole, entries);
-      }
-    }
-    return end();
-  }
-
-  /** In order, from the current space. */
-  private void newer(long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
-    boolean first = !current.confirmed || current.anew;
-    if (!whole && seq < current.seq) { // a change to a list that nobody has confirmed
-      older(seq, false, entries);
-      return;
-    }
-    current.newestAt = now;
-    current.staleSince = Double.NaN;
-    if (whole) {
-      current.usable = true;
-      replace(entries);
-      current.confirmed = true;
-      current.anew = false;
-      current.doubted.clear();
-      current.doubtSince = Double.NaN;
-      touched.addAll(hosts.keySet());
-    } else {
-      for (DiscoveredEndpoint e : entries) {
-        put(current, e);
-        touched.add(e.id());
-        current.doubted.remove(e.id());
-      }
-      current.confirmed |= first && current.seq >= 0;
-    }
-    current.seq = seq;
-  }
-
-  /** The whole list: what it lacks is gone, unless it lacks too much at once. */
-  private void replace(Collection<DiscoveredEndpoint> entries) {
-    Map<String, DiscoveredEndpoint> before = new LinkedHashMap<>(current.entries);
-    if (before.isEmpty()) {
-      for (Map.Entry<String, Host> h : hosts.entrySet()) { // after a move: what is shown
-        if (h.getValue().shown != null) {
-          before.put(h.getKey(), h.getValue().shown);
-        }
-      }
-    }
-    current.entries.clear();
-    for (DiscoveredEndpoint e : entries) {
-      put(current, e);
-      touched.add(e.id()); // what comes is told before what goes
-    }
-    int left = 0;
-    for (DiscoveredEndpoint e : current.entries.values()) {
-      left += e.info().state() == EndpointState.UP ? 1 : 0;
-    }
-    double hold = left == 0 ? limits.emptyListQuarantineMs() : limits.shrunkListQuarantineMs();
-    boolean holding = up > 0 && left < limits.minRetainedShare() * up;
-    int held = 0;
-    for (Map.Entry<String, DiscoveredEndpoint> e : before.entrySet()) {
-      String id = e.getKey();
-      Host h = hosts.get(id);
-      touched.add(id);
-      if (current.entries.containsKey(id)) {
-        continue;
-      }
-      bury(current, id);
-      current.toldAt.remove(id);
-      if (h == null || h.heldUntil > now) {
-        continue;
-      }
-      boolean wasUp = h.shown != null && h.shown.info().state() == EndpointState.UP;
-      if (holding
-          && wasUp
-          && h.answeredAt > Double.NEGATIVE_INFINITY
-          && h.refused + h.timedOut == 0) {
-        h.kept = h.shown;
-        h.heldUntil = now + hold;
-        h.answeredAt = now; // it is tried from now on, and has so long to show that it lives
-        held++;
-      }
-    }
-    if (held > 0) {
-      notes.add(
-          "the list at "
-              + current.name
-              + " shrank from "
-              + up
-              + " servers to "
-              + left
-              + " at once: "
-              + held
-              + " that it lacks are kept for "
-              + Math.round(hold)
-              + " ms while they answer");
-    }
-  }
-
-  /** A version before the newest, or none: it can take servers down, and no more. */
-  private void older(long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
-    if (seq == current.ignored && current.ignoredSaid.equals(entries)) {
-      return;
-    }
-    current.behind = seq;
-    current.behindSaid = entries;
-    Set<String> named = new HashSet<>();
-    for (DiscoveredEndpoint e : entries) {
-      named.add(e.id());
-      if (e.info().state() != EndpointState.UP) {
-        doubt(e.id());
-      }
-    }
-    if (whole && seq >= 0) {
-      for (String id : current.entries.keySet()) {
-        if (!named.contains(id)) {
-          doubt(id);
-        }
-      }
-    }
-    if (seq < 0) {
-      notes.add(
-          "a version below 0 came from " + current.name + ": only what it takes down is taken");
-    }
-    if (Double.isNaN(current.staleSince)) {
-      current.staleSince = now;
-      check(now + limits.staleVersionTimeoutMs(), null);
-    }
-  }
-
-  private void doubt(String id) {
-    Host h = hosts.get(id);
-    if (h != null && h.heldUntil > now) {
-      h.heldUntil = Double.NEGATIVE_INFINITY;
-      touched.add(id);
-    }
-    if (current.entries.containsKey(id) && current.doubted.add(id)) {
-      touched.add(id);
-      if (Double.isNaN(current.doubtSince)) {
-        current.doubtSince = now;
-        check(now + limits.staleVersionTimeoutMs(), null);
-      }
-    }
-  }
-
-  /** A space that was left: it may take servers down. */
-  private void witness(Space s, long seq, boolean whole, Collection<DiscoveredEndpoint> entries) {
-    if (whole) {
-      touched.addAll(s.entries.keySet());
-      s.entries.clear();
-      s.usable = true;
-    }
-    for (DiscoveredEndpoint e : entries) {
-      s.entries.put(e.id(), e); // also GONE: it speaks against the server
-      s.toldAt.put(e.id(), now);
-      touched.add(e.id());
-    }
-    s.seq = Math.max(seq, s.seq);
-  }
-
-  private void put(Space s, DiscoveredEndpoint told) {
-    DiscoveredEndpoint e = told;
-    if (e.address() != null) {
-      Cold c = cold.get(e.address());
-      if (c != null && c.until > now && e.info().startedAtMs() < c.startedAt) {
-        e = e.withState(e.info().state(), c.startedAt);
-      }
-      remember(e.address(), e.info().startedAtMs());
-    }
-    if (e.info().state() == EndpointState.REMOVED) {
-      s.entries.remove(e.id());
-      s.toldAt.remove(e.id());
-      bury(s, e.id());
+      double timeMs,
+      String sourceId,
+      long version,
+      boolean isComplete,
+      Collection<DiscoveredEndpoint> endpoints) {
+    begin(timeMs);
+    if (isInUse(sourceId)) {
+      freshness.confirm(sourceId);
+      sources.receive(version, isComplete, endpoints);
     } else {
-      s.entries.put(e.id(), e);
-      s.toldAt.put(e.id(), now);
-      s.gone.remove(e.id());
-    }
-    Host h = hosts.computeIfAbsent(e.id(), id -> new Host());
-    if (e.info().state() == EndpointState.REMOVED) {
-      h.heldUntil = Double.NEGATIVE_INFINITY; // said in so many words
-    }
-  }
-
-  private void bury(Space s, String id) {
-    s.gone.put(id, now);
-    check(now + limits.flapWindowMs(), null);
-  }
-
-  private void remember(String dial, double startedAt) {
-    if (startedAt > 0 && startedAt + limits.warmUpMs() > now) {
-      Cold c = cold.get(dial);
-      if (c == null || c.startedAt < startedAt) {
-        cold.put(dial, new Cold(startedAt, startedAt + limits.warmUpMs()));
-        check(startedAt + limits.warmUpMs(), null);
-      }
+      sources.receiveFromRetired(sourceId, isComplete, endpoints);
     }
+    return end();
   }
 
-  private void fresh() {
-    heardAt = now;
-    if (oldNoted) {
-      oldNoted = false;
-      notes.add("the view is confirmed again by " + current.name);
-    }
+  private boolean isInUse(String sourceId) {
+    return sourceId.equals(sources.current().id);
   }
 
-  // ---- health ----
+  // ---- connections to endpoints ----
 
-  /** A good answer of the server's came. */
-  public MembershipUpdate responded(double time, String id) {
-    Host h = hosts.get(id);
-    if (h == null) {
+  /** The endpoint sent a successful response; an id that is not known is ignored. */
+  public MembershipUpdate responded(double timeMs, String id) {
+    TrackedEndpoint endpoint = table.get(id);
+    if (endpoint == null) {
       return MembershipUpdate.NONE;
     }
-    now = Math.max(now, time);
-    h.answeredAt = now;
-    h.refused = 0;
-    h.timedOut = 0;
-    if (!Double.isNaN(h.goneAt) && now - h.goneAt > limits.livenessWindowMs() && !h.disputed) {
-      h.disputed = true;
-      return new MembershipUpdate(
-          List.of(),
-          false,
-          List.of("server " + id + " is listed as gone and still answers"),
-          false);
+    context.advanceTo(timeMs);
+    endpoint.liveness.seen(context.nowMs());
+    endpoint.liveness.resetFailures();
+    if (!endpoint.isUnexpectedResponse(context.nowMs(), limits.livenessWindowMs())) {
+      return MembershipUpdate.NONE;
     }
-    return MembershipUpdate.NONE;
+    return new MembershipUpdate(
+        List.of(),
+        false,
+        List.of("endpoint " + id + " is listed as removed and still responds"),
+        false);
   }
 
   /**
-   * A connect failed.
+   * A connect to the endpoint failed; an id that is not known is ignored.
    *
-   * @param refused whether it was refused, else it never came up
-   * @param standing connections to the server that are up
+   * @param isRefused whether it was refused; otherwise it timed out
+   * @param openConnections connections to the endpoint that are established: it counts only where
+   *     there are none
    */
-  public MembershipUpdate connectFailed(double time, String id, boolean refused, int standing) {
-    Host h = hosts.get(id);
-    if (h == null) {
+  public MembershipUpdate connectFailed(
+      double timeMs, String id, boolean isRefused, int openConnections) {
+    TrackedEndpoint endpoint = table.get(id);
+    if (endpoint == null) {
       return MembershipUpdate.NONE;
     }
-    begin(time);
-    if (standing > 0) {
-      return end();
-    }
-    h.refused = refused ? h.refused + 1 : h.refused;
-    h.timedOut = refused ? h.timedOut : h.timedOut + 1;
-    if (!h.dead
-        && (h.refused >= limits.refusedConnectThreshold()
-            || h.timedOut >= limits.connectTimeoutThreshold() && !answers(h))) {
-      h.dead = true;
-      dead.add(id);
-      touched.add(id);
+    begin(timeMs);
+    if (openConnections <= 0 && endpoint.liveness.connectFailed(context.nowMs(), isRefused)) {
+      table.unreachableIds().add(id);
+      context.dirtyEndpoints().add(id);
     }
     return end();
   }
 
   /**
-   * A connection came up. After refusals it is a new process, and cold, whatever the lists say yet.
+   * A connection to the endpoint was established; an id that is not known is ignored. After refused
+   * connects it is a new process, which is warming up, whatever the lists say yet.
    */
-  public MembershipUpdate connected(double time, String id) {
-    Host h = hosts.get(id);
-    if (h == null) {
+  public MembershipUpdate connected(double timeMs, String id) {
+    TrackedEndpoint endpoint = table.get(id);
+    if (endpoint == null) {
       return MembershipUpdate.NONE;
     }
-    h.answeredAt = Math.max(now, time);
-    if (!h.dead && h.refused == 0 && h.timedOut == 0) {
+    EndpointLiveness liveness = endpoint.liveness;
+    liveness.seen(Math.max(context.nowMs(), timeMs));
+    if (!liveness.isUnreachable() && !liveness.hasFailedConnects()) {
       return MembershipUpdate.NONE;
     }
-    begin(time);
-    if (h.dead) {
-      h.dead = false;
-      dead.remove(id);
-      touched.add(id);
-      if (h.refused >= limits.refusedConnectThreshold()) {
-        DiscoveredEndpoint e = current.entries.get(id);
-        if (e != null && e.info().startedAtMs() + limits.warmUpMs() < now) {
-          remember(e.address(), now);
-          put(current, e);
-        }
+    begin(timeMs);
+    if (liveness.isUnreachable()) {
+      liveness.markReachable();
+      table.unreachableIds().remove(id);
+      context.dirtyEndpoints().add(id);
+      if (liveness.wasRefused()) {
+        sources.recordStart(id);
       }
     }
-    h.refused = 0;
-    h.timedOut = 0;
+    liveness.resetFailures();
     return end();
   }
 
   /**
-   * Servers to which a connect should be tried now and then: the dead, and those held against a
-   * list.
+   * Endpoints to which a connect should be tried now and then: those that are unreachable, and
+   * those in use against the list.
    */
   public Collection<String> endpointsToProbe() {
-    if (dead.isEmpty() && holding.isEmpty()) {
+    if (table.unreachableIds().isEmpty() && quarantine.activeIds().isEmpty()) {
       return List.of();
     }
-    Set<String> all = new LinkedHashSet<>(dead);
-    all.addAll(holding);
-    return all;
+    Set<String> ids = new LinkedHashSet<>(table.unreachableIds());
+    ids.addAll(quarantine.activeIds());
+    return ids;
   }
 
   // ---- time ----
 
-  /** When {@link #tick} is due next (ms), infinite where nothing is. */
+  /** When {@link #tick} is due next (ms), infinite where it is not. */
   public double nextTickMs() {
-    double at = checks.isEmpty() ? Double.POSITIVE_INFINITY : checks.peek().at;
-    return oldNoted || Double.isNaN(heardAt)
-        ? at
-        : Math.min(at, heardAt + limits.staleViewAfterMs());
+    return Math.min(context.deadlines().earliestMs(), freshness.deadlineMs());
   }
 
-  /** What time alone has changed. */
-  public MembershipUpdate tick(double time) {
-    begin(time);
+  /** Applies what time alone has changed. */
+  public MembershipUpdate tick(double timeMs) {
+    begin(timeMs);
     return end();
   }
 
-  /** Servers of which anything is kept, for tests of forgetting. */
+  /** The view in figures; O(n). */
+  public MembershipStats stats(double timeMs) {
+    int visible = 0;
+    for (TrackedEndpoint endpoint : table.all()) {
+      visible += endpoint.visible() != null ? 1 : 0;
+    }
+    return new MembershipStats(
+        visible,
+        table.upCount(),
+        quarantine.activeIds().size(),
+        table.unreachableIds().size(),
+        freshness.ageMs(timeMs),
+        sources.current().versions.newest());
+  }
+
+  /** The size of the largest collection, for tests that endpoints are forgotten. */
   int trackedCount() {
+    SourceState current = sources.current();
     return Math.max(
-        Math.max(hosts.size(), current.entries.size()),
-        Math.max(current.gone.size(), Math.max(cold.size(), checks.size())));
+        Math.max(table.ids().size(), current.endpoints().size()),
+        Math.max(
+            current.removedIds().size(), Math.max(warmUps.size(), context.deadlines().size())));
   }
 
-  public MembershipStats stats(double time) {
-    int shown = 0;
-    for (Host h : hosts.values()) {
-      shown += h.shown != null ? 1 : 0;
-    }
-    return new MembershipStats(
-        shown,
-        up,
-        holding.size(),
-        dead.size(),
-        Double.isNaN(heardAt) ? Double.POSITIVE_INFINITY : Math.max(0, time - heardAt),
-        current.seq);
+  /** Whether the content that last came with this version is ignored, for tests. */
+  boolean isIgnored(long version) {
+    return sources.current().versions.isIgnored(version);
   }
 
   // ---- the view ----
 
-  private void begin(double time) {
-    now = Math.max(now, time);
-    while (!checks.isEmpty() && checks.peek().at <= now) {
-      String id = checks.poll().id;
+  private void begin(double timeMs) {
+    context.advanceTo(timeMs);
+    DeadlineQueue deadlines = context.deadlines();
+    while (deadlines.earliestMs() <= context.nowMs()) {
+      String id = deadlines.removeEarliest();
       if (id != null) {
-        touched.add(id);
+        context.dirtyEndpoints().add(id);
       } else {
-        housekeeping();
+        sources.checkTimeouts();
       }
     }
-    if (!oldNoted && !Double.isNaN(heardAt) && now - heardAt >= limits.staleViewAfterMs()) {
-      oldNoted = true;
-      notes.add(
-          "the view is old: nothing from "
-              + current.name
-              + " for "
-              + Math.round(now - heardAt)
-              + " ms; it stays as it is");
-    }
-  }
-
-  private void check(double at, String id) {
-    checks.add(new Check(Math.max(at, Math.nextUp(now)), serial++, id));
-  }
-
-  private void housekeeping() {
-    for (Iterator<Space> it = left.iterator(); it.hasNext(); ) {
-      Space s = it.next();
-      if (!Double.isNaN(s.endedAt) && now >= s.endedAt + limits.retiredSourceTtlMs()) {
-        if (!current.confirmed) { // the one to be has not told yet
-          check(now + limits.retiredSourceTtlMs(), null);
-          continue;
-        }
-        it.remove();
-        touched.addAll(s.entries.keySet());
-        touched.addAll(s.gone.keySet());
-      }
-    }
-    if (!Double.isNaN(current.staleSince)
-        && now >= current.staleSince + limits.staleVersionTimeoutMs()) {
-      goneBack();
-    }
-    if (!Double.isNaN(current.doubtSince)
-        && now >= current.doubtSince + limits.staleVersionTimeoutMs()) {
-      stuck();
-    }
-    cold.values().removeIf(c -> c.until <= now);
-    current.gone.values().removeIf(at -> at + limits.flapWindowMs() <= now);
-  }
-
-  /**
-   * Nothing but older versions for a while: all are asked anew, and the list that this brings
-   * counts.
-   */
-  private void goneBack() {
-    current.staleSince = Double.NaN;
-    current.anew = true;
-    askAnew = true;
-    disputed();
-  }
-
-  /**
-   * One stays behind while another is ahead and lives: that one is right, and all are asked anew.
-   */
-  private void stuck() {
-    if (current.doubted.isEmpty()) {
-      current.doubtSince = Double.NaN;
-    } else if (current.newestAt > now - limits.staleVersionTimeoutMs()) {
-      current.ignored = current.behind;
-      current.ignoredSaid = current.behindSaid;
-      touched.addAll(current.doubted);
-      current.doubted.clear();
-      current.doubtSince = Double.NaN;
-      askAnew = true;
-      disputed();
-    } else {
-      check(now + limits.staleVersionTimeoutMs(), null);
-    }
-  }
-
-  private void disputed() {
-    notes.add(
-        "disputed: at "
-            + current.name
-            + " version "
-            + current.behind
-            + " is told after "
-            + current.seq
-            + "; the whole list is asked anew");
-  }
-
-  /** Whether what this version said last was found to be of no account. */
-  boolean isIgnored(long seq) {
-    return seq == current.ignored;
-  }
-
-  private boolean answers(Host h) {
-    return now - h.answeredAt < limits.livenessWindowMs();
-  }
-
-  /** What is to be shown of a server now; null where it is gone. */
-  private DiscoveredEndpoint verdict(String id, Host h) {
-    DiscoveredEndpoint e = current.entries.get(id);
-    boolean fromLeft = false;
-    if (e == null
-        && !current.confirmed) { // a move whose new place has not told: the last one counts
-      for (int i = left.size() - 1; i >= 0 && e == null && !fromLeft; i--) {
-        if (left.get(i).usable) {
-          e = left.get(i).entries.get(id);
-          fromLeft = true;
-        }
-      }
-      if (e != null && e.info().state() == EndpointState.REMOVED) {
-        e = null;
-      }
-    }
-    if (e == null) {
-      if (h.heldUntil > now && answers(h) && !h.dead && !against(id, h.kept)) {
-        check(Math.min(h.heldUntil, h.answeredAt + limits.livenessWindowMs()), id);
-        holding.add(id);
-        return h.kept;
-      }
-      h.heldUntil = Double.NEGATIVE_INFINITY;
-      holding.remove(id);
-      return null;
-    }
-    h.heldUntil = Double.NEGATIVE_INFINITY;
-    holding.remove(id);
-    boolean down =
-        e.info().state() != EndpointState.UP
-            || h.dead
-            || current.doubted.contains(id)
-            || against(id, e);
-    return down ? e.withState(EndpointState.DRAINING, e.info().startedAtMs()) : e;
-  }
-
-  /**
-   * Whether a space that was left speaks against it, and its word is not overtaken by a later
-   * start.
-   */
-  private boolean against(String id, DiscoveredEndpoint e) {
-    for (Space s : left) {
-      DiscoveredEndpoint old = s.entries.get(id);
-      if (old == null && s.gone.containsKey(id) && e.info().startedAtMs() <= s.gone.get(id)) {
-        return true;
-      }
-      if (old != null
-          && old.info().state() != EndpointState.UP
-          && e.info().startedAtMs() <= Math.max(old.info().startedAtMs(), s.toldAt.get(id))) {
-        return true;
-      }
-    }
-    return false;
+    freshness.check(sources.current().id);
   }
 
   private MembershipUpdate end() {
     List<DiscoveredEndpoint> changed = new ArrayList<>();
-    for (String id : touched.toArray(new String[0])) {
-      Host h = hosts.get(id);
-      if (h != null) {
-        judge(id, h, changed);
+    for (String id : context.dirtyEndpoints().toArray(new String[0])) {
+      TrackedEndpoint endpoint = table.get(id);
+      if (endpoint != null) {
+        evaluate(id, endpoint, changed);
       }
     }
-    touched.clear();
-    if (changed.isEmpty() && notes.isEmpty() && !askAnew) {
+    context.dirtyEndpoints().clear();
+    if (changed.isEmpty() && !context.hasNotifications()) {
       return MembershipUpdate.NONE;
     }
-    boolean whole = !endpointsReceived && !changed.isEmpty();
-    endpointsReceived |= whole;
-    MembershipUpdate all = new MembershipUpdate(changed, whole, List.copyOf(notes), askAnew);
-    notes.clear();
-    askAnew = false;
-    return all;
+    boolean isFirstView = !hasReportedView && !changed.isEmpty();
+    hasReportedView |= isFirstView;
+    return context.takeUpdate(changed, isFirstView);
   }
 
-  private void judge(String id, Host h, List<DiscoveredEndpoint> changed) {
-    DiscoveredEndpoint e = verdict(id, h);
-    boolean wasUp = h.shown != null && h.shown.info().state() == EndpointState.UP;
-    boolean isUp = e != null && e.info().state() == EndpointState.UP;
-    if (isUp && !wasUp && h.downAt > Double.NEGATIVE_INFINITY) { // it comes back: not at once
-      if (h.upAt == Double.NEGATIVE_INFINITY) {
-        h.upAt =
-            now
-                + Math.min(
-                    limits.maxRecoveryDelayMs(), limits.recoveryDelayMs() * Math.pow(2, h.falls));
-        check(h.upAt, id);
+  /** Applies the rules to an endpoint, and adds it to {@code changed} where its view differs. */
+  private void evaluate(String id, TrackedEndpoint endpoint, List<DiscoveredEndpoint> changed) {
+    DiscoveredEndpoint wanted = damp(id, endpoint, wanted(id, endpoint));
+    if (wanted == null) {
+      remove(id, endpoint, changed);
+      return;
+    }
+    if (!wanted.equals(endpoint.visible())) {
+      changed.add(wanted);
+    }
+    endpoint.show(wanted);
+  }
+
+  /** The endpoint as sources and connections have it; null where it is removed. */
+  private DiscoveredEndpoint wanted(String id, TrackedEndpoint endpoint) {
+    DiscoveredEndpoint reported = sources.reported(id);
+    if (reported == null) {
+      return quarantined(id, endpoint);
+    }
+    quarantine.release(id);
+    boolean isDown =
+        reported.info().state() != EndpointState.UP
+            || endpoint.liveness.isUnreachable()
+            || sources.isTakenDown(reported);
+    return isDown ? draining(reported) : reported;
+  }
+
+  /** The endpoint that no list has, as it stays in use; null where it does not. */
+  private DiscoveredEndpoint quarantined(String id, TrackedEndpoint endpoint) {
+    EndpointLiveness liveness = endpoint.liveness;
+    if (quarantine.isHeld(id, context.nowMs())
+        && liveness.isAlive(context.nowMs())
+        && !liveness.isUnreachable()
+        && !sources.isVetoed(quarantine.endpoint(id))) {
+      context.evaluateAt(Math.min(quarantine.untilMs(id), liveness.aliveUntilMs()), id);
+      quarantine.markActive(id);
+      return quarantine.endpoint(id);
+    }
+    quarantine.release(id);
+    return null;
+  }
+
+  /** Delays the return of an endpoint that was down, and counts its falls. */
+  private DiscoveredEndpoint damp(String id, TrackedEndpoint endpoint, DiscoveredEndpoint wanted) {
+    FlapDamping damping = endpoint.damping;
+    DiscoveredEndpoint damped = wanted;
+    boolean wasUp = endpoint.isVisiblyUp();
+    boolean isUp = wanted != null && wanted.info().state() == EndpointState.UP;
+    if (isUp && !wasUp && damping.hasBeenDown()) {
+      if (!damping.isRecoveryScheduled()) {
+        context.evaluateAt(damping.scheduleRecovery(context.nowMs()), id);
       }
-      if (now < h.upAt) {
+      if (damping.isSuppressed(context.nowMs())) {
         isUp = false;
-        e = e.withState(EndpointState.DRAINING, e.info().startedAtMs());
+        damped = draining(wanted);
       }
     } else if (!isUp) {
-      h.upAt = Double.NEGATIVE_INFINITY;
+      damping.cancelRecovery();
     }
     if (wasUp && !isUp) {
-      h.falls = now - h.downAt < limits.flapWindowMs() ? Math.min(h.falls + 1, 16) : 0;
-      h.downAt = now;
-      h.upAt = Double.NEGATIVE_INFINITY;
-      check(now + limits.flapWindowMs(), id); // when it is forgotten, if it has left
+      damping.wentDown(context.nowMs());
+      context.evaluateAt(context.nowMs() + limits.flapWindowMs(), id); // then it may be forgotten
     }
-    up += (isUp ? 1 : 0) - (wasUp ? 1 : 0);
-    if (e == null) {
-      if (h.shown != null) {
-        changed.add(h.shown.withState(EndpointState.REMOVED, h.shown.info().startedAtMs()));
-        h.shown = null;
-        h.goneAt = now;
-      }
-      h.dead = false;
-      h.refused = 0;
-      h.timedOut = 0;
-      dead.remove(id);
-      double since = Double.isNaN(h.goneAt) ? h.downAt : Math.max(h.downAt, h.goneAt);
-      if (now - since >= limits.flapWindowMs()) {
-        hosts.remove(id);
-      } else {
-        check(since + limits.flapWindowMs(), id);
-      }
-      return;
+    table.countUp((isUp ? 1 : 0) - (wasUp ? 1 : 0));
+    return damped;
+  }
+
+  private void remove(String id, TrackedEndpoint endpoint, List<DiscoveredEndpoint> changed) {
+    DiscoveredEndpoint visible = endpoint.visible();
+    if (visible != null) {
+      changed.add(visible.withState(EndpointState.REMOVED, visible.info().startedAtMs()));
+      endpoint.hide(context.nowMs());
     }
-    h.goneAt = Double.NaN;
-    h.disputed = false;
-    if (!e.equals(h.shown)) {
-      changed.add(e);
-      h.shown = e;
+    endpoint.liveness.markReachable();
+    endpoint.liveness.resetFailures();
+    table.unreachableIds().remove(id);
+    double inactiveSinceMs = endpoint.inactiveSinceMs();
+    if (context.nowMs() - inactiveSinceMs >= limits.flapWindowMs()) {
+      table.forget(id);
+    } else {
+      context.evaluateAt(inactiveSinceMs + limits.flapWindowMs(), id);
     }
   }
+
+  private static DiscoveredEndpoint draining(DiscoveredEndpoint endpoint) {
+    return endpoint.withState(EndpointState.DRAINING, endpoint.info().startedAtMs());
+  }
 }
--- a/src/main/java/edgenode/membership/MembershipLimits.java
+++ b/src/main/java/edgenode/membership/MembershipLimits.java
@@ -1,25 +1,26 @@
 package edgenode.membership;
 
 /**
- * The times (ms) and shares by which {@link Membership} weighs what it is told.
+ * The times (ms) and thresholds by which {@link Membership} weighs what is reported.
  *
- * @param recoveryDelayMs a server that comes back up is shown so this much later; doubled for each
- *     time that it went down within {@code flapWindow}, up to {@code upAfterMost}
- * @param maxRecoveryDelayMs the longest such wait
- * @param flapWindowMs how long a fall is remembered
- * @param minRetainedShare a whole list that leaves less than this share (0 to 1) of the servers
- *     shown up is held
- * @param shrunkListQuarantineMs how long servers that such a list lacks are kept while they answer
- * @param emptyListQuarantineMs the same where it leaves none
- * @param livenessWindowMs a server answers if one came within this time
- * @param staleVersionTimeoutMs how long a source that goes back in versions may take servers down,
- *     before all are asked anew
- * @param retiredSourceTtlMs how long after its end a source that was left may keep servers down
- * @param staleViewAfterMs a view that nothing has confirmed for so long is told as old
- * @param warmUpMs an address is remembered as cold for so long after its server's start
- * @param refusedConnectThreshold so many refused connects in a row, none standing, make a server
- *     dead
- * @param connectTimeoutThreshold the same for connects that never came up
+ * @param recoveryDelayMs an endpoint that comes back is up so much later; doubled for each time
+ *     that it went down within {@code flapWindowMs}, up to {@code maxRecoveryDelayMs}
+ * @param maxRecoveryDelayMs the longest such delay
+ * @param flapWindowMs how long it is remembered that an endpoint went down, or was removed
+ * @param minRetainedShare a complete list that leaves less than this share (0 to 1) of the
+ *     endpoints up is not applied at once
+ * @param shrunkListQuarantineMs how long endpoints that such a list lacks stay in use while they
+ *     respond
+ * @param emptyListQuarantineMs the same where the list leaves none
+ * @param livenessWindowMs an endpoint is alive if a response came within this time
+ * @param staleVersionTimeoutMs how long versions may be out of order before all sources fetch the
+ *     complete list again
+ * @param retiredSourceTtlMs how long after it was closed a retired source may keep endpoints down
+ * @param staleViewAfterMs a view that nothing has confirmed for so long is reported as stale
+ * @param warmUpMs how long after its start a process is warming up
+ * @param refusedConnectThreshold so many refused connects in a row, with none established, make an
+ *     endpoint unreachable
+ * @param connectTimeoutThreshold the same for connects that timed out
  */
 public record MembershipLimits(
     double recoveryDelayMs,
@@ -36,37 +37,48 @@
     int refusedConnectThreshold,
     int connectTimeoutThreshold) {
 
-  /** A share that every list reaches which names a server at all. */
-  private static final double EMPTY_ONLY = 1e-9;
+  /** A share that every list reaches which has an endpoint at all. */
+  private static final double EMPTY_LISTS_ONLY = 1e-9;
 
+  /**
+   * Checks the limits.
+   *
+   * @throws IllegalArgumentException where one is out of range
+   */
   public MembershipLimits {
-    if (!(recoveryDelayMs >= 0
-        && maxRecoveryDelayMs >= recoveryDelayMs
-        && flapWindowMs >= 0
-        && minRetainedShare >= 0
-        && minRetainedShare <= 1
-        && shrunkListQuarantineMs >= 0
-        && emptyListQuarantineMs >= shrunkListQuarantineMs
-        && livenessWindowMs > 0
-        && staleVersionTimeoutMs > 0
-        && retiredSourceTtlMs >= 0
-        && staleViewAfterMs > 0
-        && warmUpMs >= 0
-        && refusedConnectThreshold > 0
-        && connectTimeoutThreshold > 0)) {
-      throw new IllegalArgumentException("limits of membership are out of range: " + this);
+    require(recoveryDelayMs >= 0, "recoveryDelayMs", recoveryDelayMs);
+    require(maxRecoveryDelayMs >= recoveryDelayMs, "maxRecoveryDelayMs", maxRecoveryDelayMs);
+    require(flapWindowMs >= 0, "flapWindowMs", flapWindowMs);
+    require(minRetainedShare >= 0 && minRetainedShare <= 1, "minRetainedShare", minRetainedShare);
+    require(shrunkListQuarantineMs >= 0, "shrunkListQuarantineMs", shrunkListQuarantineMs);
+    require(
+        emptyListQuarantineMs >= shrunkListQuarantineMs,
+        "emptyListQuarantineMs",
+        emptyListQuarantineMs);
+    require(livenessWindowMs > 0, "livenessWindowMs", livenessWindowMs);
+    require(staleVersionTimeoutMs > 0, "staleVersionTimeoutMs", staleVersionTimeoutMs);
+    require(retiredSourceTtlMs >= 0, "retiredSourceTtlMs", retiredSourceTtlMs);
+    require(staleViewAfterMs > 0, "staleViewAfterMs", staleViewAfterMs);
+    require(warmUpMs >= 0, "warmUpMs", warmUpMs);
+    require(refusedConnectThreshold > 0, "refusedConnectThreshold", refusedConnectThreshold);
+    require(connectTimeoutThreshold > 0, "connectTimeoutThreshold", connectTimeoutThreshold);
+  }
+
+  private static void require(boolean isValid, String limit, double found) {
+    if (!isValid) {
+      throw new IllegalArgumentException("membership limit out of range: " + limit + " " + found);
     }
   }
 
-  /** The defaults; {@code warm} is the platform's time (ms) for a server to get warm. */
+  /** The defaults for other installations than the platform. */
   public static MembershipLimits defaults(double warmUpMs) {
     return new MembershipLimits(
         100, 1600, 10_000, 0.5, 2000, 30_000, 1000, 2000, 2000, 5000, warmUpMs, 2, 3);
   }
 
   /**
-   * The limits on the platform, whose page has it that what a whole list does not name is gone,
-   * also where it still answers: no list is held but an empty one.
+   * The limits on the platform, whose rule is that an endpoint which a complete list lacks is
+   * removed, also while it still responds: only an empty list is not applied at once.
    */
   public static MembershipLimits platform(double warmUpMs) {
     MembershipLimits defaults = defaults(warmUpMs);
@@ -74,7 +86,7 @@
         defaults.recoveryDelayMs,
         defaults.maxRecoveryDelayMs,
         defaults.flapWindowMs,
-        EMPTY_ONLY,
+        EMPTY_LISTS_ONLY,
         defaults.shrunkListQuarantineMs,
         defaults.emptyListQuarantineMs,
         defaults.livenessWindowMs,
--- a/src/main/java/edgenode/net/discovery/AgentSource.java
+++ b/src/main/java/edgenode/net/discovery/AgentSource.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JacksonException;
 import edgenode.eventloop.EdgeEventLoop;
 import edgenode.membership.EndpointSource;
+import edgenode.membership.EndpointSourceListener;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/edgenode/net/discovery/DnsSrvSource.java
+++ b/src/main/java/edgenode/net/discovery/DnsSrvSource.java
@@ -3,6 +3,7 @@
 import edgenode.eventloop.EdgeEventLoop;
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.EndpointSource;
+import edgenode.membership.EndpointSourceListener;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/edgenode/net/discovery/EdsSource.java
+++ b/src/main/java/edgenode/net/discovery/EdsSource.java
@@ -6,6 +6,7 @@
 import edgenode.config.NodeConfig;
 import edgenode.eventloop.EdgeEventLoop;
 import edgenode.membership.DiscoveredEndpoint;
+import edgenode.membership.EndpointSourceListener;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/edgenode/net/discovery/HttpPollingSource.java
+++ b/src/main/java/edgenode/net/discovery/HttpPollingSource.java
@@ -3,6 +3,7 @@
 import edgenode.eventloop.EdgeEventLoop;
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.EndpointSource;
+import edgenode.membership.EndpointSourceListener;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/edgenode/net/discovery/MembershipService.java
+++ b/src/main/java/edgenode/net/discovery/MembershipService.java
@@ -4,8 +4,11 @@
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.EndpointHealthListener;
 import edgenode.membership.EndpointSource;
+import edgenode.membership.EndpointSourceListener;
 import edgenode.membership.Membership;
 import edgenode.membership.MembershipLimits;
+import edgenode.membership.MembershipStats;
+import edgenode.membership.MembershipUpdate;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -17,8 +20,7 @@
  * Carries out what {@link Membership} decides: feeds it what sources and connections say, and tells
  * its view.
  */
-public final class MembershipService
-    implements EndpointSource.EndpointSourceListener, EndpointHealthListener {
+public final class MembershipService implements EndpointSourceListener, EndpointHealthListener {
   /** Who is told the view. */
   public interface MembershipListener {
     /** Servers that have changed, or all where whole. */
@@ -39,8 +41,7 @@
 
   /** How a source is made. */
   public interface SourceFactory {
-    EndpointSource create(
-        EdgeEventLoop loop, EndpointSource.EndpointSourceListener listener, String sourceId);
+    EndpointSource create(EdgeEventLoop loop, EndpointSourceListener listener, String sourceId);
   }
 
   /** A place that tells of servers; its name is compared, and told in the log. */
@@ -175,7 +176,7 @@
     return of + (spaces++ == 0 ? "" : "#" + spaces);
   }
 
-  public Membership.MembershipStats stats() {
+  public MembershipStats stats() {
     return core.stats(loop.nowMs());
   }
 
@@ -237,8 +238,8 @@
 
   @Override
   public void responded(String id) {
-    Membership.MembershipUpdate changes = core.responded(loop.nowMs(), id);
-    if (changes != Membership.MembershipUpdate.NONE) { // as with nearly every answer
+    MembershipUpdate changes = core.responded(loop.nowMs(), id);
+    if (changes != MembershipUpdate.NONE) { // as with nearly every answer
       apply(changes);
     }
   }
@@ -255,7 +256,7 @@
 
   // ---- the view ----
 
-  private void apply(Membership.MembershipUpdate changes) {
+  private void apply(MembershipUpdate changes) {
     for (String note : changes.messages()) {
       loop.logLine("servers: " + note);
     }
--- a/src/main/java/edgenode/node/EdgeNode.java
+++ b/src/main/java/edgenode/node/EdgeNode.java
@@ -9,8 +9,8 @@
 import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.ledger.RequestLedger;
 import edgenode.membership.DiscoveredEndpoint;
-import edgenode.membership.Membership;
 import edgenode.membership.MembershipLimits;
+import edgenode.membership.MembershipStats;
 import edgenode.net.counter.CounterClient;
 import edgenode.net.discovery.EndpointListJson;
 import edgenode.net.discovery.EndpointSources;
@@ -1041,7 +1041,7 @@
 
   @Override
   public String telemetryJson() {
-    Membership.MembershipStats members = discovery.stats();
+    MembershipStats members = discovery.stats();
     int avoided = policy == null ? 0 : policy.ejectedCount(loop.nowMs());
     String state = notReadyReason();
     boolean addsUp = checkFigures(false);
--- a/src/main/java/edgenode/node/TelemetryJson.java
+++ b/src/main/java/edgenode/node/TelemetryJson.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import edgenode.idempotency.IdempotencyIndex;
 import edgenode.ledger.RequestLedger;
-import edgenode.membership.Membership;
+import edgenode.membership.MembershipStats;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
@@ -33,7 +33,7 @@
       long open,
       IdempotencyIndex.IdempotencyMetrics repeats,
       Map<String, Object> store,
-      Membership.MembershipStats members,
+      MembershipStats members,
       int excluded,
       String state,
       boolean addsUp,
