--- a/src/main/java/edgenode/benchmark/Wires.java
+++ b/src/main/java/edgenode/benchmark/Wires.java
@@ -9,6 +9,7 @@
 import edgenode.membership.MembershipLimits;
 import edgenode.net.counter.CounterClient;
 import edgenode.net.discovery.EndpointListJson;
+import edgenode.net.discovery.MembershipListener;
 import edgenode.net.discovery.MembershipService;
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.resp.RespCodec;
@@ -172,7 +173,7 @@
 
   // ---- discovery on loopback ----
 
-  private static final class Looked implements MembershipService.MembershipListener {
+  private static final class Looked implements MembershipListener {
     @Override
     public void endpointsChanged(List<DiscoveredEndpoint> entries, boolean whole) {}
 
--- a/src/main/java/edgenode/net/discovery/ConsulSource.java
+++ b/src/main/java/edgenode/net/discovery/ConsulSource.java
@@ -18,51 +18,62 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Consul's {@code /v1/health/service/NAME} by blocking queries (its pages "Health HTTP endpoint"
- * and "Blocking queries"): the index of each answer goes with the next question, which then waits
- * for a change; an index that goes back, or is not above 0, starts again from none. The wait is
- * lengthened by up to a sixteenth of itself there.
+ * and "Blocking queries"). The index of each response goes with the next request, which then waits
+ * for a change; an index that goes back, or is not above 0, starts again from none. Consul
+ * lengthens the wait by up to a sixteenth of itself.
  *
- * <p>Checks map as: {@code passing} is up with the passing weight, {@code warning} up with the
- * warning weight, {@code maintenance} and {@code critical} take it out of service. A meta key
- * {@code born_ms} tells a start.
+ * <p>Checks: {@code passing} is up with the passing weight, {@code warning} is up with the warning
+ * weight, {@code maintenance} and {@code critical} are draining. The meta keys {@code born_ms},
+ * {@code block} and {@code class} give the start, cell and kind.
  */
 public final class ConsulSource extends HttpPollingSource {
-  private static final double SLACK = 1000;
-  private final String service;
-  private final double wait;
+  /** For the network and for a busy Consul, beyond the time that it waits for a change. */
+  private static final double TIMEOUT_SLACK_MS = 1000;
+
+  /** Without an index Consul does not wait: the next request is sent after a pause. */
+  private static final double PAUSE_WITHOUT_INDEX_MS = 1000;
+
+  private final String encodedService;
+  private final double waitMs;
   private final String token;
   private long index;
-  private String said = "";
+  private String lastSkipped = "";
 
   /**
+   * Creates a source that connects when it is started.
+   *
+   * @param sourceId the name that is given to the listener with each report
+   * @param service the name of the service
+   * @param waitMs how long a request waits for a change
    * @param token the ACL token, or null; never logged
    */
   public ConsulSource(
       EdgeEventLoop loop,
-      EndpointSourceListener sink,
+      EndpointSourceListener listener,
       InetSocketAddress address,
-      String space,
+      String sourceId,
       String service,
-      double wait,
+      double waitMs,
       String token) {
-    super(loop, sink, address, space);
-    this.service = URLEncoder.encode(service, StandardCharsets.UTF_8).replace("+", "%20");
-    this.wait = wait;
+    super(loop, listener, address, sourceId);
+    encodedService = URLEncoder.encode(service, StandardCharsets.UTF_8).replace("+", "%20");
+    this.waitMs = waitMs;
     this.token = token;
   }
 
   @Override
-  FullHttpRequest question() {
+  FullHttpRequest nextRequest() {
     DefaultFullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             HttpMethod.GET,
             "/v1/health/service/"
-                + service
-                + (index > 0 ? "?index=" + index + "&wait=" + Math.round(wait) + "ms" : ""));
+                + encodedService
+                + (index > 0 ? "?index=" + index + "&wait=" + Math.round(waitMs) + "ms" : ""));
     if (token != null) {
       request.headers().set("X-Consul-Token", token);
     }
@@ -70,44 +81,49 @@
   }
 
   @Override
-  double within() {
-    return index > 0 ? wait * 17 / 16 + SLACK : SLACK;
+  double responseTimeoutMs() {
+    return index > 0 ? waitMs * 17 / 16 + TIMEOUT_SLACK_MS : TIMEOUT_SLACK_MS;
   }
 
   @Override
-  double pause() {
-    return index > 0 ? 0 : SLACK; // without an index it would not wait there
+  double pauseMs() {
+    return index > 0 ? 0 : PAUSE_WITHOUT_INDEX_MS;
   }
 
   @Override
-  void forget() {
+  void forgetLastResponse() {
     index = 0;
   }
 
   @Override
-  List<DiscoveredEndpoint> answer(FullHttpResponse response) throws IOException {
-    JsonValue all = JsonValue.parse(bytes(response.content()));
-    if (!all.isArray()) {
+  Optional<List<DiscoveredEndpoint>> parse(FullHttpResponse response) throws IOException {
+    JsonValue instances = JsonValue.parse(copyOf(response.content()));
+    if (!instances.isArray()) {
       throw new IOException("an array expected");
     }
-    List<DiscoveredEndpoint> entries = new ArrayList<>();
-    for (JsonValue each : all.elements()) {
+    List<DiscoveredEndpoint> endpoints = new ArrayList<>();
+    for (JsonValue instance : instances.elements()) {
       try {
-        entries.add(entry(each));
+        endpoints.add(parseInstance(instance));
       } catch (IllegalArgumentException e) {
-        if (!said.equals(e.getMessage())) {
-          said = e.getMessage();
-          loop.logLine("discovery: an instance at " + space + " is left out: " + said);
-        }
+        reportSkipped(e.getMessage());
       }
     }
-    long told = index(response.headers().get("X-Consul-Index"));
-    boolean same = told == index && index > 0; // the wait is over, nothing has changed
-    index = told < index ? 0 : told;
-    return same ? null : entries;
+    long newIndex = parseIndex(response.headers().get("X-Consul-Index"));
+    boolean isUnchanged = newIndex == index && index > 0; // the wait has ended without a change
+    index = newIndex < index ? 0 : newIndex;
+    return isUnchanged ? Optional.empty() : Optional.of(endpoints);
+  }
+
+  /** Logged once in a row: the same fault comes with every response. */
+  private void reportSkipped(String reason) {
+    if (!lastSkipped.equals(reason)) {
+      lastSkipped = reason;
+      loop.logLine("discovery: skipped an instance from " + sourceId + ": " + reason);
+    }
   }
 
-  private static long index(String text) {
+  private static long parseIndex(String text) {
     try {
       return text == null ? 0 : Math.max(0, Long.parseLong(text.trim()));
     } catch (NumberFormatException e) {
@@ -115,34 +131,30 @@
     }
   }
 
-  private static DiscoveredEndpoint entry(JsonValue each) {
-    JsonValue service = each.get("Service");
+  private static DiscoveredEndpoint parseInstance(JsonValue instance) {
+    JsonValue service = instance.get("Service");
     String host = service.get("Address").textOr("");
-    host = host.isEmpty() ? each.get("Node").get("Address").textOr("") : host;
-    String dial =
-        (host.indexOf(':') >= 0 ? "[" + host + "]" : host)
-            + ":"
-            + (int) service.get("Port").numberOr(0);
-    NodeConfig.parseAddress(dial);
-    boolean warning = false;
-    boolean out = false;
-    for (JsonValue check : each.get("Checks").elements()) {
+    host = host.isEmpty() ? instance.get("Node").get("Address").textOr("") : host;
+    String address = addressOf(host, (int) service.get("Port").numberOr(0));
+    NodeConfig.parseAddress(address);
+    boolean isWarning = false;
+    boolean isOutOfService = false;
+    for (JsonValue check : instance.get("Checks").elements()) {
       String status = check.get("Status").textOr("");
-      warning |= status.equals("warning");
-      out |= !status.equals("warning") && !status.equals("passing");
+      isWarning |= status.equals("warning");
+      isOutOfService |= !status.equals("warning") && !status.equals("passing");
     }
-    JsonValue weights = service.get("Weights");
-    double weight = weights.get(warning ? "Warning" : "Passing").numberOr(1);
+    double weight = service.get("Weights").get(isWarning ? "Warning" : "Passing").numberOr(1);
     JsonValue meta = service.get("Meta");
     return new DiscoveredEndpoint(
         new EndpointInfo(
             service.get("ID").textOr(""),
             (int) meta.get("block").numberOr(0),
-            each.get("Node").get("Datacenter").textOr(""),
-            out || weight <= 0 ? EndpointState.DRAINING : EndpointState.UP,
+            instance.get("Node").get("Datacenter").textOr(""),
+            isOutOfService || weight <= 0 ? EndpointState.DRAINING : EndpointState.UP,
             meta.get("class").textOr(""),
             meta.get("born_ms").numberOr(0),
             Math.max(0, weight)),
-        dial);
+        address);
   }
 }
--- a/src/main/java/edgenode/net/discovery/EdsSource.java
+++ b/src/main/java/edgenode/net/discovery/EdsSource.java
@@ -3,12 +3,9 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import edgenode.config.JsonValue;
-import edgenode.config.NodeConfig;
 import edgenode.eventloop.EdgeEventLoop;
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.EndpointSourceListener;
-import edgenode.policy.EndpointInfo;
-import edgenode.policy.EndpointState;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -21,49 +18,57 @@
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Envoy's endpoint discovery over REST (xDS protocol, "REST-JSON polling subscriptions"): a POST to
- * {@code /v3/discovery:endpoints} each so often, with the version and the nonce of the answer
- * before; an answer that cannot be used is rejected with {@code error_detail} and the version that
- * is still in force. Both spellings of proto3 JSON are read.
- *
- * <p>{@code HEALTHY} and {@code UNKNOWN} are up, {@code DEGRADED} is up with a tenth of its weight,
- * {@code DRAINING}, {@code UNHEALTHY} and {@code TIMEOUT} are out of service. Only the first
- * priority that has an endpoint counts.
+ * {@code /v3/discovery:endpoints} at an interval, with the version and the nonce of the last
+ * response. A response that cannot be used is rejected with {@code error_detail} and the version
+ * that stays in force. {@link EdsResponse} has the meaning of a response.
  */
 public final class EdsSource extends HttpPollingSource {
-  private static final String TYPE =
-      "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
   private static final JsonFactory FACTORY = new JsonFactory();
-  private static final double WITHIN = 1000;
-  private static final double DEGRADED = 0.1;
-  private static final int MESSAGE = 200;
+  private static final double RESPONSE_TIMEOUT_MS = 1000;
+
+  /** The code of an {@code error_detail}: a {@code google.rpc.Code}. */
+  private static final int INVALID_ARGUMENT = 3;
+
+  private static final int MAX_ERROR_CHARS = 200;
+
   private final String cluster;
   private final String nodeId;
-  private final double refresh;
-  private String version = "";
-  private String nonce = "";
-  private String rejected;
+  private final double refreshMs;
+  private String versionInForce = "";
+  private String lastNonce = "";
+
+  /** Why the last response was rejected, null where it was not. */
+  private String rejectionReason;
 
+  /**
+   * Creates a source that connects when it is started.
+   *
+   * @param sourceId the name that is given to the listener with each report
+   * @param cluster the cluster whose endpoints are requested
+   * @param nodeId the id under which this node asks
+   * @param refreshMs the time between a response and the next request
+   */
   public EdsSource(
       EdgeEventLoop loop,
-      EndpointSourceListener sink,
+      EndpointSourceListener listener,
       InetSocketAddress address,
-      String space,
+      String sourceId,
       String cluster,
       String nodeId,
-      double refresh) {
-    super(loop, sink, address, space);
+      double refreshMs) {
+    super(loop, listener, address, sourceId);
     this.cluster = cluster;
     this.nodeId = nodeId;
-    this.refresh = refresh;
+    this.refreshMs = refreshMs;
   }
 
   @Override
-  FullHttpRequest question() {
+  FullHttpRequest nextRequest() {
     byte[] body = discoveryRequest().getBytes(StandardCharsets.UTF_8);
     DefaultFullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -80,132 +85,77 @@
 
   private String discoveryRequest() {
     StringWriter text = new StringWriter();
-    try (JsonGenerator out = FACTORY.createGenerator(text)) {
-      out.writeStartObject();
-      out.writeStringField("version_info", version);
-      out.writeObjectFieldStart("node");
-      out.writeStringField("id", nodeId);
-      out.writeEndObject();
-      out.writeArrayFieldStart("resource_names");
-      out.writeString(cluster);
-      out.writeEndArray();
-      out.writeStringField("type_url", TYPE);
-      out.writeStringField("response_nonce", nonce);
-      if (rejected != null) {
-        out.writeObjectFieldStart("error_detail");
-        out.writeNumberField("code", 3); // INVALID_ARGUMENT
-        out.writeStringField("message", rejected);
-        out.writeEndObject();
+    try (JsonGenerator json = FACTORY.createGenerator(text)) {
+      json.writeStartObject();
+      json.writeStringField("version_info", versionInForce);
+      json.writeObjectFieldStart("node");
+      json.writeStringField("id", nodeId);
+      json.writeEndObject();
+      json.writeArrayFieldStart("resource_names");
+      json.writeString(cluster);
+      json.writeEndArray();
+      json.writeStringField("type_url", EdsResponse.TYPE_URL);
+      json.writeStringField("response_nonce", lastNonce);
+      if (rejectionReason != null) {
+        json.writeObjectFieldStart("error_detail");
+        json.writeNumberField("code", INVALID_ARGUMENT);
+        json.writeStringField("message", rejectionReason);
+        json.writeEndObject();
       }
-      out.writeEndObject();
+      json.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // a writer to memory has none
+      throw new UncheckedIOException(e); // writing to memory does not fail
     }
     return text.toString();
   }
 
   @Override
-  double within() {
-    return WITHIN;
+  double responseTimeoutMs() {
+    return RESPONSE_TIMEOUT_MS;
   }
 
   @Override
-  double pause() {
-    return refresh;
+  double pauseMs() {
+    return refreshMs;
   }
 
   @Override
-  void forget() {
-    nonce = "";
-  }
-
-  private static JsonValue get(JsonValue in, String snake, String camel) {
-    JsonValue found = in.get(snake);
-    return found.isNull() ? in.get(camel) : found;
+  void forgetLastResponse() {
+    lastNonce = "";
   }
 
   @Override
-  List<DiscoveredEndpoint> answer(FullHttpResponse response) throws IOException {
-    JsonValue all = JsonValue.parse(bytes(response.content()));
-    String toldNonce = all.get("nonce").textOr("");
-    String told = get(all, "version_info", "versionInfo").textOr("");
-    if (!told.isEmpty() && told.equals(version)) {
-      nonce = toldNonce;
-      return null;
+  Optional<List<DiscoveredEndpoint>> parse(FullHttpResponse response) throws IOException {
+    EdsResponse answer = new EdsResponse(JsonValue.parse(copyOf(response.content())));
+    lastNonce = answer.nonce();
+    String version = answer.version();
+    if (!version.isEmpty() && version.equals(versionInForce)) {
+      return Optional.empty();
     }
     try {
-      List<DiscoveredEndpoint> entries = entries(all);
-      version = told;
-      nonce = toldNonce;
-      rejected = null;
-      return entries;
-    } catch (IllegalArgumentException e) { // the list in force stays; it is told why
-      nonce = toldNonce;
-      String text = String.valueOf(e.getMessage());
-      boolean news = !text.equals(rejected);
-      rejected = text.length() > MESSAGE ? text.substring(0, MESSAGE) : text;
-      if (news) {
-        loop.logLine("discovery: version '" + told + "' at " + space + " is rejected: " + rejected);
-      }
-      return null;
+      List<DiscoveredEndpoint> endpoints = answer.endpoints(cluster);
+      versionInForce = version;
+      rejectionReason = null;
+      return Optional.of(endpoints);
+    } catch (IllegalArgumentException e) { // the list in force stays
+      reject(version, String.valueOf(e.getMessage()));
+      return Optional.empty();
     }
   }
 
-  private List<DiscoveredEndpoint> entries(JsonValue all) {
-    String type = get(all, "type_url", "typeUrl").textOr(TYPE);
-    if (!type.equals(TYPE)) {
-      throw new IllegalArgumentException("type " + type);
-    }
-    if (!all.get("resources").isArray()) {
-      throw new IllegalArgumentException("no resources");
-    }
-    for (JsonValue resource : all.get("resources").elements()) {
-      if (get(resource, "cluster_name", "clusterName").textOr("").equals(cluster)) {
-        return assignment(resource);
-      }
-    }
-    throw new IllegalArgumentException("no resource for cluster " + cluster);
-  }
-
-  private static List<DiscoveredEndpoint> assignment(JsonValue resource) {
-    double first =
-        resource.get("endpoints").elements().stream()
-            .filter(l -> !get(l, "lb_endpoints", "lbEndpoints").elements().isEmpty())
-            .mapToDouble(l -> l.get("priority").numberOr(0))
-            .min()
-            .orElse(0);
-    List<DiscoveredEndpoint> entries = new ArrayList<>();
-    for (JsonValue locality : resource.get("endpoints").elements()) {
-      if (locality.get("priority").numberOr(0) != first) {
-        continue;
-      }
-      String zone = locality.get("locality").get("zone").textOr("");
-      for (JsonValue each : get(locality, "lb_endpoints", "lbEndpoints").elements()) {
-        JsonValue at = get(each.get("endpoint").get("address"), "socket_address", "socketAddress");
-        String host = at.get("address").textOr("");
-        String dial =
-            (host.indexOf(':') >= 0 ? "[" + host + "]" : host)
-                + ":"
-                + (int) get(at, "port_value", "portValue").numberOr(0);
-        NodeConfig.parseAddress(dial);
-        String health = get(each, "health_status", "healthStatus").textOr("UNKNOWN");
-        boolean up =
-            health.equals("HEALTHY") || health.equals("UNKNOWN") || health.equals("DEGRADED");
-        double weight = get(each, "load_balancing_weight", "loadBalancingWeight").numberOr(1);
-        String name = each.get("endpoint").get("hostname").textOr("");
-        entries.add(
-            new DiscoveredEndpoint(
-                new EndpointInfo(
-                    name.isEmpty() ? dial : name,
-                    0,
-                    zone,
-                    up && weight > 0 ? EndpointState.UP : EndpointState.DRAINING,
-                    "",
-                    0,
-                    Math.max(0, health.equals("DEGRADED") ? DEGRADED * weight : weight)),
-                dial));
-      }
+  /** The next request gives the reason; it is logged once in a row. */
+  private void reject(String version, String reason) {
+    boolean isNew = !reason.equals(rejectionReason);
+    rejectionReason =
+        reason.length() > MAX_ERROR_CHARS ? reason.substring(0, MAX_ERROR_CHARS) : reason;
+    if (isNew) {
+      loop.logLine(
+          "discovery: rejected version '"
+              + version
+              + "' from "
+              + sourceId
+              + ": "
+              + rejectionReason);
     }
-    return entries;
   }
 }
--- a/src/main/java/edgenode/net/discovery/EndpointSources.java
+++ b/src/main/java/edgenode/net/discovery/EndpointSources.java
@@ -10,65 +10,80 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * The places of the operators' settings, in their order. Loaded only where there are such settings.
- */
+/** The sources that the operators' settings name. Loaded only where there are such settings. */
 public final class EndpointSources {
   private EndpointSources() {}
 
   /**
-   * @param agent this platform's own place, for where the settings name it
+   * The sources in the order of the settings.
+   *
+   * @param agent this platform's own source, for where the settings name it
+   * @throws UncheckedIOException where the file of a token cannot be read
    */
-  public static List<MembershipService.SourceDefinition> fromSettings(
-      OperatorSettings settings, MembershipService.SourceDefinition agent) {
-    List<MembershipService.SourceDefinition> places = new ArrayList<>();
-    for (String each : settings.sources()) {
-      places.add(
-          switch (each) {
+  public static List<SourceDefinition> fromSettings(
+      OperatorSettings settings, SourceDefinition agent) {
+    List<SourceDefinition> definitions = new ArrayList<>();
+    for (String name : settings.sources()) {
+      definitions.add(
+          switch (name) {
             case OperatorSettings.CONSUL -> consul(settings.consul());
             case OperatorSettings.EDS -> eds(settings.eds());
             case OperatorSettings.DNS_SRV -> dnsSrv(settings.dnsSrv());
             default -> agent;
           });
     }
-    return places;
+    return definitions;
   }
 
-  static MembershipService.SourceDefinition consul(OperatorSettings.ConsulSettings told) {
-    InetSocketAddress address = NodeConfig.parseAddress(told.address());
-    String token = secret(told.tokenFile());
-    return new MembershipService.SourceDefinition(
-        "consul " + told.address() + " " + told.service(),
-        (loop, sink, space) ->
-            new ConsulSource(loop, sink, address, space, told.service(), told.maxWaitMs(), token));
+  static SourceDefinition consul(OperatorSettings.ConsulSettings settings) {
+    InetSocketAddress address = NodeConfig.parseAddress(settings.address());
+    String token = readToken(settings.tokenFile());
+    return new SourceDefinition(
+        "consul " + settings.address() + " " + settings.service(),
+        (loop, listener, sourceId) ->
+            new ConsulSource(
+                loop,
+                listener,
+                address,
+                sourceId,
+                settings.service(),
+                settings.maxWaitMs(),
+                token));
   }
 
-  static MembershipService.SourceDefinition eds(OperatorSettings.EdsSettings told) {
-    InetSocketAddress address = NodeConfig.parseAddress(told.address());
-    return new MembershipService.SourceDefinition(
-        "eds " + told.address() + " " + told.cluster(),
-        (loop, sink, space) ->
+  static SourceDefinition eds(OperatorSettings.EdsSettings settings) {
+    InetSocketAddress address = NodeConfig.parseAddress(settings.address());
+    return new SourceDefinition(
+        "eds " + settings.address() + " " + settings.cluster(),
+        (loop, listener, sourceId) ->
             new EdsSource(
-                loop, sink, address, space, told.cluster(), told.nodeId(), told.refreshMs()));
+                loop,
+                listener,
+                address,
+                sourceId,
+                settings.cluster(),
+                settings.nodeId(),
+                settings.refreshMs()));
   }
 
-  static MembershipService.SourceDefinition dnsSrv(OperatorSettings.DnsSrvSettings told) {
-    List<InetSocketAddress> servers =
-        told.nameServers().stream().map(NodeConfig::parseAddress).toList();
-    return new MembershipService.SourceDefinition(
-        "dns " + told.name(),
-        (loop, sink, space) ->
+  static SourceDefinition dnsSrv(OperatorSettings.DnsSrvSettings settings) {
+    List<InetSocketAddress> nameServers =
+        settings.nameServers().stream().map(NodeConfig::parseAddress).toList();
+    return new SourceDefinition(
+        "dns " + settings.name(),
+        (loop, listener, sourceId) ->
             new DnsSrvSource(
                 loop,
-                sink,
-                servers,
-                space,
-                told.name(),
-                told.minIntervalMs(),
-                told.maxIntervalMs()));
+                listener,
+                nameServers,
+                sourceId,
+                settings.name(),
+                settings.minIntervalMs(),
+                settings.maxIntervalMs()));
   }
 
-  private static String secret(Path file) {
+  /** The token in a file, or null where none is named. */
+  private static String readToken(Path file) {
     try {
       return file == null ? null : Files.readString(file).strip();
     } catch (IOException e) {
--- a/src/main/java/edgenode/net/discovery/HttpPollingSource.java
+++ b/src/main/java/edgenode/net/discovery/HttpPollingSource.java
@@ -20,207 +20,237 @@
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
+import java.net.SocketException;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * A source that asks one question after another over HTTP, on one connection that is kept: an
- * answer within a time, whole and of a bounded length, or the question is asked again on a new
- * connection after a {@link ExponentialBackoffPolicy}.
+ * A source that sends one request after another over HTTP, on one connection that stays open. A
+ * response must come within a time, complete and of a bounded length; otherwise the request is sent
+ * again on a new connection after an {@link ExponentialBackoffPolicy}. Lives on the event loop.
  */
 abstract class HttpPollingSource implements EndpointSource {
-  /** No list is as long as this (bytes). */
-  static final int LONGEST = 8 << 20;
+  /** No list is as long as this. */
+  private static final int MAX_LIST_BYTES = 8 << 20;
 
-  private static final double BACKOFF = 50;
-  private static final int CONNECT = 1000;
+  private static final double INITIAL_BACKOFF_MS = 50;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
   final EdgeEventLoop loop;
-  final String space;
-  private final EndpointSourceListener sink;
+  final String sourceId;
+  private final EndpointSourceListener listener;
   private final InetSocketAddress address;
   private final Bootstrap bootstrap;
-  private Channel channel;
-  private boolean left;
-  private boolean waiting;
-  private boolean connecting;
-  private Future<?> next;
-  private int turn;
-  private int open;
   private final ExponentialBackoffPolicy backoff;
+  private Channel channel;
+  private boolean isRetired;
+  private boolean isAwaitingResponse;
+  private boolean isConnecting;
+  private Future<?> nextRequest;
+  private int requestNumber;
+  private int openConnections;
+
+  /** Counts the lists that differ: none of these protocols orders its versions as needed here. */
   private long version;
-  private List<DiscoveredEndpoint> before;
+
+  private List<DiscoveredEndpoint> lastList;
 
   HttpPollingSource(
-      EdgeEventLoop loop, EndpointSourceListener sink, InetSocketAddress address, String space) {
+      EdgeEventLoop loop,
+      EndpointSourceListener listener,
+      InetSocketAddress address,
+      String sourceId) {
     this.loop = loop;
-    this.sink = sink;
+    this.listener = listener;
     this.address = address;
-    this.space = space;
-    bootstrap = loop.transport().newClientBootstrap(loop.group(), CONNECT);
-    backoff = new ExponentialBackoffPolicy(BACKOFF, loop.nowMs());
+    this.sourceId = sourceId;
+    bootstrap = loop.transport().newClientBootstrap(loop.group(), CONNECT_TIMEOUT_MS);
+    backoff = new ExponentialBackoffPolicy(INITIAL_BACKOFF_MS, loop.nowMs());
   }
 
-  /** The next question. */
-  abstract FullHttpRequest question();
+  /** The next request. */
+  abstract FullHttpRequest nextRequest();
 
-  /** How long its answer may take (ms). */
-  abstract double within();
+  /** How long its response may take (ms). */
+  abstract double responseTimeoutMs();
 
   /**
-   * Reads an answer of status 200: the whole list, or null where nothing has changed.
+   * Parses a response with status 200.
    *
-   * @throws IOException where it cannot be understood; the question is asked again
+   * @return the complete list; empty where nothing has changed
+   * @throws IOException where it cannot be understood; the request is sent again
    */
-  abstract List<DiscoveredEndpoint> answer(FullHttpResponse response) throws IOException;
+  abstract Optional<List<DiscoveredEndpoint>> parse(FullHttpResponse response) throws IOException;
 
-  /** How long to wait until the next question (ms). */
-  abstract double pause();
+  /** How long to wait before the next request (ms). */
+  abstract double pauseMs();
 
-  /** The last answer was not used: what it said must not be taken for known. */
-  abstract void forget();
+  /** The last response was not used: the next request must not refer to it. */
+  abstract void forgetLastResponse();
 
   @Override
   public final void start() {
-    ask();
+    request();
   }
 
   @Override
   public final void resync() {
-    forget();
-    before = null;
+    forgetLastResponse();
+    lastList = null;
     if (channel != null) {
       Channel old = channel;
       channel = null;
-      waiting = false;
+      isAwaitingResponse = false;
       old.close();
-      ask();
+      request();
     }
   }
 
   @Override
-  public final void retire(double within) {
-    left = true;
+  public final void retire(double graceMs) {
+    isRetired = true;
     if (channel != null) {
       channel.close();
-    } else if (open == 0) {
-      sink.sourceClosed(space);
+    } else if (openConnections == 0) {
+      listener.sourceClosed(sourceId);
     }
   }
 
-  final String host() {
-    return address.getHostString() + ":" + address.getPort();
-  }
+  // ---- requests ----
 
-  private void ask() {
-    if (left || waiting || connecting) {
+  private void request() {
+    if (isRetired || isAwaitingResponse || isConnecting) {
       return;
     }
     if (channel == null) {
       connect();
       return;
     }
-    waiting = true;
-    int now = ++turn;
-    FullHttpRequest question = question();
-    question.headers().set(HttpHeaderNames.HOST, host());
-    channel.writeAndFlush(question);
-    loop.schedule(
-        within(),
-        () -> {
-          if (waiting && turn == now && channel != null) {
-            loop.logLine(
-                "discovery: no answer from " + space + " within " + Math.round(within()) + " ms");
-            channel.close();
-          }
-        });
+    isAwaitingResponse = true;
+    requestNumber++;
+    FullHttpRequest request = nextRequest();
+    request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
+    channel.writeAndFlush(request);
+    int number = requestNumber;
+    loop.schedule(responseTimeoutMs(), () -> checkTimeout(number));
   }
 
-  /** One chain of questions only, however often it is asked anew. */
-  private void askAfter(double ms) {
-    if (next != null) {
-      next.cancel(false);
+  private void checkTimeout(int number) {
+    if (isAwaitingResponse && requestNumber == number && channel != null) {
+      loop.logLine(
+          "discovery: no response from "
+              + sourceId
+              + " within "
+              + Math.round(responseTimeoutMs())
+              + " ms");
+      channel.close();
     }
-    next = loop.schedule(ms, this::ask);
+  }
+
+  /** Sends the next request after a time; one that was scheduled before is dropped. */
+  private void requestAfter(double delayMs) {
+    if (nextRequest != null) {
+      nextRequest.cancel(false);
+    }
+    nextRequest = loop.schedule(delayMs, this::request);
   }
 
   private void connect() {
-    open++;
-    connecting = true;
+    openConnections++;
+    isConnecting = true;
     bootstrap
         .clone()
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
-              protected void initChannel(Channel c) {
-                c.pipeline()
+              protected void initChannel(Channel newChannel) {
+                newChannel
+                    .pipeline()
                     .addLast(
-                        new HttpClientCodec(), new HttpObjectAggregator(LONGEST), new Answers());
+                        new HttpClientCodec(),
+                        new HttpObjectAggregator(MAX_LIST_BYTES),
+                        new ResponseHandler());
               }
             })
         .connect(loop.transport().toSocketAddress(address))
         .addListener(
-            f -> {
-              connecting = false;
-              if (!f.isSuccess()) {
-                open--;
+            result -> {
+              isConnecting = false;
+              if (!result.isSuccess()) {
+                openConnections--;
                 failed(
-                    f.cause() instanceof ConnectException
-                        && !(f.cause() instanceof ConnectTimeoutException));
+                    result.cause() instanceof ConnectException
+                        && !(result.cause() instanceof ConnectTimeoutException));
               }
             });
   }
 
-  private void failed(boolean refused) {
-    waiting = false;
-    if (left) {
-      if (open == 0) {
-        sink.sourceClosed(space);
-      }
+  private void failed(boolean isRefused) {
+    isAwaitingResponse = false;
+    if (isRetired) {
+      reportIfClosed();
       return;
     }
-    forget();
-    sink.requestFailed(space, refused);
-    askAfter(backoff.nextDelayMs());
+    forgetLastResponse();
+    listener.requestFailed(sourceId, isRefused);
+    requestAfter(backoff.nextDelayMs());
   }
 
-  private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private String why;
-    private boolean counted = true;
+  private void reportIfClosed() {
+    if (openConnections == 0) {
+      listener.sourceClosed(sourceId);
+    }
+  }
+
+  // ---- responses ----
+
+  private void report(List<DiscoveredEndpoint> list) {
+    if (list.equals(lastList)) {
+      listener.sourceConfirmed(sourceId);
+      return;
+    }
+    lastList = list;
+    version++;
+    listener.endpointsReceived(sourceId, version, true, list);
+  }
+
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private boolean isErrorLogged;
+    private boolean isCounted = true;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      if (left) {
+      if (isRetired) {
         ctx.close();
         return;
       }
       channel = ctx.channel();
-      connecting = false; // the connect's own listener comes after this
-      ask();
+      isConnecting = false; // the listener of the connect is notified after this
+      request();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse msg)
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response)
         throws IOException {
-      if (!waiting || msg.decoderResult().isFailure()) {
-        throw new IOException("no HTTP answer");
+      if (!isAwaitingResponse || response.decoderResult().isFailure()) {
+        throw new IOException("not an HTTP response");
       }
-      if (msg.status().code() != 200) {
-        throw new IOException("status " + msg.status().code());
+      if (response.status().code() != 200) {
+        throw new IOException("status " + response.status().code());
       }
-      List<DiscoveredEndpoint> told = answer(msg);
-      waiting = false;
+      Optional<List<DiscoveredEndpoint>> list = parse(response);
+      isAwaitingResponse = false;
       backoff.reset();
-      if (told == null || told.equals(before)) {
-        sink.sourceConfirmed(space);
+      if (list.isPresent()) {
+        report(list.get());
       } else {
-        before = told;
-        sink.endpointsReceived(space, ++version, true, told);
+        listener.sourceConfirmed(sourceId);
       }
-      if (msg.headers().contains(HttpHeaderNames.CONNECTION, "close", true)) {
+      if (response.headers().contains(HttpHeaderNames.CONNECTION, "close", true)) {
         channel = null;
         ctx.close();
       }
-      askAfter(pause());
+      requestAfter(pauseMs());
     }
 
     @Override
@@ -230,32 +260,38 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      open -= counted ? 1 : 0;
-      counted = false;
+      openConnections -= isCounted ? 1 : 0;
+      isCounted = false;
       if (ctx.channel() == channel) {
         channel = null;
-        if (waiting || left) {
+        if (isAwaitingResponse || isRetired) {
           failed(false);
-        } // else it was idle: the next question opens another
-      } else if (left && open == 0) {
-        sink.sourceClosed(space);
+        } // else it was idle: the next request opens another
+      } else if (isRetired) {
+        reportIfClosed();
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      String text = String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
-      if (why == null && !(cause instanceof java.net.SocketException)) {
-        why = text;
-        loop.logLine("discovery: an answer at " + space + " is not taken: " + text);
+      if (!isErrorLogged && !(cause instanceof SocketException)) {
+        isErrorLogged = true;
+        String firstLine = String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
+        loop.logLine("discovery: rejected a response from " + sourceId + ": " + firstLine);
       }
       ctx.close();
     }
   }
 
-  static byte[] bytes(ByteBuf content) {
-    byte[] all = new byte[content.readableBytes()];
-    content.getBytes(content.readerIndex(), all);
-    return all;
+  /** A copy of the readable bytes. */
+  static byte[] copyOf(ByteBuf content) {
+    byte[] bytes = new byte[content.readableBytes()];
+    content.getBytes(content.readerIndex(), bytes);
+    return bytes;
+  }
+
+  /** A host and a port as an address; an IPv6 host gets brackets. */
+  static String addressOf(String host, int port) {
+    return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + port;
   }
 }
--- a/src/main/java/edgenode/net/discovery/MembershipService.java
+++ b/src/main/java/edgenode/net/discovery/MembershipService.java
@@ -17,290 +17,274 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Carries out what {@link Membership} decides: feeds it what sources and connections say, and tells
- * its view.
+ * Carries out what {@link Membership} decides: passes on what sources and connections report, runs
+ * its timers, and notifies a {@link MembershipListener} of the view. Lives on the event loop.
  */
 public final class MembershipService implements EndpointSourceListener, EndpointHealthListener {
-  /** Who is told the view. */
-  public interface MembershipListener {
-    /** Servers that have changed, or all where whole. */
-    void endpointsChanged(List<DiscoveredEndpoint> endpoints, boolean isComplete);
+  /** How long a retired source may still report; the platform closes a former agent after 1.5 s. */
+  private static final double RETIREMENT_GRACE_MS = 2000;
 
-    /** A call to discovery failed. */
-    void discoveryFailed();
+  /** So many refused connects in a row are not the restart of an agent. */
+  private static final int REFUSED_CONNECT_THRESHOLD = 4;
 
-    /** Discovery refuses every connection. */
-    void discoveryRefused();
-
-    /**
-     * Tries a connect to a server, and tells {@link MembershipService#reachable} or {@link *
-     * Members#unreachable}.
-     */
-    void probeEndpoint(String id);
-  }
-
-  /** How a source is made. */
-  public interface SourceFactory {
-    EndpointSource create(EdgeEventLoop loop, EndpointSourceListener listener, String sourceId);
-  }
-
-  /** A place that tells of servers; its name is compared, and told in the log. */
-  public record SourceDefinition(String name, SourceFactory factory) {}
-
-  /**
-   * A source that was left may tell for so long (ms) still: the platform's old agent closes after
-   * 1.5 s.
-   */
-  private static final double LEFT = 2000;
-
-  /** So many refusals in a row are no restart of an agent. */
-  private static final int REFUSED = 4;
-
-  /** Between tries of a server that is dead or held (ms). */
-  private static final double TRY = 250;
+  private static final double PROBE_INTERVAL_MS = 250;
+  private static final int FAIL_OVER_CHECKS = 4;
 
   private final EdgeEventLoop loop;
-  private final MembershipListener view;
-  private final Membership core;
+  private final MembershipListener listener;
+  private final Membership membership;
   private final CompletableFuture<Void> ready = new CompletableFuture<>();
-  private final List<SourceDefinition> places;
-  private final double failOver;
-  private int at;
-  private double heardAt;
+  private final List<SourceDefinition> definitions;
+  private final double failOverMs;
+  private int definitionIndex;
+  private double confirmedAtMs;
   private EndpointSource source;
-  private String space;
-  private int spaces;
-  private int refused;
-  private boolean trying;
+  private String sourceId;
+  private int sourceCount;
+  private int refusedConnects;
+  private boolean isProbeScheduled;
   private Future<?> timer;
-  private double timerAt = Double.POSITIVE_INFINITY;
+  private double timerAtMs = Double.POSITIVE_INFINITY;
 
   /**
-   * @param places where servers are told, the first one first
-   * @param failOver after how long of silence (ms) the next place takes over, where there is one
+   * Creates a service that connects when it is started.
+   *
+   * @param definitions the sources, the first one to be used first
+   * @param failOverMs after how long without a report the next source takes over, where there is
+   *     one (ms)
    */
   public MembershipService(
       EdgeEventLoop loop,
-      MembershipListener view,
+      MembershipListener listener,
       MembershipLimits limits,
-      List<SourceDefinition> places,
-      double failOver) {
+      List<SourceDefinition> definitions,
+      double failOverMs) {
     this.loop = loop;
-    this.view = view;
-    this.places = new ArrayList<>(places);
-    this.failOver = failOver;
-    space = name(places.get(0).name());
-    core = new Membership(limits, space);
+    this.listener = listener;
+    this.definitions = new ArrayList<>(definitions);
+    this.failOverMs = failOverMs;
+    sourceId = newSourceId(definitions.get(0));
+    membership = new Membership(limits, sourceId);
   }
 
-  /** For this platform: the agent at an address. */
+  /** This platform's source: the agent at an address. */
   public static SourceDefinition agentSource(InetSocketAddress address) {
     return new SourceDefinition(
         address.getHostString() + ":" + address.getPort(),
-        (loop, sink, space) -> new AgentSource(loop, sink, address, space));
+        (loop, listener, sourceId) -> new AgentSource(loop, listener, address, sourceId));
   }
 
-  /** Done when discovery itself has told its list. */
+  /** Done when the source itself has reported its list. */
   public CompletableFuture<Void> ready() {
     return ready;
   }
 
-  /** What was known at the start serves until discovery answers; null where nothing was. */
-  public void start(EndpointListJson known) {
-    if (known != null) {
-      apply(core.loadInitialList(loop.nowMs(), known.version(), known.endpoints()));
+  /**
+   * Starts the first source.
+   *
+   * @param initialList a list that was known before, used until the source reports; null where
+   *     there is none
+   */
+  public void start(EndpointListJson initialList) {
+    if (initialList != null) {
+      apply(
+          membership.loadInitialList(loop.nowMs(), initialList.version(), initialList.endpoints()));
     }
-    begin();
-    if (places.size() > 1) {
-      loop.schedule(failOver / 4, this::watchOver);
+    startSource();
+    if (definitions.size() > 1) {
+      loop.schedule(failOverMs / FAIL_OVER_CHECKS, this::checkFailOver);
     }
   }
 
-  private void begin() {
-    heardAt = loop.nowMs();
-    source = places.get(at).factory.create(loop, this, space);
+  private void startSource() {
+    confirmedAtMs = loop.nowMs();
+    source = definitions.get(definitionIndex).factory().create(loop, this, sourceId);
     source.start();
   }
 
   /**
-   * A place is elsewhere now; the old one counts until the new one has told, and a while longer.
+   * Replaces a source by another, as after a change of its address. The former one counts until the
+   * new one has reported, and a while longer.
    */
   public void replaceSource(SourceDefinition current, SourceDefinition replacement) {
-    if (replacement.name.equals(current.name)) {
+    if (replacement.name().equals(current.name())) {
       return;
     }
-    for (int i = 0; i < places.size(); i++) {
-      if (places.get(i).name.equals(current.name)) {
-        places.set(i, replacement);
-        if (i == at) {
-          change(i);
+    for (int i = 0; i < definitions.size(); i++) {
+      if (definitions.get(i).name().equals(current.name())) {
+        definitions.set(i, replacement);
+        if (i == definitionIndex) {
+          switchTo(i);
         }
         return;
       }
     }
   }
 
-  private void change(int to) {
-    String before = space;
-    at = to;
-    space = name(places.get(to).name);
-    core.switchSource(loop.nowMs(), space);
-    loop.schedule(2 * LEFT, () -> sourceClosed(before)); // also where a connection of it never ends
+  private void switchTo(int index) {
+    String formerId = sourceId;
+    definitionIndex = index;
+    sourceId = newSourceId(definitions.get(index));
+    membership.switchSource(loop.nowMs(), sourceId);
+    // Also where one of its connections never ends.
+    loop.schedule(2 * RETIREMENT_GRACE_MS, () -> sourceClosed(formerId));
     if (source != null) {
-      source.retire(LEFT);
-      begin();
+      source.retire(RETIREMENT_GRACE_MS);
+      startSource();
     }
   }
 
-  /** The place in use may have fallen silent. */
-  private void watchOver() {
-    loop.schedule(failOver / 4, this::watchOver);
-    if (loop.nowMs() - heardAt >= failOver) {
-      int next = (at + 1) % places.size();
-      loop.logLine(
-          "servers: nothing from "
-              + space
-              + " for "
-              + Math.round(loop.nowMs() - heardAt)
-              + " ms, "
-              + places.get(next).name
-              + " takes over");
-      change(next);
+  private void checkFailOver() {
+    loop.schedule(failOverMs / FAIL_OVER_CHECKS, this::checkFailOver);
+    double silentMs = loop.nowMs() - confirmedAtMs;
+    if (silentMs < failOverMs) {
+      return;
     }
+    int next = (definitionIndex + 1) % definitions.size();
+    loop.logLine(
+        "membership: no update from "
+            + sourceId
+            + " for "
+            + Math.round(silentMs)
+            + " ms, failing over to "
+            + definitions.get(next).name());
+    switchTo(next);
   }
 
   /**
-   * Names of spaces differ, also where discovery moves back: it may have started anew meanwhile.
+   * A source that comes into use again gets another id: it may have been restarted meanwhile, with
+   * other versions.
    */
-  private String name(String of) {
-    return of + (spaces++ == 0 ? "" : "#" + spaces);
+  private String newSourceId(SourceDefinition definition) {
+    return definition.name() + (sourceCount++ == 0 ? "" : "#" + sourceCount);
   }
 
+  /** The view in figures. */
   public MembershipStats stats() {
-    return core.stats(loop.nowMs());
+    return membership.stats(loop.nowMs());
   }
 
   // ---- from sources ----
 
   @Override
-  public long resumeVersion(String of) {
-    return of.equals(space) ? core.resumeVersion() : -1;
+  public long resumeVersion(String reporterId) {
+    return reporterId.equals(sourceId) ? membership.resumeVersion() : -1;
   }
 
   @Override
   public void endpointsReceived(
-      String of, long seq, boolean whole, List<DiscoveredEndpoint> entries) {
-    apply(core.endpointsReceived(loop.nowMs(), of, seq, whole, entries));
-    heardOf(of);
+      String reporterId, long version, boolean isComplete, List<DiscoveredEndpoint> endpoints) {
+    apply(membership.endpointsReceived(loop.nowMs(), reporterId, version, isComplete, endpoints));
+    confirm(reporterId);
   }
 
   @Override
-  public boolean confirmUnchanged(String of, long seq) {
-    boolean same = core.confirmUnchanged(loop.nowMs(), of, seq);
-    if (same) {
-      heardOf(of);
+  public boolean confirmUnchanged(String reporterId, long version) {
+    boolean isUnchanged = membership.confirmUnchanged(loop.nowMs(), reporterId, version);
+    if (isUnchanged) {
+      confirm(reporterId);
     }
-    return same;
+    return isUnchanged;
   }
 
   @Override
-  public void sourceConfirmed(String of) {
-    apply(core.sourceConfirmed(loop.nowMs(), of));
-    heardOf(of);
+  public void sourceConfirmed(String reporterId) {
+    apply(membership.sourceConfirmed(loop.nowMs(), reporterId));
+    confirm(reporterId);
   }
 
-  private void heardOf(String of) {
-    if (of.equals(space)) {
-      heardAt = loop.nowMs();
-      refused = 0;
+  private void confirm(String reporterId) {
+    if (reporterId.equals(sourceId)) {
+      confirmedAtMs = loop.nowMs();
+      refusedConnects = 0;
       ready.complete(null);
     }
   }
 
   @Override
-  public void requestFailed(String of, boolean wasRefused) {
-    if (!of.equals(space)) {
+  public void requestFailed(String reporterId, boolean isRefused) {
+    if (!reporterId.equals(sourceId)) {
       return;
     }
-    refused = wasRefused ? refused + 1 : 0;
-    if (refused >= REFUSED) {
-      view.discoveryRefused();
+    refusedConnects = isRefused ? refusedConnects + 1 : 0;
+    if (refusedConnects >= REFUSED_CONNECT_THRESHOLD) {
+      listener.discoveryRefused();
     }
-    view.discoveryFailed();
+    listener.discoveryFailed();
   }
 
   @Override
-  public void sourceClosed(String of) {
-    apply(core.sourceClosed(loop.nowMs(), of));
+  public void sourceClosed(String reporterId) {
+    apply(membership.sourceClosed(loop.nowMs(), reporterId));
   }
 
-  // ---- from connections to servers ----
+  // ---- from connections to endpoints ----
 
   @Override
   public void responded(String id) {
-    MembershipUpdate changes = core.responded(loop.nowMs(), id);
-    if (changes != MembershipUpdate.NONE) { // as with nearly every answer
-      apply(changes);
+    MembershipUpdate update = membership.responded(loop.nowMs(), id);
+    if (update != MembershipUpdate.NONE) { // nearly every response changes nothing
+      apply(update);
     }
   }
 
   @Override
   public void connected(String id) {
-    apply(core.connected(loop.nowMs(), id));
+    apply(membership.connected(loop.nowMs(), id));
   }
 
   @Override
-  public void connectFailed(String id, boolean wasRefused, int standing) {
-    apply(core.connectFailed(loop.nowMs(), id, wasRefused, standing));
+  public void connectFailed(String id, boolean isRefused, int openConnections) {
+    apply(membership.connectFailed(loop.nowMs(), id, isRefused, openConnections));
   }
 
   // ---- the view ----
 
-  private void apply(MembershipUpdate changes) {
-    for (String note : changes.messages()) {
-      loop.logLine("servers: " + note);
+  private void apply(MembershipUpdate update) {
+    for (String message : update.messages()) {
+      loop.logLine("membership: " + message);
     }
-    if (!changes.endpoints().isEmpty()) {
-      view.endpointsChanged(changes.endpoints(), changes.isComplete());
+    if (!update.endpoints().isEmpty()) {
+      listener.endpointsChanged(update.endpoints(), update.isComplete());
     }
-    if (changes.mustResync() && source != null) {
+    if (update.mustResync() && source != null) {
       source.resync();
     }
-    tryOut();
-    arm();
+    scheduleProbes();
+    scheduleTick();
   }
 
-  private void tryOut() {
-    if (trying || core.endpointsToProbe().isEmpty()) {
+  private void scheduleProbes() {
+    if (isProbeScheduled || membership.endpointsToProbe().isEmpty()) {
       return;
     }
-    trying = true;
+    isProbeScheduled = true;
     loop.schedule(
-        TRY,
+        PROBE_INTERVAL_MS,
         () -> {
-          trying = false;
-          Collection<String> all = new ArrayList<>(core.endpointsToProbe());
-          all.forEach(view::probeEndpoint);
-          tryOut();
+          isProbeScheduled = false;
+          Collection<String> ids = new ArrayList<>(membership.endpointsToProbe());
+          ids.forEach(listener::probeEndpoint);
+          scheduleProbes();
         });
   }
 
-  private void arm() {
-    double at = core.nextTickMs();
-    if (at >= timerAt) {
+  private void scheduleTick() {
+    double atMs = membership.nextTickMs();
+    if (atMs >= timerAtMs) {
       return;
     }
     if (timer != null) {
       timer.cancel(false);
     }
-    timerAt = at;
+    timerAtMs = atMs;
     timer =
         loop.schedule(
-            Math.max(1, at - loop.nowMs()),
+            Math.max(1, atMs - loop.nowMs()),
             () -> {
-              timerAt = Double.POSITIVE_INFINITY;
+              timerAtMs = Double.POSITIVE_INFINITY;
               timer = null;
-              apply(core.tick(loop.nowMs()));
+              apply(membership.tick(loop.nowMs()));
             });
   }
 }
--- a/src/main/java/edgenode/node/EdgeNode.java
+++ b/src/main/java/edgenode/node/EdgeNode.java
@@ -14,7 +14,9 @@
 import edgenode.net.counter.CounterClient;
 import edgenode.net.discovery.EndpointListJson;
 import edgenode.net.discovery.EndpointSources;
+import edgenode.net.discovery.MembershipListener;
 import edgenode.net.discovery.MembershipService;
+import edgenode.net.discovery.SourceDefinition;
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.resp.RequestCommand;
 import edgenode.net.upstream.UpstreamConnectionPool;
@@ -55,7 +57,7 @@
  */
 public final class EdgeNode
     implements PolicyActions,
-        MembershipService.MembershipListener,
+        MembershipListener,
         ClientListener.RequestHandler,
         UpstreamConnectionPool.HealthCheckListener,
         CounterClient.CounterListener,
@@ -408,7 +410,7 @@
   private final CounterClient counter;
   private final MembershipService discovery;
   private final CompletableFuture<Void> shutdownComplete = new CompletableFuture<>();
-  private MembershipService.SourceDefinition discoveryAddress;
+  private SourceDefinition discoveryAddress;
   private PolicyEvents policy;
   private long lastRequestId;
   private long bufferedBytes;
@@ -644,8 +646,7 @@
   public void reload(NodeConfig newConfig) {
     loop.execute(
         () -> {
-          MembershipService.SourceDefinition target =
-              MembershipService.agentSource(newConfig.discoveryAddress());
+          SourceDefinition target = MembershipService.agentSource(newConfig.discoveryAddress());
           discovery.replaceSource(discoveryAddress, target);
           discoveryAddress = target;
           counter.addressChanged(newConfig.counterAddress());
--- a/src/test/java/edgenode/net/discovery/EndpointSourcesTest.java
+++ b/src/test/java/edgenode/net/discovery/EndpointSourcesTest.java
@@ -50,7 +50,7 @@
   private MembershipService members;
   @TempDir Path folder;
 
-  private final class RecordingLoop implements EdgeEventLoop, MembershipService.MembershipListener {
+  private final class RecordingLoop implements EdgeEventLoop, MembershipListener {
     @Override
     public double nowMs() {
       return System.nanoTime() / 1e6;
@@ -120,7 +120,7 @@
     public void probeEndpoint(String id) {}
   }
 
-  private void start(double failOver, MembershipService.SourceDefinition... places) {
+  private void start(double failOver, SourceDefinition... places) {
     RecordingLoop here = new RecordingLoop();
     members =
         new MembershipService(
@@ -326,7 +326,7 @@
 
   private static final String SERVICE = "_resp._tcp.enrol.test.";
 
-  private MembershipService.SourceDefinition dns(DnsServerEmulator server) {
+  private SourceDefinition dns(DnsServerEmulator server) {
     return EndpointSources.dnsSrv(
         new OperatorSettings.DnsSrvSettings(SERVICE, List.of(server.address()), 100, 1000));
   }
@@ -415,7 +415,7 @@
       upEndpoints("a");
       consul.spoil(ConsulEmulator.Fault.STALL, Integer.MAX_VALUE);
       upEndpoints("127.0.0.1:1001");
-      assertTrue(log.stream().anyMatch(l -> l.contains("takes over")), log.toString());
+      assertTrue(log.stream().anyMatch(l -> l.contains("failing over to eds")), log.toString());
       consul.spoil(ConsulEmulator.Fault.NONE, 0);
       eds.spoil(EdsEmulator.Fault.STALL, Integer.MAX_VALUE);
       upEndpoints("a");
@@ -495,7 +495,7 @@
       agent.set(new DiscoveryAgentEmulator.Host("a", "127.0.0.1:1001", "active", 0));
       agent.flood(100L << 20);
       start(0, MembershipService.agentSource(NodeConfig.parseAddress(agent.address())));
-      awaitCondition("cut off", () -> log.stream().anyMatch(l -> l.contains("is not taken")));
+      awaitCondition("cut off", () -> log.stream().anyMatch(l -> l.contains("rejected a list of more than 8388608 bytes")));
       assertTrue(agent.bytes() < 32L << 20, "sent " + agent.bytes());
       agent.set(new DiscoveryAgentEmulator.Host("b", "127.0.0.1:1002", "active", 0));
       upEndpoints("a b");
@@ -556,10 +556,9 @@
         }
       }
       int port = full.getLocalPort();
-      MembershipService.SourceDefinition toA =
+      SourceDefinition toA =
           MembershipService.agentSource(NodeConfig.parseAddress("127.0.0.1:" + port));
-      MembershipService.SourceDefinition toB =
-          MembershipService.agentSource(NodeConfig.parseAddress(b.address()));
+      SourceDefinition toB = MembershipService.agentSource(NodeConfig.parseAddress(b.address()));
       b.set(new DiscoveryAgentEmulator.Host("b1", "127.0.0.1:1001", "active", 0));
       start(0, toA);
       Thread.sleep(200);
--- a/src/test/java/edgenode/simulation/DiscoveryTermTest.java
+++ b/src/test/java/edgenode/simulation/DiscoveryTermTest.java
@@ -7,7 +7,9 @@
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.MembershipLimits;
 import edgenode.net.discovery.EndpointListJson;
+import edgenode.net.discovery.MembershipListener;
 import edgenode.net.discovery.MembershipService;
+import edgenode.net.discovery.SourceDefinition;
 import edgenode.policy.EndpointState;
 import edgenode.simulation.FaultyAgent.Fault;
 import java.io.IOException;
@@ -63,7 +65,7 @@
   /**
    * One node's view of the servers, and the time (ms after the change) at which it has the change.
    */
-  private static final class World implements MembershipService.MembershipListener {
+  private static final class World implements MembershipListener {
     final VirtualLoop loop = new VirtualLoop();
     final LocalTransport network = new LocalTransport("term" + WORLDS.incrementAndGet());
     final NettyEdgeEventLoop inside = new NettyEdgeEventLoop(loop, network, loop, line -> {});
@@ -81,8 +83,8 @@
       agent = new FaultyAgent(network, inside, at(1), 40, all);
       old = new FaultyAgent(network, inside, at(2), 70, all);
       NettyEdgeEventLoop outside = new NettyEdgeEventLoop(loop, agent, loop, line -> {});
-      MembershipService.SourceDefinition place = MembershipService.agentSource(at(1));
-      MembershipService.SourceDefinition before = MembershipService.agentSource(at(2));
+      SourceDefinition place = MembershipService.agentSource(at(1));
+      SourceDefinition before = MembershipService.agentSource(at(2));
       members =
           new MembershipService(
               outside, this, MembershipLimits.defaults(18_000), List.of(moved ? before : place), 0);
