--- a/src/main/java/edgenode/node/EdgeNode.java
+++ b/src/main/java/edgenode/node/EdgeNode.java
@@ -17,7 +17,12 @@
 import edgenode.net.discovery.MembershipService;
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.resp.RequestCommand;
+import edgenode.net.upstream.HealthCheckListener;
+import edgenode.net.upstream.UpstreamAttempt;
 import edgenode.net.upstream.UpstreamConnectionPool;
+import edgenode.net.upstream.UpstreamRequest;
+import edgenode.net.upstream.ValueSink;
+import edgenode.net.upstream.ValueSource;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
@@ -57,7 +62,7 @@
     implements PolicyActions,
         MembershipService.MembershipListener,
         ClientListener.RequestHandler,
-        UpstreamConnectionPool.HealthCheckListener,
+        HealthCheckListener,
         CounterClient.CounterListener,
         AdminOperations {
   /** How a decision module is made. */
@@ -166,8 +171,7 @@
   private static final double MAX_CLIENT_WAIT_MS = 3_600_000;
 
   /** A request of a client, from its last byte to the end of its last attempt. */
-  private final class PendingRequest
-      implements ClientListener.OpenRequest, UpstreamConnectionPool.UpstreamRequest {
+  private final class PendingRequest implements ClientListener.OpenRequest, UpstreamRequest {
     private final long id;
     private final ClientListener.ResponseSlot slot;
     private final ArrayRedisMessage command;
@@ -177,7 +181,7 @@
     private double deadlineMs;
 
     private final int sizeBytes;
-    private final List<UpstreamConnectionPool.UpstreamAttempt> attempts = new ArrayList<>(1);
+    private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
     private final RequestLedger.ClassCounters row;
     private boolean isFinished;
 
@@ -243,7 +247,7 @@
     }
 
     @Override
-    public void attemptWritten(UpstreamConnectionPool.UpstreamAttempt attempt) {
+    public void attemptWritten(UpstreamAttempt attempt) {
       row.attemptSent();
       attemptsWritten++;
       firstWrittenAtMs = Math.min(firstWrittenAtMs, attempt.requestedAtMs);
@@ -269,10 +273,7 @@
     }
 
     @Override
-    public UpstreamConnectionPool.ValueSink valueStarted(
-        UpstreamConnectionPool.UpstreamAttempt attempt,
-        int length,
-        UpstreamConnectionPool.ValueSource source) {
+    public ValueSink valueStarted(UpstreamAttempt attempt, int length, ValueSource source) {
       attemptsInFlight--;
       double now = loop.nowMs();
       boolean wanted = !isFinished && !hasNoClient;
@@ -303,10 +304,7 @@
 
     @Override
     public void attemptEnded(
-        UpstreamConnectionPool.UpstreamAttempt attempt,
-        CallOutcome outcome,
-        RedisMessage value,
-        double[] load) {
+        UpstreamAttempt attempt, CallOutcome outcome, RedisMessage value, double[] load) {
       attemptsInFlight--;
       attemptsWritten -= attempt.isWritten() && outcome.provesNothingRan() ? 1 : 0;
       double now = loop.nowMs();
@@ -337,16 +335,13 @@
    * A long value on its way from a server to its client: its request is over for the module, and
    * open to its end.
    */
-  private final class StreamedResponse
-      implements UpstreamConnectionPool.ValueSink, ClientListener.OpenRequest {
+  private final class StreamedResponse implements ValueSink, ClientListener.OpenRequest {
     private final ClientListener.ResponseSlot slot;
     private final RequestLedger.ClassCounters row;
-    private final UpstreamConnectionPool.ValueSource source;
+    private final ValueSource source;
 
     StreamedResponse(
-        ClientListener.ResponseSlot slot,
-        RequestLedger.ClassCounters row,
-        UpstreamConnectionPool.ValueSource source) {
+        ClientListener.ResponseSlot slot, RequestLedger.ClassCounters row, ValueSource source) {
       this.slot = slot;
       this.row = row;
       this.source = source;
@@ -888,8 +883,7 @@
    * The client's wait is over: attempts still out have timed out, and the module has the last word.
    */
   private void deadlineReached(PendingRequest request) {
-    for (UpstreamConnectionPool.UpstreamAttempt attempt :
-        request.attempts.toArray(new UpstreamConnectionPool.UpstreamAttempt[0])) {
+    for (UpstreamAttempt attempt : request.attempts.toArray(new UpstreamAttempt[0])) {
       upstream.abandon(attempt, CallOutcome.TIMEOUT);
     }
     if (!request.isFinished) {
@@ -1103,8 +1097,8 @@
     }
     // written late, as its connection comes up late, a repeat would find servers that have
     // forgotten the first
-    UpstreamConnectionPool.UpstreamAttempt attempt =
-        new UpstreamConnectionPool.UpstreamAttempt(
+    UpstreamAttempt attempt =
+        new UpstreamAttempt(
             request,
             request.attempts.size(),
             server,
@@ -1135,7 +1129,7 @@
   public void cancel(long id, int attempt) {
     PendingRequest request = requests.get(id);
     if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
-      UpstreamConnectionPool.UpstreamAttempt cancelled = request.attempts.get(attempt);
+      UpstreamAttempt cancelled = request.attempts.get(attempt);
       loop.execute(() -> upstream.abandon(cancelled, CallOutcome.CANCELLED));
     }
   }
