--- a/src/main/java/edgenode/node/EdgeNode.java
+++ b/src/main/java/edgenode/node/EdgeNode.java
@@ -12,6 +12,7 @@
 import edgenode.membership.Membership;
 import edgenode.membership.MembershipLimits;
 import edgenode.net.counter.CounterClient;
+import edgenode.net.counter.CounterListener;
 import edgenode.net.discovery.EndpointListJson;
 import edgenode.net.discovery.EndpointSources;
 import edgenode.net.discovery.MembershipService;
@@ -63,7 +64,7 @@
         MembershipService.MembershipListener,
         ClientListener.RequestHandler,
         HealthCheckListener,
-        CounterClient.CounterListener,
+        CounterListener,
         AdminOperations {
   /** How a decision module is made. */
   public interface PolicyFactory {
--- a/src/main/java/edgenode/simulation/fleet/WireForms.java
+++ b/src/main/java/edgenode/simulation/fleet/WireForms.java
@@ -2,7 +2,7 @@
 
 import edgenode.emulator.DiscoveryAgentEmulator;
 import edgenode.membership.DiscoveredEndpoint;
-import edgenode.net.counter.CounterClient;
+import edgenode.net.counter.CounterCodec;
 import edgenode.net.discovery.EndpointListJson;
 import edgenode.net.resp.RespCodec;
 import io.netty.buffer.ByteBuf;
@@ -41,12 +41,12 @@
 
   /** {@code CNT.ADD} as the counter's client writes it. */
   int add(long name, double amount, double keepFor) {
-    return length(RespCodec.command(resp.alloc(), CounterClient.addCommand(name, amount, keepFor)));
+    return length(RespCodec.command(resp.alloc(), CounterCodec.addCommand(name, amount, keepFor)));
   }
 
   /** Its answer. */
   int total(double total) {
-    return length(RespCodec.bulkString(resp.alloc(), CounterClient.formatAmount(total)));
+    return length(RespCodec.bulkString(resp.alloc(), CounterCodec.formatAmount(total)));
   }
 
   /** A line of the watch, in its chunk. */
