--- a/src/main/java/edgenode/node/EdgeNode.java
+++ b/src/main/java/edgenode/node/EdgeNode.java
@@ -12,6 +12,7 @@
 import edgenode.membership.MembershipLimits;
 import edgenode.membership.MembershipStats;
 import edgenode.net.counter.CounterClient;
+import edgenode.net.counter.CounterListener;
 import edgenode.net.discovery.EndpointListJson;
 import edgenode.net.discovery.EndpointSources;
 import edgenode.net.discovery.MembershipListener;
@@ -19,7 +20,12 @@
 import edgenode.net.discovery.SourceDefinition;
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.resp.RequestCommand;
+import edgenode.net.upstream.HealthCheckListener;
+import edgenode.net.upstream.UpstreamAttempt;
 import edgenode.net.upstream.UpstreamConnectionPool;
+import edgenode.net.upstream.UpstreamRequest;
+import edgenode.net.upstream.ValueSink;
+import edgenode.net.upstream.ValueSource;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
@@ -59,8 +65,8 @@
     implements PolicyActions,
         MembershipListener,
         ClientListener.RequestHandler,
-        UpstreamConnectionPool.HealthCheckListener,
-        CounterClient.CounterListener,
+        HealthCheckListener,
+        CounterListener,
         AdminOperations {
   /** How a decision module is made. */
   public interface PolicyFactory {
@@ -168,8 +174,7 @@
   private static final double MAX_CLIENT_WAIT_MS = 3_600_000;
 
   /** A request of a client, from its last byte to the end of its last attempt. */
-  private final class PendingRequest
-      implements ClientListener.OpenRequest, UpstreamConnectionPool.UpstreamRequest {
+  private final class PendingRequest implements ClientListener.OpenRequest, UpstreamRequest {
     private final long id;
     private final ClientListener.ResponseSlot slot;
     private final ArrayRedisMessage command;
@@ -179,7 +184,7 @@
     private double deadlineMs;
 
     private final int sizeBytes;
-    private final List<UpstreamConnectionPool.UpstreamAttempt> attempts = new ArrayList<>(1);
+    private final List<UpstreamAttempt> attempts = new ArrayList<>(1);
     private final RequestLedger.ClassCounters row;
     private boolean isFinished;
 
@@ -245,7 +250,7 @@
     }
 
     @Override
-    public void attemptWritten(UpstreamConnectionPool.UpstreamAttempt attempt) {
+    public void attemptWritten(UpstreamAttempt attempt) {
       row.attemptSent();
       attemptsWritten++;
       firstWrittenAtMs = Math.min(firstWrittenAtMs, attempt.requestedAtMs);
@@ -271,10 +276,7 @@
     }
 
     @Override
-    public UpstreamConnectionPool.ValueSink valueStarted(
-        UpstreamConnectionPool.UpstreamAttempt attempt,
-        int length,
-        UpstreamConnectionPool.ValueSource source) {
+    public ValueSink valueStarted(UpstreamAttempt attempt, int length, ValueSource source) {
       attemptsInFlight--;
       double now = loop.nowMs();
       boolean wanted = !isFinished && !hasNoClient;
@@ -305,10 +307,7 @@
 
     @Override
     public void attemptEnded(
-        UpstreamConnectionPool.UpstreamAttempt attempt,
-        CallOutcome outcome,
-        RedisMessage value,
-        double[] load) {
+        UpstreamAttempt attempt, CallOutcome outcome, RedisMessage value, double[] load) {
       attemptsInFlight--;
       attemptsWritten -= attempt.isWritten() && outcome.provesNothingRan() ? 1 : 0;
       double now = loop.nowMs();
@@ -339,16 +338,13 @@
    * A long value on its way from a server to its client: its request is over for the module, and
    * open to its end.
    */
-  private final class StreamedResponse
-      implements UpstreamConnectionPool.ValueSink, ClientListener.OpenRequest {
+  private final class StreamedResponse implements ValueSink, ClientListener.OpenRequest {
     private final ClientListener.ResponseSlot slot;
     private final RequestLedger.ClassCounters row;
-    private final UpstreamConnectionPool.ValueSource source;
+    private final ValueSource source;
 
     StreamedResponse(
-        ClientListener.ResponseSlot slot,
-        RequestLedger.ClassCounters row,
-        UpstreamConnectionPool.ValueSource source) {
+        ClientListener.ResponseSlot slot, RequestLedger.ClassCounters row, ValueSource source) {
       this.slot = slot;
       this.row = row;
       this.source = source;
@@ -889,8 +885,7 @@
    * The client's wait is over: attempts still out have timed out, and the module has the last word.
    */
   private void deadlineReached(PendingRequest request) {
-    for (UpstreamConnectionPool.UpstreamAttempt attempt :
-        request.attempts.toArray(new UpstreamConnectionPool.UpstreamAttempt[0])) {
+    for (UpstreamAttempt attempt : request.attempts.toArray(new UpstreamAttempt[0])) {
       upstream.abandon(attempt, CallOutcome.TIMEOUT);
     }
     if (!request.isFinished) {
@@ -1104,8 +1099,8 @@
     }
     // written late, as its connection comes up late, a repeat would find servers that have
     // forgotten the first
-    UpstreamConnectionPool.UpstreamAttempt attempt =
-        new UpstreamConnectionPool.UpstreamAttempt(
+    UpstreamAttempt attempt =
+        new UpstreamAttempt(
             request,
             request.attempts.size(),
             server,
@@ -1136,7 +1131,7 @@
   public void cancel(long id, int attempt) {
     PendingRequest request = requests.get(id);
     if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
-      UpstreamConnectionPool.UpstreamAttempt cancelled = request.attempts.get(attempt);
+      UpstreamAttempt cancelled = request.attempts.get(attempt);
       loop.execute(() -> upstream.abandon(cancelled, CallOutcome.CANCELLED));
     }
   }
