--- a/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
+++ b/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
@@ -204,7 +204,7 @@
   }
 
   Map<String, Object> figures() {
-    return store.metrics();
+    return store.metrics().toTelemetry();
   }
 
   /** Makes all last. Waits for the disk: not on the loop. */
--- a/src/main/java/edgenode/store/Compaction.java
+++ b/src/main/java/edgenode/store/Compaction.java
@@ -1,70 +1,97 @@
 package edgenode.store;
 
-import edgenode.store.SegmentFormat.StoredRecord;
-import edgenode.store.StoreDirectory.StorageIoException;
 import edgenode.store.StoreException.Reason;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Function;
 
 /**
- * Copies what is still wanted of neighbouring segments into a new one, in steps. Sequence numbers
- * stay, so that it matters nowhere in which file a record stands. A tombstone stays while a segment
- * before these may hold an older record of its key; what has expired is kept as a tombstone, for
- * the same reason.
+ * Copies the versions still needed of neighbouring segments into a new one, in steps. Sequence
+ * numbers stay, so it does not matter in which segment a record stands. A tombstone stays while a
+ * segment before the inputs may hold an older record of its key; for the same reason an expired
+ * value becomes a tombstone. Writer thread only.
  */
 final class Compaction {
-  final List<Segment> inputs;
-  final Segment output;
-  final Map<RecordVersion, StoredRecord> copied = new LinkedHashMap<>();
-  final List<StoredRecord> dropped = new ArrayList<>();
+  private static final int MAX_FRAME_BYTES =
+      SegmentFormat.FRAME_HEADER_BYTES + WriteBatch.MAX_BATCH_BYTES;
+
+  private static final int BUFFER_BYTES = MAX_FRAME_BYTES + (1 << 16);
+
+  private final List<Segment> inputs;
+  private final Segment output;
+
+  /** Whether no older segment is left before the inputs. */
   private final boolean includesOldest;
-  private final Function<StoredRecord, RecordVersion> currentVersion;
+
+  private final VersionIndex index;
   private final long nowMs;
-  private final ByteBuffer buffer =
-      ByteBuffer.allocate(
-          SegmentFormat.FRAME_HEADER_BYTES + WriteBatch.MAX_BATCH_BYTES + (1 << 16));
+  private final Map<RecordVersion, StoredRecord> copied = new LinkedHashMap<>();
+  private final List<StoredRecord> dropped = new ArrayList<>();
+  private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
   private int inputIndex;
   private long inputOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
 
+  /**
+   * @param nowMs the time at which values count as expired (ms since 1970)
+   */
   Compaction(
-      List<Segment> run,
-      boolean oldest,
+      List<Segment> inputs,
+      boolean includesOldest,
       Segment output,
-      Function<StoredRecord, RecordVersion> current,
-      long now) {
-    this.inputs = run;
-    this.includesOldest = oldest;
+      VersionIndex index,
+      long nowMs) {
+    this.inputs = inputs;
+    this.includesOldest = includesOldest;
     this.output = output;
-    this.currentVersion = current;
-    this.nowMs = now;
+    this.index = index;
+    this.nowMs = nowMs;
+  }
+
+  List<Segment> inputs() {
+    return inputs;
+  }
+
+  Segment output() {
+    return output;
+  }
+
+  /** Where the records of the versions that were copied stand in the output. */
+  Map<RecordVersion, StoredRecord> copied() {
+    return copied;
+  }
+
+  /** Deleted and expired records that were left out. */
+  List<StoredRecord> dropped() {
+    return dropped;
   }
 
   /**
-   * Goes on for about so many bytes of the old segments; false when the new one is whole and lasts.
+   * Copies on until about so many bytes of the inputs were read.
+   *
+   * @return whether there is more to copy; if not, the output is complete and durable
+   * @throws StoreException DAMAGED where an input cannot be read
    */
   boolean step(int bytes) throws StorageIoException, StoreException {
-    long left = bytes;
-    while (left > 0 && inputIndex < inputs.size()) {
-      Segment s = inputs.get(inputIndex);
-      if (inputOffset >= s.sizeBytes) {
+    long remainingBytes = bytes;
+    while (remainingBytes > 0 && inputIndex < inputs.size()) {
+      Segment input = inputs.get(inputIndex);
+      if (inputOffset >= input.sizeBytes) {
         inputIndex++;
         inputOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
         continue;
       }
-      SegmentFormat.FrameReader reader = new SegmentFormat.FrameReader(s.file, s.salt, s.sizeBytes);
-      while (left > 0 && inputOffset < s.sizeBytes) {
-        SegmentFormat.Frame f = reader.readFrame(inputOffset);
-        if (f == null) {
+      FrameReader reader = new FrameReader(input);
+      while (remainingBytes > 0 && inputOffset < input.sizeBytes) {
+        Frame frame = reader.readFrame(inputOffset);
+        if (frame == null) {
           throw new StoreException(
-              Reason.DAMAGED, s.fileName + ", offset " + inputOffset + ": no whole frame");
+              Reason.DAMAGED, input.fileName + ", offset " + inputOffset + ": no intact frame");
         }
-        copyFrame(s, f);
-        left -= f.endOffset() - inputOffset;
-        inputOffset = f.endOffset();
+        copyFrame(input, frame);
+        remainingBytes -= frame.endOffset() - inputOffset;
+        inputOffset = frame.endOffset();
       }
     }
     flush();
@@ -75,41 +102,30 @@
     return false;
   }
 
-  private void copyFrame(Segment s, SegmentFormat.Frame f)
-      throws StorageIoException, StoreException {
-    int from = -1;
-    int count = 0;
-    for (StoredRecord r : f.records()) {
-      RecordVersion slot = currentVersion.apply(r);
-      if (slot == null) {
+  private void copyFrame(Segment input, Frame frame) throws StorageIoException, StoreException {
+    FrameEncoder copy = null;
+    for (StoredRecord record : frame.records()) {
+      RecordVersion version = index.findVersion(record);
+      if (version == null) {
         continue;
       }
-      boolean gone = slot.isAbsent(nowMs);
-      if (gone && includesOldest && slot.previous == null) {
-        dropped.add(r);
+      boolean isAbsent = version.isAbsent(nowMs);
+      if (isAbsent && includesOldest && version.previous == null) {
+        dropped.add(record);
         continue;
       }
-      byte[] value = gone ? null : SegmentFormat.readValue(s.file, s.salt, r, s.fileName);
-      if (from < 0) {
-        if (buffer.remaining() < SegmentFormat.FRAME_HEADER_BYTES + WriteBatch.MAX_BATCH_BYTES) {
+      byte[] value = isAbsent ? null : SegmentFormat.readValue(input, record);
+      if (copy == null) {
+        if (buffer.remaining() < MAX_FRAME_BYTES) {
           flush();
         }
-        from = SegmentFormat.beginFrame(buffer, f.sequence(), f.timeMs(), 0);
+        copy = new FrameEncoder(buffer, output, frame.sequence(), frame.timeMs(), 0);
       }
-      copied.put(
-          slot,
-          SegmentFormat.writeRecord(
-              buffer,
-              output.salt,
-              output.sizeBytes + buffer.position(),
-              r.key(),
-              r.sequence(),
-              value,
-              gone ? 0 : r.expiresAtMs()));
-      count++;
+      long expiresAtMs = isAbsent ? 0 : record.expiresAtMs();
+      copied.put(version, copy.add(record.key(), value, expiresAtMs));
     }
-    if (from >= 0) {
-      SegmentFormat.endFrame(buffer, from, output.salt, output.sizeBytes + from, count);
+    if (copy != null) {
+      copy.finish();
     }
   }
 
--- a/src/main/java/edgenode/store/FileSystemDirectory.java
+++ b/src/main/java/edgenode/store/FileSystemDirectory.java
@@ -1,5 +1,6 @@
 package edgenode.store;
 
+import edgenode.store.StoreException.Reason;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
@@ -13,109 +14,122 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the machine's, held by one process at a time. */
+/** A directory of the file system, locked for one process at a time. */
 final class FileSystemDirectory implements StoreDirectory {
   private static final String LOCK_FILE_NAME = "LOCK";
-  private final Path folder;
+
+  private final Path path;
   private final FileChannel lockFile;
   private final FileLock lock;
 
-  /** Opens the folder; it is made where it is missing and its parent is there. */
-  FileSystemDirectory(Path folder) throws StoreException, StorageIoException {
-    this.folder = folder;
+  /**
+   * Opens and locks a directory; it is created where its parent exists.
+   *
+   * @throws StoreException LOCKED where another process has it open
+   */
+  FileSystemDirectory(Path path) throws StoreException, StorageIoException {
+    this.path = path;
     FileChannel channel = null;
     try {
-      if (!Files.isDirectory(folder)) {
-        Files.createDirectory(folder);
-        try (FileChannel parent = FileChannel.open(folder.toAbsolutePath().getParent())) {
-          parent.force(true);
-        }
-      }
+      createIfMissing(path);
       channel =
           FileChannel.open(
-              folder.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+              path.resolve(LOCK_FILE_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       lock = channel.tryLock();
     } catch (OverlappingFileLockException e) {
-      throw lockedException(channel);
+      throw locked(channel);
     } catch (IOException e) {
-      throw ioException(folder.toString(), e);
+      throw failed(path.toString(), e);
     }
     lockFile = channel;
     if (lock == null) {
-      throw lockedException(channel);
+      throw locked(channel);
+    }
+  }
+
+  private static void createIfMissing(Path path) throws IOException {
+    if (Files.isDirectory(path)) {
+      return;
+    }
+    Files.createDirectory(path);
+    try (FileChannel parent = FileChannel.open(path.toAbsolutePath().getParent())) {
+      parent.force(true);
     }
   }
 
-  private StoreException lockedException(FileChannel channel) throws StorageIoException {
+  private StoreException locked(FileChannel channel) throws StorageIoException {
     try {
       channel.close();
     } catch (IOException e) {
-      throw ioException(LOCK_FILE_NAME, e);
+      throw failed(LOCK_FILE_NAME, e);
     }
-    return new StoreException(StoreException.Reason.LOCKED, folder + " is open in another process");
+    return new StoreException(Reason.LOCKED, path + " is open in another process");
   }
 
-  private static StorageIoException ioException(String name, IOException e) {
-    return new StorageIoException(
-        name + ": " + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage()), e);
+  private static StorageIoException failed(String name, IOException cause) {
+    String text =
+        cause.getMessage() == null ? cause.getClass().getSimpleName() : cause.getMessage();
+    return new StorageIoException(name + ": " + text, cause);
   }
 
   @Override
   public List<String> fileNames() throws StorageIoException {
-    try (Stream<Path> all = Files.list(folder)) {
-      return all.map(p -> p.getFileName().toString())
-          .filter(n -> !n.equals(LOCK_FILE_NAME))
+    try (Stream<Path> files = Files.list(path)) {
+      return files
+          .map(file -> file.getFileName().toString())
+          .filter(name -> !name.equals(LOCK_FILE_NAME))
           .sorted()
           .toList();
-    } catch (IOException | UncheckedIOException e) {
-      throw ioException(
-          folder.toString(), e instanceof IOException io ? io : (IOException) e.getCause());
+    } catch (UncheckedIOException e) {
+      throw failed(path.toString(), e.getCause());
+    } catch (IOException e) {
+      throw failed(path.toString(), e);
     }
   }
 
   @Override
-  public StoreFile open(String name, boolean fresh) throws StorageIoException {
+  public StoreFile open(String name, boolean truncates) throws StorageIoException {
+    Path file = path.resolve(name);
     try {
-      return new OpenFile(
-          name,
-          fresh
+      FileChannel channel =
+          truncates
               ? FileChannel.open(
-                  folder.resolve(name),
+                  file,
                   StandardOpenOption.READ,
                   StandardOpenOption.WRITE,
                   StandardOpenOption.CREATE,
                   StandardOpenOption.TRUNCATE_EXISTING)
-              : FileChannel.open(
-                  folder.resolve(name), StandardOpenOption.READ, StandardOpenOption.WRITE));
+              : FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
+      return new OpenFile(name, channel);
     } catch (IOException e) {
-      throw ioException(name, e);
+      throw failed(name, e);
     }
   }
 
   @Override
   public void rename(String from, String to) throws StorageIoException {
     try {
-      Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+      Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
-      throw ioException(from, e);
+      throw failed(from, e);
     }
   }
 
   @Override
   public void delete(String name) throws StorageIoException {
     try {
-      Files.delete(folder.resolve(name));
+      Files.delete(path.resolve(name));
     } catch (IOException e) {
-      throw ioException(name, e);
+      throw failed(name, e);
     }
   }
 
   @Override
   public void syncDirectory() throws StorageIoException {
-    try (FileChannel entries = FileChannel.open(folder)) {
+    try (FileChannel entries = FileChannel.open(path)) {
       entries.force(true);
     } catch (IOException e) {
-      throw ioException(folder.toString(), e);
+      throw failed(path.toString(), e);
     }
   }
 
@@ -131,34 +145,38 @@
 
   private record OpenFile(String name, FileChannel channel) implements StoreFile {
     @Override
-    public void read(ByteBuffer into, long at) throws StorageIoException {
+    public void read(ByteBuffer target, long offset) throws StorageIoException {
       try {
-        long from = at;
-        for (int n = 0; into.hasRemaining() && n >= 0; from += n) {
-          n = channel.read(into, from);
+        long nextOffset = offset;
+        int readBytes = 0;
+        while (target.hasRemaining() && readBytes >= 0) {
+          readBytes = channel.read(target, nextOffset);
+          nextOffset += readBytes;
         }
       } catch (IOException e) {
-        throw ioException(name, e);
+        throw failed(name, e);
       }
     }
 
     @Override
-    public void write(ByteBuffer from, long at) throws StorageIoException {
+    public void write(ByteBuffer source, long offset) throws StorageIoException {
       try {
-        for (long to = at; from.hasRemaining(); ) {
-          to += channel.write(from, to);
+        long nextOffset = offset;
+        while (source.hasRemaining()) {
+          nextOffset += channel.write(source, nextOffset);
         }
       } catch (IOException e) {
-        throw ioException(name, e);
+        throw failed(name, e);
       }
     }
 
     @Override
     public void sync() throws StorageIoException {
       try {
-        channel.force(false); // with the size, which fdatasync writes too where reading needs it
+        // fdatasync: it writes the size too, which reading needs
+        channel.force(false);
       } catch (IOException e) {
-        throw ioException(name, e);
+        throw failed(name, e);
       }
     }
 
@@ -167,16 +185,16 @@
       try {
         return channel.size();
       } catch (IOException e) {
-        throw ioException(name, e);
+        throw failed(name, e);
       }
     }
 
     @Override
-    public void truncate(long size) throws StorageIoException {
+    public void truncate(long sizeBytes) throws StorageIoException {
       try {
-        channel.truncate(size);
+        channel.truncate(sizeBytes);
       } catch (IOException e) {
-        throw ioException(name, e);
+        throw failed(name, e);
       }
     }
 
--- a/src/main/java/edgenode/store/Manifest.java
+++ b/src/main/java/edgenode/store/Manifest.java
@@ -1,5 +1,6 @@
 package edgenode.store;
 
+import edgenode.store.StoreException.Reason;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -7,74 +8,92 @@
 import java.util.zip.CRC32C;
 
 /**
- * Which segments there are, the oldest first, with the sizes (bytes) of all but the last, which
- * grows. Lines of text, the last of them their CRC32C. Replaced whole: written aside, synced,
- * renamed, the folder synced.
+ * The list of the store's segments: lines of text, the last of them the CRC32C of those before.
+ * Replaced atomically: written to a temporary file, synced, renamed, the directory synced.
+ *
+ * @param nextSegmentId the id of the next segment to be created
+ * @param segments the oldest first; the last one is still written to
  */
-record Manifest(long nextSegmentId, List<long[]> segments) {
+record Manifest(long nextSegmentId, List<Entry> segments) {
+  /**
+   * A segment.
+   *
+   * @param sizeBytes its size when it was closed; without meaning for the last segment
+   */
+  record Entry(long id, long sizeBytes) {}
+
   static final String FILE_NAME = "MANIFEST";
   private static final String TEMPORARY_FILE_NAME = "MANIFEST.new";
-  private static final String HEADER_PREFIX = "nickelstand store ";
+  private static final String VERSION_PREFIX = "nickelstand store ";
+  private static final String NEXT_ID_PREFIX = "next ";
+  private static final String CHECKSUM_PREFIX = "crc32c ";
 
-  /** Some 40 bytes a segment. */
+  /** A segment takes some 40 bytes. */
   private static final int MAX_BYTES = 16 << 20;
 
   private static String checksumLine(String text) {
     CRC32C crc = new CRC32C();
     crc.update(text.getBytes(StandardCharsets.UTF_8));
-    return String.format("crc32c %08x%n", crc.getValue()).replace("\r", "");
+    return String.format(CHECKSUM_PREFIX + "%08x\n", crc.getValue());
   }
 
-  void write(StoreDirectory disk) throws StoreDirectory.StorageIoException {
-    StringBuilder text =
-        new StringBuilder(
-            HEADER_PREFIX + SegmentFormat.FORMAT_VERSION + "\nnext " + nextSegmentId + "\n");
-    segments.forEach(
-        s -> text.append("segment ").append(s[0]).append(' ').append(s[1]).append('\n'));
+  /** Replaces the manifest of the directory; durable on return. */
+  void write(StoreDirectory directory) throws StorageIoException {
+    StringBuilder text = new StringBuilder();
+    text.append(VERSION_PREFIX).append(SegmentFormat.FORMAT_VERSION).append('\n');
+    text.append(NEXT_ID_PREFIX).append(nextSegmentId).append('\n');
+    for (Entry entry : segments) {
+      text.append("segment ").append(entry.id).append(' ').append(entry.sizeBytes).append('\n');
+    }
     text.append(checksumLine(text.toString()));
-    StoreDirectory.StoreFile file = disk.open(TEMPORARY_FILE_NAME, true);
+    StoreFile file = directory.open(TEMPORARY_FILE_NAME, true);
     try {
       file.write(ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8)), 0);
       file.sync();
     } finally {
       file.close();
     }
-    disk.rename(TEMPORARY_FILE_NAME, FILE_NAME);
-    disk.syncDirectory();
+    directory.rename(TEMPORARY_FILE_NAME, FILE_NAME);
+    directory.syncDirectory();
+  }
+
+  /**
+   * Reads the manifest of the directory.
+   *
+   * @throws StoreException DAMAGED where the checksum does not match, NEWER for a later format
+   */
+  static Manifest read(StoreDirectory directory) throws StorageIoException, StoreException {
+    String text = readText(directory);
+    int checksumIndex = text.lastIndexOf(CHECKSUM_PREFIX);
+    if (checksumIndex < 0
+        || !text.substring(checksumIndex).equals(checksumLine(text.substring(0, checksumIndex)))) {
+      throw new StoreException(Reason.DAMAGED, FILE_NAME + ": its checksum does not match");
+    }
+    return parse(text.substring(0, checksumIndex).split("\n"));
   }
 
-  static Manifest read(StoreDirectory disk)
-      throws StoreDirectory.StorageIoException, StoreException {
-    StoreDirectory.StoreFile file = disk.open(FILE_NAME, false);
-    String text;
+  private static String readText(StoreDirectory directory) throws StorageIoException {
+    StoreFile file = directory.open(FILE_NAME, false);
     try {
-      ByteBuffer b = ByteBuffer.allocate((int) Math.min(MAX_BYTES, file.size()));
-      file.read(b, 0);
-      text = new String(b.array(), 0, b.position(), StandardCharsets.UTF_8);
+      ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(MAX_BYTES, file.size()));
+      file.read(bytes, 0);
+      return new String(bytes.array(), 0, bytes.position(), StandardCharsets.UTF_8);
     } finally {
       file.close();
     }
-    int crc = text.lastIndexOf("crc32c ");
-    if (crc < 0 || !text.substring(crc).equals(checksumLine(text.substring(0, crc)))) {
-      throw new StoreException(
-          StoreException.Reason.DAMAGED, FILE_NAME + ": its check does not fit");
-    }
-    String[] lines = text.substring(0, crc).split("\n");
-    int version = Integer.parseInt(lines[0].substring(HEADER_PREFIX.length()));
+  }
+
+  private static Manifest parse(String[] lines) throws StoreException {
+    int version = Integer.parseInt(lines[0].substring(VERSION_PREFIX.length()));
     if (version > SegmentFormat.FORMAT_VERSION) {
-      throw new StoreException(
-          StoreException.Reason.NEWER,
-          FILE_NAME
-              + " has format "
-              + version
-              + "; this program knows formats up to "
-              + SegmentFormat.FORMAT_VERSION);
+      throw SegmentFormat.newerFormat(FILE_NAME, version);
     }
-    List<long[]> segments = new ArrayList<>();
+    long nextSegmentId = Long.parseLong(lines[1].substring(NEXT_ID_PREFIX.length()));
+    List<Entry> segments = new ArrayList<>();
     for (int i = 2; i < lines.length; i++) {
-      String[] word = lines[i].split(" ");
-      segments.add(new long[] {Long.parseLong(word[1]), Long.parseLong(word[2])});
+      String[] words = lines[i].split(" ");
+      segments.add(new Entry(Long.parseLong(words[1]), Long.parseLong(words[2])));
     }
-    return new Manifest(Long.parseLong(lines[1].substring("next ".length())), segments);
+    return new Manifest(nextSegmentId, segments);
   }
 }
--- a/src/main/java/edgenode/store/SegmentFormat.java
+++ b/src/main/java/edgenode/store/SegmentFormat.java
@@ -1,278 +1,198 @@
 package edgenode.store;
 
+import edgenode.store.StoreException.Reason;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.List;
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a segment (docs/design/store.md): a header, then frames, each of them one batch.
- * Checks are CRC32C (RFC 3720, appendix B.4), masked, over the segment's own salt and the place of
- * what they cover: bytes that were copied from elsewhere, as within a value, never pass.
+ * Format 1 of a segment file (docs/design/store.md): a header, then frames of records, big-endian.
+ *
+ * <p>Checksums are masked CRC32C (RFC 3720, appendix B.4). Each covers the salt of its segment and
+ * the offset of what it checks, so that bytes copied from elsewhere, for example within a value, do
+ * not pass as a frame.
  */
 final class SegmentFormat {
   static final int FORMAT_VERSION = 1;
+
+  /** Magic 8, format version 4, segment id 8, salt 8, checksum 4. */
   static final int SEGMENT_HEADER_BYTES = 32;
 
-  /** length 4, check 4, sequence 8, time 8, durable 8, count 4. */
+  /** Length of the records 4, checksum 4, sequence 8, time 8, durable offset 8, record count 4. */
   static final int FRAME_HEADER_BYTES = 36;
 
-  /** kind 1, length of namespace 1, of key 2, of value 4, expires 8, check 4. */
+  /** Kind 1, namespace length 1, key length 2, value length 4, expiry 8, checksum 4. */
   static final int RECORD_HEADER_BYTES = 20;
 
-  private static final long MAGIC = 0x4e4b4c53544f5245L;
-  private static final int MAX_RECORDS_BYTES = FRAME_HEADER_BYTES + WriteBatch.MAX_BATCH_BYTES;
-  private static final byte PUT = 1;
-  private static final byte TOMBSTONE = 2;
+  static final int FRAME_CHECKSUM_INDEX = 4;
+  static final int FRAME_SEQUENCE_INDEX = 8;
+  static final int FRAME_TIME_INDEX = 16;
+  static final int FRAME_DURABLE_INDEX = 24;
+  static final int FRAME_COUNT_INDEX = 32;
 
-  /** Read ahead: a frame of an ordinary batch is a few hundred bytes. */
-  private static final int READ_WINDOW_BYTES = 1 << 18;
+  static final int RECORD_CHECKSUM_INDEX = 16;
+  static final byte PUT = 1;
+  static final byte TOMBSTONE = 2;
 
-  /** A record as it stands in a segment: place and length (bytes) are those of the whole record. */
-  record StoredRecord(
-      StoreKey key,
-      long sequence,
-      boolean isTombstone,
-      long expiresAtMs,
-      long offset,
-      int lengthBytes) {}
+  private static final int NAMESPACE_LENGTH_INDEX = 1;
+  private static final int KEY_LENGTH_INDEX = 2;
+  private static final int VALUE_LENGTH_INDEX = 4;
+  private static final int EXPIRY_INDEX = 8;
 
-  /**
-   * A frame: what it holds, where it ends, and how far its segment was known to last when it was
-   * written.
-   */
-  record Frame(
-      long offset,
-      long endOffset,
-      long sequence,
-      long timeMs,
-      long durableOffset,
-      List<StoredRecord> records) {}
+  /** The bytes {@code NKLSTORE}. */
+  private static final long MAGIC = 0x4e4b4c53544f5245L;
+
+  private static final int FORMAT_VERSION_INDEX = 8;
+  private static final int SEGMENT_ID_INDEX = 12;
+  private static final int SALT_INDEX = 20;
+  private static final int SEGMENT_CHECKSUM_INDEX = 28;
+
+  private static final int CHECKSUM_BYTES = 4;
+  private static final int CHECKSUM_ROTATION_BITS = 15;
+  private static final int CHECKSUM_MASK = 0xa282ead8;
 
   private SegmentFormat() {}
 
-  static int recordBytes(StoreKey key, int value) {
+  /** The length of a record (bytes) with a value of that many bytes. */
+  static int recordBytes(StoreKey key, int valueBytes) {
     return RECORD_HEADER_BYTES
         + key.namespace().getBytes(StandardCharsets.UTF_8).length
         + key.bytes().length
-        + value;
+        + valueBytes;
   }
 
-  private static int checksum(long salt, long at, ByteBuffer bytes, int from, int to, int leftOut) {
+  /**
+   * The checksum of a range of the buffer, without the four bytes at the place of the checksum.
+   *
+   * @param offset where the range stands in its segment (bytes)
+   */
+  static int checksum(long salt, long offset, ByteBuffer bytes, int from, int to, int checksumAt) {
     CRC32C crc = new CRC32C();
-    crc.update(ByteBuffer.allocate(16).putLong(salt).putLong(at).flip());
-    crc.update(bytes.duplicate().limit(leftOut).position(from));
-    crc.update(bytes.duplicate().limit(to).position(leftOut + 4));
-    return Integer.rotateRight((int) crc.getValue(), 15) + 0xa282ead8;
+    crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(salt).putLong(offset).flip());
+    crc.update(bytes.duplicate().limit(checksumAt).position(from));
+    crc.update(bytes.duplicate().limit(to).position(checksumAt + CHECKSUM_BYTES));
+    return Integer.rotateRight((int) crc.getValue(), CHECKSUM_ROTATION_BITS) + CHECKSUM_MASK;
   }
 
-  static ByteBuffer segmentHeader(long id, long salt) {
-    ByteBuffer b =
+  /** The header of a new segment, ready to be written. */
+  static ByteBuffer segmentHeader(long segmentId, long salt) {
+    ByteBuffer header =
         ByteBuffer.allocate(SEGMENT_HEADER_BYTES)
             .putLong(MAGIC)
             .putInt(FORMAT_VERSION)
-            .putLong(id)
+            .putLong(segmentId)
             .putLong(salt);
-    return b.putInt(checksum(0, 0, b, 0, SEGMENT_HEADER_BYTES, SEGMENT_HEADER_BYTES - 4)).flip();
-  }
-
-  /** The salt that a segment's header names. */
-  static long readSalt(StoreDirectory.StoreFile file, long id, String name)
-      throws StoreDirectory.StorageIoException, StoreException {
-    ByteBuffer b = ByteBuffer.allocate(SEGMENT_HEADER_BYTES);
-    file.read(b, 0);
-    if (b.position() == SEGMENT_HEADER_BYTES
-        && b.getLong(0) == MAGIC
-        && b.getInt(8) > FORMAT_VERSION) {
-      throw new StoreException(
-          StoreException.Reason.NEWER,
-          name
-              + " has format "
-              + b.getInt(8)
-              + "; this program knows formats up to "
-              + FORMAT_VERSION);
-    }
-    if (b.position() < SEGMENT_HEADER_BYTES
-        || b.getLong(0) != MAGIC
-        || b.getInt(SEGMENT_HEADER_BYTES - 4)
-            != checksum(0, 0, b, 0, SEGMENT_HEADER_BYTES, SEGMENT_HEADER_BYTES - 4)
-        || b.getLong(12) != id) {
-      throw new StoreException(
-          StoreException.Reason.DAMAGED, name + ", offset 0: no header of a segment");
-    }
-    return b.getLong(20);
+    return header.putInt(headerChecksum(header)).flip();
   }
 
-  /** Begins a frame in the buffer; records and {@link #endFrame} follow. */
-  static int beginFrame(ByteBuffer out, long seq, long time, long durable) {
-    int at = out.position();
-    out.putInt(0).putInt(0).putLong(seq).putLong(time).putLong(durable).putInt(0);
-    return at;
+  private static int headerChecksum(ByteBuffer header) {
+    return checksum(0, 0, header, 0, SEGMENT_HEADER_BYTES, SEGMENT_CHECKSUM_INDEX);
   }
 
-  /** One record, at this offset of the segment; no value: a tombstone. */
-  static StoredRecord writeRecord(
-      ByteBuffer out, long salt, long at, StoreKey key, long seq, byte[] value, long expires) {
-    int from = out.position();
-    byte[] space = key.namespace().getBytes(StandardCharsets.UTF_8);
-    out.put(value == null ? TOMBSTONE : PUT)
-        .put((byte) space.length)
-        .putShort((short) key.bytes().length)
-        .putInt(value == null ? 0 : value.length)
-        .putLong(expires)
-        .putInt(0)
-        .put(space)
-        .put(key.bytes());
-    if (value != null) {
-      out.put(value);
+  /** Checks the header of a segment file and returns the salt that it names. */
+  static long readSalt(StoreFile file, long segmentId, String fileName)
+      throws StorageIoException, StoreException {
+    ByteBuffer header = ByteBuffer.allocate(SEGMENT_HEADER_BYTES);
+    file.read(header, 0);
+    boolean isSegment = header.position() == SEGMENT_HEADER_BYTES && header.getLong(0) == MAGIC;
+    if (isSegment && header.getInt(FORMAT_VERSION_INDEX) > FORMAT_VERSION) {
+      throw newerFormat(fileName, header.getInt(FORMAT_VERSION_INDEX));
+    }
+    if (!isSegment
+        || header.getInt(SEGMENT_CHECKSUM_INDEX) != headerChecksum(header)
+        || header.getLong(SEGMENT_ID_INDEX) != segmentId) {
+      throw new StoreException(Reason.DAMAGED, fileName + ", offset 0: no header of a segment");
     }
-    out.putInt(from + 16, checksum(salt, at, out, from, out.position(), from + 16));
-    return new StoredRecord(key, seq, value == null, expires, at, out.position() - from);
+    return header.getLong(SALT_INDEX);
   }
 
-  static void endFrame(ByteBuffer out, int from, long salt, long at, int count) {
-    out.putInt(from, out.position() - from - FRAME_HEADER_BYTES).putInt(from + 32, count);
-    out.putInt(from + 4, checksum(salt, at, out, from, out.position(), from + 4));
+  /** The error for a file that a later version of the program wrote. */
+  static StoreException newerFormat(String fileName, int version) {
+    return new StoreException(
+        Reason.NEWER,
+        fileName
+            + " has format "
+            + version
+            + "; this program knows formats up to "
+            + FORMAT_VERSION);
   }
 
-  /** The value of a record; damage is told and never given as one. */
-  static byte[] readValue(StoreDirectory.StoreFile file, long salt, StoredRecord s, String name)
-      throws StoreDirectory.StorageIoException, StoreException {
-    ByteBuffer b = ByteBuffer.allocate(s.lengthBytes);
-    file.read(b, s.offset);
-    StoredRecord read = b.hasRemaining() ? null : parseRecord(b, 0, salt, s.offset, s.sequence);
-    if (read == null || read.lengthBytes != s.lengthBytes || !read.key.equals(s.key)) {
+  /**
+   * Reads the value of a record from its segment.
+   *
+   * @return null for a tombstone
+   * @throws StoreException (DAMAGED) where another record, or none, stands at its place
+   */
+  static byte[] readValue(Segment segment, StoredRecord record)
+      throws StorageIoException, StoreException {
+    ByteBuffer bytes = ByteBuffer.allocate(record.lengthBytes());
+    segment.file.read(bytes, record.offset());
+    StoredRecord found =
+        bytes.hasRemaining()
+            ? null
+            : parseRecord(bytes, 0, segment.salt, record.offset(), record.sequence());
+    if (found == null
+        || found.lengthBytes() != record.lengthBytes()
+        || !found.key().equals(record.key())) {
       throw new StoreException(
-          StoreException.Reason.DAMAGED,
-          name
+          Reason.DAMAGED,
+          segment.fileName
               + ", offset "
-              + s.offset
+              + record.offset()
               + ": not the record of "
-              + s.key
+              + record.key()
               + " that was written there");
     }
-    return read.isTombstone
-        ? null
-        : Arrays.copyOfRange(b.array(), s.lengthBytes - b.getInt(4), s.lengthBytes);
+    if (found.isTombstone()) {
+      return null;
+    }
+    int valueBytes = bytes.getInt(VALUE_LENGTH_INDEX);
+    return Arrays.copyOfRange(
+        bytes.array(), record.lengthBytes() - valueBytes, record.lengthBytes());
   }
 
-  private static StoredRecord parseRecord(ByteBuffer b, int from, long salt, long at, long seq) {
-    int left = b.capacity() - from;
-    if (left < RECORD_HEADER_BYTES) {
+  /**
+   * The record at this index of the buffer, or null where none is intact.
+   *
+   * @param offset where it stands in its segment (bytes)
+   * @param sequence of the frame that holds it
+   */
+  static StoredRecord parseRecord(
+      ByteBuffer bytes, int index, long salt, long offset, long sequence) {
+    int availableBytes = bytes.capacity() - index;
+    if (availableBytes < RECORD_HEADER_BYTES) {
       return null;
     }
-    int space = b.get(from + 1);
-    int key = b.getShort(from + 2);
-    int value = b.getInt(from + 4);
-    if (space < 1
-        || key < 0
-        || value < 0
-        || value > WriteBatch.MAX_VALUE_BYTES
-        || left < RECORD_HEADER_BYTES + space + key + value
-        || b.get(from) != PUT && b.get(from) != TOMBSTONE) {
+    byte kind = bytes.get(index);
+    int namespaceBytes = bytes.get(index + NAMESPACE_LENGTH_INDEX);
+    int keyBytes = bytes.getShort(index + KEY_LENGTH_INDEX);
+    int valueBytes = bytes.getInt(index + VALUE_LENGTH_INDEX);
+    if (namespaceBytes < 1
+        || keyBytes < 0
+        || valueBytes < 0
+        || valueBytes > WriteBatch.MAX_VALUE_BYTES
+        || availableBytes < RECORD_HEADER_BYTES + namespaceBytes + keyBytes + valueBytes
+        || kind != PUT && kind != TOMBSTONE) {
       return null;
     }
-    int length = RECORD_HEADER_BYTES + space + key + value;
-    if (b.getInt(from + 16) != checksum(salt, at, b, from, from + length, from + 16)) {
+    int length = RECORD_HEADER_BYTES + namespaceBytes + keyBytes + valueBytes;
+    int checksumAt = index + RECORD_CHECKSUM_INDEX;
+    if (bytes.getInt(checksumAt)
+        != checksum(salt, offset, bytes, index, index + length, checksumAt)) {
       return null;
     }
-    StoreKey k =
-        new StoreKey(
-            new String(b.array(), from + RECORD_HEADER_BYTES, space, StandardCharsets.UTF_8)
-                .intern(),
-            Arrays.copyOfRange(
-                b.array(),
-                from + RECORD_HEADER_BYTES + space,
-                from + RECORD_HEADER_BYTES + space + key));
-    return new StoredRecord(k, seq, b.get(from) == TOMBSTONE, b.getLong(from + 8), at, length);
+    StoreKey key = parseKey(bytes, index + RECORD_HEADER_BYTES, namespaceBytes, keyBytes);
+    long expiresAtMs = bytes.getLong(index + EXPIRY_INDEX);
+    return new StoredRecord(key, sequence, kind == TOMBSTONE, expiresAtMs, offset, length);
   }
 
-  /** Reads the frames of one segment, in order. */
-  static final class FrameReader {
-    private final StoreDirectory.StoreFile file;
-    private final long salt;
-    private final long segmentBytes;
-    private ByteBuffer window = ByteBuffer.allocate(0);
-    private long windowOffset;
-
-    FrameReader(StoreDirectory.StoreFile file, long salt, long size) {
-      this.file = file;
-      this.salt = salt;
-      this.segmentBytes = size;
-    }
-
-    /**
-     * The index in the window of so many bytes from that place, or -1 where the segment ends
-     * before.
-     */
-    private int windowIndex(long at, int length) throws StoreDirectory.StorageIoException {
-      if (at + length > segmentBytes) {
-        return -1;
-      }
-      if (at < windowOffset || at + length > windowOffset + window.limit()) {
-        window =
-            ByteBuffer.allocate(
-                (int) Math.min(Math.max(length, READ_WINDOW_BYTES), segmentBytes - at));
-        file.read(window, at);
-        window.flip();
-        windowOffset = at;
-      }
-      return at + length > windowOffset + window.limit() ? -1 : (int) (at - windowOffset);
-    }
-
-    /** The frame that stands there, or null where none does that is whole. */
-    Frame readFrame(long at) throws StoreDirectory.StorageIoException {
-      int i = windowIndex(at, FRAME_HEADER_BYTES);
-      if (i < 0) {
-        return null;
-      }
-      int length = window.getInt(i);
-      int count = window.getInt(i + 32);
-      if (length < 0
-          || length > MAX_RECORDS_BYTES
-          || count < 0
-          || count > length / RECORD_HEADER_BYTES
-          || at + FRAME_HEADER_BYTES + length > segmentBytes) {
-        return null;
-      }
-      i = windowIndex(at, FRAME_HEADER_BYTES + length);
-      if (i < 0
-          || window.getInt(i + 4)
-              != checksum(salt, at, window, i, i + FRAME_HEADER_BYTES + length, i + 4)) {
-        return null;
-      }
-      ByteBuffer whole =
-          ByteBuffer.wrap(Arrays.copyOfRange(window.array(), i, i + FRAME_HEADER_BYTES + length));
-      List<StoredRecord> records = new ArrayList<>(count);
-      int from = FRAME_HEADER_BYTES;
-      for (int k = 0; k < count; k++) {
-        StoredRecord s = parseRecord(whole, from, salt, at + from, whole.getLong(8));
-        if (s == null) {
-          return null;
-        }
-        records.add(s);
-        from += s.lengthBytes;
-      }
-      return new Frame(
-          at,
-          at + FRAME_HEADER_BYTES + length,
-          whole.getLong(8),
-          whole.getLong(16),
-          whole.getLong(24),
-          records);
-    }
-
-    /** The first whole frame from there on, at any offset, or null. */
-    Frame findFrame(long from) throws StoreDirectory.StorageIoException {
-      for (long at = from; at + FRAME_HEADER_BYTES <= segmentBytes; at++) {
-        Frame f = readFrame(at);
-        if (f != null) {
-          return f;
-        }
-      }
-      return null;
-    }
+  /** The key whose namespace begins at this index; namespaces are few, so their text is shared. */
+  static StoreKey parseKey(ByteBuffer bytes, int index, int namespaceBytes, int keyBytes) {
+    String namespace =
+        new String(bytes.array(), index, namespaceBytes, StandardCharsets.UTF_8).intern();
+    int keyIndex = index + namespaceBytes;
+    return new StoreKey(
+        namespace, Arrays.copyOfRange(bytes.array(), keyIndex, keyIndex + keyBytes));
   }
 }
--- a/src/main/java/edgenode/store/StoreDirectory.java
+++ b/src/main/java/edgenode/store/StoreDirectory.java
@@ -1,57 +1,43 @@
 package edgenode.store;
 
-import java.nio.ByteBuffer;
 import java.util.List;
 
 /**
- * All that the engine knows of a folder on a disk, so that a test can lose, tear and reorder what
- * was not synced. What is not synced may be lost in any part: bytes by {@link StoreFile#sync},
- * entries of the folder by {@link #syncDirectory}.
+ * The only access of the store to the disk, so that a test can lose, tear and reorder what was not
+ * synced. Contents of a file are durable after {@link StoreFile#sync}, entries of the directory
+ * after {@link #syncDirectory}; until then any part of them may be lost.
  */
 interface StoreDirectory extends AutoCloseable {
-  /** One file. Reads may come from any thread, all else from the writer's. */
-  interface StoreFile {
-    /**
-     * Fills as much of the buffer as there is from that place (bytes); what lies behind the end
-     * stays unread.
-     */
-    void read(ByteBuffer into, long at) throws StorageIoException;
-
-    /** Writes all of the buffer at that place, which is the end or before it. */
-    void write(ByteBuffer from, long at) throws StorageIoException;
-
-    /** Returns when all that was written lasts. After a failure none of it may be taken to. */
-    void sync() throws StorageIoException;
-
-    long size() throws StorageIoException;
-
-    void truncate(long size) throws StorageIoException;
-
-    void close();
-  }
-
-  /** What the disk says when it fails. */
-  final class StorageIoException extends Exception {
-    private static final long serialVersionUID = 1;
-
-    StorageIoException(String message, Throwable cause) {
-      super(message, cause);
-    }
-  }
-
+  /** The names of all files, without the lock file, in ascending order. */
   List<String> fileNames() throws StorageIoException;
 
-  /** Opens a file for reading and writing; it is made, or emptied, where fresh. */
-  StoreFile open(String name, boolean fresh) throws StorageIoException;
+  /**
+   * Opens a file for reading and writing.
+   *
+   * @param truncates whether the file is created, or emptied where it exists; else it must exist
+   */
+  StoreFile open(String name, boolean truncates) throws StorageIoException;
 
-  /** Puts the file in the place of another, which is replaced at once or not at all. */
+  /** Gives a file another name; a file of that name is replaced atomically. */
   void rename(String from, String to) throws StorageIoException;
 
+  /** Removes a file; open files stay readable. */
   void delete(String name) throws StorageIoException;
 
-  /** Returns when the folder's entries last: files made, renamed and deleted. */
+  /** Returns once created, renamed and deleted entries are durable. */
   void syncDirectory() throws StorageIoException;
 
+  /** Releases the directory for other processes. */
   @Override
   void close();
+
+  /** The size of a file (bytes). */
+  static long fileBytes(StoreDirectory directory, String name) throws StorageIoException {
+    StoreFile file = directory.open(name, false);
+    try {
+      return file.size();
+    } finally {
+      file.close();
+    }
+  }
 }
--- a/src/main/java/edgenode/store/StoreEngine.java
+++ b/src/main/java/edgenode/store/StoreEngine.java
@@ -1,723 +1,291 @@
 package edgenode.store;
 
-import edgenode.store.SegmentFormat.StoredRecord;
-import edgenode.store.StoreDirectory.StorageIoException;
 import edgenode.store.StoreException.Reason;
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
-import java.util.PriorityQueue;
-import java.util.Set;
-import java.util.concurrent.ConcurrentNavigableMap;
-import java.util.concurrent.ConcurrentSkipListMap;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
 
 /**
- * The log and its index. One thread writes: {@link #append}, then {@link #sync} where it must last,
- * then {@link #publish}, from when on all threads read it. Reads come from any thread and never
- * wait for the writer: they look up a key's version at the last published sequence number
- * (multi-version concurrency control), O(log n), and read its record from its place.
+ * The store without its thread: the log and the index over it.
  *
- * <p>What lasts: a prefix of the batches in the order of {@link #append}, at least up to the last
- * {@link #sync} that returned, each whole or not at all.
+ * <p>One thread writes: {@link #append}, then {@link #sync} where the writes must be durable, then
+ * {@link #publish}, from when on all threads see them. Reads ({@code get}, {@code range},
+ * snapshots) come from any thread and never wait for the writer: they look up the version of a key
+ * at the last published sequence number, O(log n), and read its record from disk.
+ *
+ * <p>Durability: after a crash the store holds a prefix of the batches in the order of {@link
+ * #append}, at least up to the last {@link #sync} that returned, each complete or not at all.
  */
 final class StoreEngine implements AutoCloseable {
   /**
-   * @param segmentBytes a segment that has reached it is followed by a new one
+   * How the engine writes.
+   *
+   * @param segmentBytes a segment that has reached this size is followed by a new one
    */
-  record EngineOptions(long segmentBytes) {
-    /**
-     * Its hint is written in one go, some 30 ms for records of 100 bytes; a million of those need
-     * eleven.
-     */
-    static final EngineOptions DEFAULT = new EngineOptions(16 << 20);
+  record Options(long segmentBytes) {
+    /** The hint of a segment is written in one go, some 30 ms for records of 100 bytes. */
+    static final Options DEFAULT = new Options(16 << 20);
   }
 
-  /** What became of a batch: its version, and why it was not written where it is 0. */
+  /**
+   * What became of a batch.
+   *
+   * @param version of its keys, or 0 where it was rejected
+   * @param rejection why it was not written, or null
+   */
   record AppendResult(long version, StoreException rejection) {}
 
   /** A value with its version. */
   record VersionedValue(byte[] bytes, long version) {}
 
-  private record UnpublishedChange(StoreKey key, RecordVersion version) {}
-
-  private final StoreDirectory directory;
-  private final EngineOptions options;
-  private final LongSupplier saltSource;
-
-  /** What opening found to tell: a torn end that was cut off, hints that were of no use. */
-  private final List<String> recoveryMessages = new ArrayList<>();
-
-  private final ConcurrentNavigableMap<StoreKey, RecordVersion> index =
-      new ConcurrentSkipListMap<>();
-  private final ConcurrentNavigableMap<Long, Integer> openSnapshots = new ConcurrentSkipListMap<>();
-
-  /** The oldest first; the last one grows. */
-  private final List<Segment> segments = new ArrayList<>();
-
-  private final List<UnpublishedChange> unpublished = new ArrayList<>();
-  private final Map<StoreKey, RecordVersion> unpublishedByKey = new HashMap<>();
-
-  /** Versions with a time to live, the next to expire first. */
-  private final PriorityQueue<RecordVersion> expiryQueue =
-      new PriorityQueue<>(Comparator.comparingLong((RecordVersion s) -> s.expiresAtMs));
-
-  private Compaction compaction;
-  private ByteBuffer writeBuffer = ByteBuffer.allocate(1 << 16);
-  private long nextSegmentId = 1;
-  private long lastSequence;
-  private long syncedOffset;
-
-  /** Bytes to be written before it is looked again whether a compaction is worthwhile. */
-  private long bytesUntilCompactionCheck;
-
-  /** The latest time seen (ms since 1970), also by the log: what has expired stays so. */
-  private final AtomicLong latestTimeMs;
-
-  private volatile long publishedSequence;
+  /**
+   * The state of the engine.
+   *
+   * @param totalBytes of all segments
+   * @param liveBytes of them, those that the index points at
+   * @param version the sequence number up to which writes are visible
+   * @param failure why nothing can be written any more, or null
+   * @param messages what operators should know of opening and maintenance, a line each
+   */
+  record Metrics(
+      int keyCount,
+      int segmentCount,
+      long totalBytes,
+      long liveBytes,
+      long version,
+      String failure,
+      List<String> messages) {}
 
-  /** Versions that no reader at this sequence number or later needs may be gone. */
-  private volatile long trimmedSequence;
+  private final VersionIndex index = new VersionIndex();
+  private final List<String> messages = new ArrayList<>();
+  private final StoreClock clock;
+  private final SegmentLog log;
+  private final StoreMaintenance maintenance;
 
-  private volatile String failed;
+  /** Why nothing can be written any more, or null. */
+  private volatile String failure;
 
   /**
-   * Opens what is in the folder, or begins anew in an empty one.
+   * Opens the store of a directory, or begins one in an empty directory.
    *
-   * @param now the time (ms since 1970); where it is before what the log has seen, that counts
-   * @param salts a number for each segment that no other one is likely to have
+   * @param nowMs the time (ms since 1970); a later one in the log counts instead
+   * @param saltSource gives each segment a number that hardly any other one has
    */
-  StoreEngine(StoreDirectory disk, EngineOptions limits, long now, LongSupplier salts)
+  StoreEngine(StoreDirectory directory, Options options, long nowMs, LongSupplier saltSource)
       throws StorageIoException, StoreException {
-    this.directory = disk;
-    this.options = limits;
-    this.saltSource = salts;
-    latestTimeMs = new AtomicLong(now);
-    List<String> names = disk.fileNames();
-    if (names.contains(Manifest.FILE_NAME)) {
-      recover(names);
+    clock = new StoreClock(nowMs);
+    log = new SegmentLog(directory, options.segmentBytes(), saltSource);
+    List<String> fileNames = directory.fileNames();
+    if (fileNames.contains(Manifest.FILE_NAME)) {
+      StoreRecovery recovery = new StoreRecovery(directory, index, clock, messages);
+      recovery.run(fileNames);
+      log.restore(recovery);
     } else {
-      for (String name : names) {
-        if (name.endsWith(".seg") && length(name) > SegmentFormat.SEGMENT_HEADER_BYTES) {
-          throw new StoreException(
-              Reason.DAMAGED, Manifest.FILE_NAME + " is missing and " + name + " is there");
-        }
-      }
-      segments.add(createSegment());
-      writeManifest(segments);
+      StoreRecovery.checkEmpty(directory, fileNames);
+      log.create();
     }
-    publishedSequence = lastSequence;
-    trimmedSequence = lastSequence;
+    index.finishLoading(log.lastSequence());
+    maintenance =
+        new StoreMaintenance(directory, log, index, clock, options.segmentBytes(), messages);
   }
 
-  private long length(String name) throws StorageIoException {
-    StoreDirectory.StoreFile file = directory.open(name, false);
-    try {
-      return file.size();
-    } finally {
-      file.close();
-    }
-  }
-
-  // ---- opening ----
+  // ---- writer thread ----
 
-  private void recover(List<String> names) throws StorageIoException, StoreException {
-    Manifest manifest = Manifest.read(directory);
-    nextSegmentId = manifest.nextSegmentId();
-    Set<String> known = new HashSet<>(List.of(Manifest.FILE_NAME));
-    for (long[] s : manifest.segments()) {
-      known.add(Segment.fileName(s[0]));
-      known.add(Segment.hintFileName(s[0]));
-      if (!names.contains(Segment.fileName(s[0]))) {
-        throw new StoreException(Reason.DAMAGED, Segment.fileName(s[0]) + " is missing");
-      }
-    }
-    for (int i = 0; i < manifest.segments().size(); i++) {
-      long[] told = manifest.segments().get(i);
-      StoreDirectory.StoreFile file = directory.open(Segment.fileName(told[0]), false);
-      Segment s =
-          new Segment(
-              told[0], SegmentFormat.readSalt(file, told[0], Segment.fileName(told[0])), file);
-      segments.add(s);
-      s.sizeBytes = file.size();
-      if (i == manifest.segments().size() - 1) {
-        truncateTornTail(s, loadFrames(s));
-      } else if (s.sizeBytes != told[1]) {
-        throw new StoreException(
-            Reason.DAMAGED,
-            s.fileName + ": " + s.sizeBytes + " bytes, of " + told[1] + " when it was closed");
-      } else {
-        List<StoredRecord> hint =
-            names.contains(s.hintFileName()) ? HintFile.read(directory, s, this::seen) : null;
-        s.isHintDone = hint != null;
-        if (hint != null) {
-          hint.forEach(r -> indexRecord(s, r));
-        } else if (loadFrames(s) < s.sizeBytes) {
-          throw new StoreException(
-              Reason.DAMAGED, s.fileName + ", offset " + loadFrames(s) + ": no whole frame");
-        }
-      }
-    }
-    for (String name : names) { // left by a compaction or a roll that was cut off
-      if (!known.contains(name) && name.matches("[0-9a-f]{16}\\.(seg|hint)|.*\\.new")) {
-        directory.delete(name);
-      }
+  private void checkWritable() throws StoreException {
+    if (failure != null) {
+      throw new StoreException(Reason.FAILED, failureMessage());
     }
   }
 
-  private void seen(long time, long seq) {
-    advanceClock(time);
-    lastSequence = Math.max(lastSequence, seq);
+  private String failureMessage() {
+    return "the disk failed, nothing is written any more: " + failure;
   }
 
-  private long advanceClock(long time) {
-    long known = latestTimeMs.get();
-    return time > known ? latestTimeMs.accumulateAndGet(time, Math::max) : known;
-  }
-
-  /** Enters the frames of a segment; returns where the last whole one ends. */
-  private long loadFrames(Segment s) throws StorageIoException {
-    SegmentFormat.FrameReader reader = new SegmentFormat.FrameReader(s.file, s.salt, s.sizeBytes);
-    long at = SegmentFormat.SEGMENT_HEADER_BYTES;
-    long seq = 0;
-    for (SegmentFormat.Frame f = reader.readFrame(at);
-        f != null && f.sequence() > seq;
-        f = reader.readFrame(at)) {
-      f.records().forEach(r -> indexRecord(s, r));
-      seen(f.timeMs(), f.sequence());
-      seq = f.sequence();
-      at = f.endOffset();
-    }
-    return at;
-  }
-
-  private void countVersion(RecordVersion s) {
-    s.location.segment().addVersion(s, 1);
-    if (s.expiresAtMs > 0) {
-      expiryQueue.add(s);
-    }
-  }
-
-  /** A key's later version counts, wherever it stands. */
-  private void indexRecord(Segment s, StoredRecord r) {
-    RecordVersion there = index.get(r.key());
-    if (there == null || there.sequence < r.sequence()) {
-      if (there != null) {
-        there.location.segment().addVersion(there, -1);
-      }
-      RecordVersion slot = new RecordVersion(s, r);
-      index.put(r.key(), slot);
-      countVersion(slot);
-    }
+  /** Ends writing: what the files hold is not known after this error. */
+  private StoreException failWrites(StorageIoException cause) {
+    failure = cause.getMessage();
+    index.discardStaged();
+    return new StoreException(Reason.FAILED, failureMessage(), cause);
   }
 
   /**
-   * What follows the last whole frame of the last segment was being written when all ended, and is
-   * cut off, unless a later frame says that this place had lasted already: then it is damage.
+   * Writes the batches whose conditions hold, one after the other; the conditions of each see what
+   * those before it write.
+   *
+   * @param timeMs the time (ms since 1970)
+   * @return a result for each batch, in order
+   * @throws StoreException FAILED where the disk fails, now or before
    */
-  private void truncateTornTail(Segment s, long end) throws StorageIoException, StoreException {
-    syncedOffset = end;
-    if (end == s.sizeBytes) {
-      return;
-    }
-    SegmentFormat.FrameReader reader = new SegmentFormat.FrameReader(s.file, s.salt, s.sizeBytes);
-    for (SegmentFormat.Frame f = reader.findFrame(end + 1);
-        f != null;
-        f = reader.findFrame(f.endOffset())) {
-      if (f.durableOffset() > end) {
-        throw new StoreException(
-            Reason.DAMAGED,
-            s.fileName
-                + ", offset "
-                + end
-                + ": no whole frame, though it was synced before offset "
-                + f.offset()
-                + " was written");
+  List<AppendResult> append(List<WriteBatch> batches, long timeMs) throws StoreException {
+    checkWritable();
+    clock.advance(timeMs);
+    List<AppendResult> results = new ArrayList<>(batches.size());
+    try {
+      log.clearBuffer();
+      for (WriteBatch batch : batches) {
+        StoreException conflict = findConflict(batch);
+        results.add(conflict == null ? appendBatch(batch) : new AppendResult(0, conflict));
       }
+      log.flush();
+    } catch (StorageIoException e) {
+      throw failWrites(e);
     }
-    recoveryMessages.add(
-        s.fileName + ": a torn end of " + (s.sizeBytes - end) + " bytes cut off at offset " + end);
-    s.file.truncate(end);
-    s.file.sync();
-    s.sizeBytes = end;
-  }
-
-  // ---- writing ----
-
-  private Segment createSegment() throws StorageIoException {
-    long id = nextSegmentId++;
-    long salt = saltSource.getAsLong();
-    StoreDirectory.StoreFile file = directory.open(Segment.fileName(id), true);
-    file.write(SegmentFormat.segmentHeader(id, salt), 0);
-    file.sync();
-    directory.syncDirectory();
-    return new Segment(id, salt, file);
+    return results;
   }
 
-  private void writeManifest(List<Segment> of) throws StorageIoException {
-    List<long[]> list = new ArrayList<>();
-    for (Segment s : of) {
-      list.add(new long[] {s.id, s.sizeBytes});
+  private AppendResult appendBatch(WriteBatch batch) throws StorageIoException {
+    for (RecordVersion version : log.append(batch, clock.latestMs())) {
+      index.stage(version);
     }
-    new Manifest(nextSegmentId, list).write(directory);
-  }
-
-  private Segment activeSegment() {
-    return segments.get(segments.size() - 1);
+    return new AppendResult(log.lastSequence(), null);
   }
 
-  private StoreException failWrites(StorageIoException e) {
-    failed = e.getMessage();
-    unpublished.clear();
-    unpublishedByKey.clear();
-    return new StoreException(
-        Reason.FAILED, "the disk failed, nothing is written any more: " + failed, e);
-  }
-
-  private void checkWritable() throws StoreException {
-    if (failed != null) {
-      throw new StoreException(
-          Reason.FAILED, "the disk failed, nothing is written any more: " + failed);
+  private StoreException findConflict(WriteBatch batch) {
+    for (Map.Entry<StoreKey, Long> required : batch.requiredVersions.entrySet()) {
+      RecordVersion known = index.newestWritten(required.getKey());
+      long version = known == null || known.isAbsent(clock.latestMs()) ? 0 : known.sequence;
+      if (version != required.getValue()) {
+        return new StoreException(
+            Reason.CONFLICT,
+            required.getKey() + " has version " + version + ", not " + required.getValue());
+      }
     }
+    return null;
   }
 
   /**
-   * Writes the batches whose conditions hold, one after the other; what one writes the next one's
-   * conditions see.
+   * Returns once everything appended is durable. A sync that failed is not tried again, as the
+   * system may have dropped what it covered.
    */
-  List<AppendResult> append(List<WriteBatch> batches, long time) throws StoreException {
+  void sync() throws StoreException {
     checkWritable();
-    advanceClock(time);
-    List<AppendResult> outcomes = new ArrayList<>(batches.size());
     try {
-      writeBuffer.clear();
-      for (WriteBatch b : batches) {
-        StoreException conflict = findConflict(b);
-        outcomes.add(new AppendResult(conflict == null ? appendFrame(b) : 0, conflict));
-      }
-      flush();
+      log.sync();
     } catch (StorageIoException e) {
       throw failWrites(e);
     }
-    return outcomes;
   }
 
-  private StoreException findConflict(WriteBatch b) {
-    for (Map.Entry<StoreKey, Long> e : b.requiredVersions.entrySet()) {
-      RecordVersion slot = unpublishedByKey.getOrDefault(e.getKey(), index.get(e.getKey()));
-      long version = slot == null || slot.isAbsent(latestTimeMs.get()) ? 0 : slot.sequence;
-      if (version != e.getValue()) {
-        return new StoreException(
-            Reason.CONFLICT, e.getKey() + " has version " + version + ", not " + e.getValue());
-      }
-    }
-    return null;
-  }
-
-  private long appendFrame(WriteBatch b) throws StorageIoException {
-    int size = SegmentFormat.FRAME_HEADER_BYTES;
-    for (Map.Entry<StoreKey, WriteBatch.Mutation> e : b.mutations.entrySet()) {
-      size +=
-          SegmentFormat.recordBytes(
-              e.getKey(), e.getValue().value() == null ? 0 : e.getValue().value().length);
-    }
-    if (activeSegment().sizeBytes + writeBuffer.position() >= options.segmentBytes()) {
-      flush();
-      rollSegment();
-    }
-    if (writeBuffer.remaining() < size) {
-      flush();
-      writeBuffer = writeBuffer.capacity() < size ? ByteBuffer.allocate(size) : writeBuffer;
-    }
-    Segment s = activeSegment();
-    int from =
-        SegmentFormat.beginFrame(writeBuffer, ++lastSequence, latestTimeMs.get(), syncedOffset);
-    for (Map.Entry<StoreKey, WriteBatch.Mutation> e : b.mutations.entrySet()) {
-      StoredRecord r =
-          SegmentFormat.writeRecord(
-              writeBuffer,
-              s.salt,
-              s.sizeBytes + writeBuffer.position(),
-              e.getKey(),
-              lastSequence,
-              e.getValue().value(),
-              e.getValue().expiresAtMs());
-      RecordVersion slot = new RecordVersion(s, r);
-      unpublished.add(new UnpublishedChange(e.getKey(), slot));
-      unpublishedByKey.put(e.getKey(), slot);
-    }
-    SegmentFormat.endFrame(writeBuffer, from, s.salt, s.sizeBytes + from, b.mutations.size());
-    return lastSequence;
-  }
-
-  private void flush() throws StorageIoException {
-    if (writeBuffer.position() > 0) {
-      writeBuffer.flip();
-      int length = writeBuffer.limit();
-      activeSegment().file.write(writeBuffer, activeSegment().sizeBytes);
-      activeSegment().sizeBytes += length;
-      bytesUntilCompactionCheck -= length;
-      writeBuffer.clear();
-    }
-  }
-
-  /**
-   * The full segment lasts before another one is begun, so that only the last one can have a torn
-   * end.
-   */
-  private void rollSegment() throws StorageIoException {
-    activeSegment().file.sync();
-    segments.add(createSegment());
-    syncedOffset = SegmentFormat.SEGMENT_HEADER_BYTES;
-    writeManifest(segments);
+  /** Makes everything appended visible to readers, each batch as a whole. */
+  void publish() {
+    index.publishStaged(log.lastSequence());
   }
 
   /**
-   * Returns when all that was appended lasts. A sync that failed is not tried again: what it
-   * covered may be lost.
+   * Does one step of maintenance: a hint, or a part of a compaction.
+   *
+   * @param bytes about how many bytes a step of compaction reads
+   * @param timeMs the time (ms since 1970)
+   * @return whether there may be more to do
    */
-  void sync() throws StoreException {
+  boolean runMaintenance(int bytes, long timeMs) throws StoreException {
     checkWritable();
+    clock.advance(timeMs);
     try {
-      activeSegment().file.sync();
-      syncedOffset = activeSegment().sizeBytes;
+      return maintenance.step(bytes);
     } catch (StorageIoException e) {
       throw failWrites(e);
     }
   }
 
-  /** All readers see what was appended, each batch whole. */
-  void publish() {
-    for (UnpublishedChange c : unpublished) {
-      RecordVersion old = index.get(c.key);
-      c.version.previous = old;
-      index.put(c.key, c.version);
-      countVersion(c.version);
+  /** The state now. */
+  Metrics metrics() {
+    long totalBytes = 0;
+    long liveBytes = 0;
+    for (Segment segment : log.segments()) {
+      totalBytes += segment.sizeBytes;
+      liveBytes += segment.liveBytes;
     }
-    publishedSequence = lastSequence;
-    unpublished.forEach(c -> trimVersions(c.version));
-    unpublished.clear();
-    unpublishedByKey.clear();
+    return new Metrics(
+        index.size(),
+        log.segments().size(),
+        totalBytes,
+        liveBytes,
+        index.publishedSequence(),
+        failure,
+        List.copyOf(messages));
   }
 
-  /** Lets versions go that neither the readers of today nor a snapshot can want. */
-  private void trimVersions(RecordVersion head) {
-    trimmedSequence =
-        publishedSequence; // before the snapshots are looked at: one that is taken meanwhile sees
-    // it
-    RecordVersion newer = head;
-    for (RecordVersion old = head.previous; old != null; old = old.previous) {
-      Long wanting = openSnapshots.floorKey(newer.sequence - 1);
-      if (wanting != null && wanting >= old.sequence) {
-        newer = old;
-      } else {
-        old.location.segment().addVersion(old, -1);
-        newer.previous = old.previous;
+  /** Makes everything durable, marks the log as closed, and closes its files. */
+  @Override
+  public void close() {
+    try {
+      if (failure == null) {
+        sync();
+        publish();
+        log.appendCloseMarker(clock.latestMs());
       }
+    } catch (StoreException | StorageIoException e) {
+      // the next start finds what a crash would leave
+      messages.add("not closed cleanly: " + e.getMessage());
+    } finally {
+      maintenance.close();
+      log.releaseSegments();
     }
   }
 
-  // ---- reading ----
-
-  /** A sequence number at which all stays readable until it is {@link #release}d. */
-  long snapshot() {
-    while (true) {
-      long at = publishedSequence;
-      openSnapshots.merge(at, 1, Integer::sum);
-      if (trimmedSequence <= at) {
-        return at;
-      }
-      release(at);
-    }
-  }
+  // ---- any thread ----
 
-  void release(long snapshot) {
-    openSnapshots.computeIfPresent(snapshot, (at, n) -> n > 1 ? n - 1 : null);
+  /** Takes a sequence number at which everything stays readable until {@link #releaseSnapshot}. */
+  long openSnapshot() {
+    return index.openSnapshot();
   }
 
-  private RecordVersion versionAt(RecordVersion head, long seq) {
-    RecordVersion s = head;
-    while (s != null && s.sequence > seq) {
-      s = s.previous;
-    }
-    return s;
+  void releaseSnapshot(long snapshot) {
+    index.releaseSnapshot(snapshot);
   }
 
-  /** The value now, or null. */
-  VersionedValue get(StoreKey key, long time) throws StorageIoException, StoreException {
+  /** The present value of a key, or null. */
+  VersionedValue get(StoreKey key, long timeMs) throws StorageIoException, StoreException {
     while (true) {
-      long seq = publishedSequence;
-      RecordVersion s = versionAt(index.get(key), seq);
-      if (s == null && publishedSequence != seq) {
-        continue; // it may have been trimmed since
+      long sequence = index.publishedSequence();
+      RecordVersion version = index.versionAt(key, sequence);
+      if (version == null) {
+        if (index.publishedSequence() == sequence) {
+          return null;
+        }
+        continue; // it may have been trimmed meanwhile
       }
-      VersionedValue v = s == null ? null : read(s, time);
-      if (v != null || s == null || s.isAbsent(advanceClock(time)) || publishedSequence == seq) {
-        return v;
+      VersionedValue value = read(version, timeMs);
+      if (value != null
+          || version.isAbsent(clock.advance(timeMs))
+          || index.publishedSequence() == sequence) {
+        return value;
       }
     }
   }
 
-  /** The value as of a snapshot, or null. */
-  VersionedValue get(StoreKey key, long time, long snapshot)
+  /** The value of a key as of a snapshot, or null. */
+  VersionedValue get(StoreKey key, long timeMs, long snapshot)
       throws StorageIoException, StoreException {
-    RecordVersion s = versionAt(index.get(key), snapshot);
-    return s == null ? null : read(s, time);
+    RecordVersion version = index.versionAt(key, snapshot);
+    return version == null ? null : read(version, timeMs);
   }
 
-  private VersionedValue read(RecordVersion s, long time)
+  private VersionedValue read(RecordVersion version, long timeMs)
       throws StorageIoException, StoreException {
-    while (!s.isAbsent(advanceClock(time))) {
-      RecordVersion.RecordLocation p = s.location;
-      if (p.segment().tryRetain()) {
+    while (!version.isAbsent(clock.advance(timeMs))) {
+      RecordLocation location = version.location;
+      Segment segment = location.segment();
+      if (segment.tryRetain()) {
         try {
-          return new VersionedValue(
-              SegmentFormat.readValue(
-                  p.segment().file, p.segment().salt, p.storedRecord(), p.segment().fileName),
-              s.sequence);
+          byte[] bytes = SegmentFormat.readValue(segment, location.storedRecord());
+          return new VersionedValue(bytes, version.sequence);
         } finally {
-          p.segment().release();
+          segment.release();
         }
       }
-      if (p == s.location) {
-        return null; // trimmed, and its segment is gone
+      if (location == version.location) {
+        return null; // trimmed, and its segment is deleted
       }
     }
     return null;
   }
 
-  /** The keys of a namespace from one to before another (null: to its end), in order. */
+  /** The keys from one up to, not including, another (null: without end), in order. */
   NavigableMap<StoreKey, RecordVersion> range(StoreKey from, StoreKey to) {
-    return to == null ? index.tailMap(from, true) : index.subMap(from, true, to, false);
-  }
-
-  // ---- compaction ----
-
-  /**
-   * Goes on with tidying up for about so many bytes: hints for segments that have none, and
-   * compaction where it gains enough. Returns false when there is nothing to do. At any moment a
-   * cut leaves the old segments or the new one.
-   */
-  boolean runMaintenance(int bytes, long time) throws StoreException {
-    checkWritable();
-    advanceClock(time);
-    expireVersions();
-    if (compaction == null) {
-      for (Segment s : segments) {
-        if (s != activeSegment() && !s.isHintDone) {
-          writeHint(s);
-          return true;
-        }
-      }
-      List<Segment> run = bytesUntilCompactionCheck > 0 ? List.of() : selectInputs();
-      if (run.isEmpty()) {
-        bytesUntilCompactionCheck =
-            bytesUntilCompactionCheck > 0 ? bytesUntilCompactionCheck : options.segmentBytes() / 8;
-        return false;
-      }
-      try {
-        compaction =
-            new Compaction(
-                run,
-                run.get(0) == segments.get(0),
-                createSegment(),
-                this::findVersion,
-                latestTimeMs.get());
-      } catch (StorageIoException e) {
-        throw failWrites(e); // whether the folder has it is not known
-      }
-    }
-    try {
-      if (compaction.step(bytes)) {
-        return true;
-      }
-    } catch (StorageIoException | StoreException e) { // the old ones are as they were
-      Segment of = compaction.output;
-      compaction = null;
-      of.release();
-      try {
-        directory.delete(of.fileName);
-      } catch (StorageIoException again) {
-        recoveryMessages.add(of.fileName + " stays until the next start: " + again.getMessage());
-      }
-      throw e instanceof StoreException s
-          ? s
-          : new StoreException(Reason.FAILED, "compaction was given up: " + e.getMessage(), e);
-    }
-    try {
-      replaceInputs();
-    } catch (StorageIoException e) {
-      throw failWrites(e); // it is not known which manifest there is
-    }
-    return true;
-  }
-
-  /** What has expired is room to be had. */
-  private void expireVersions() {
-    for (RecordVersion s = expiryQueue.peek();
-        s != null && s.expiresAtMs <= latestTimeMs.get();
-        s = expiryQueue.peek()) {
-      expiryQueue.poll();
-      if (!s.isDeletedOrExpired && findVersion(s.location.storedRecord()) == s) {
-        s.location.segment().markExpired(s);
-        bytesUntilCompactionCheck -= s.location.storedRecord().lengthBytes();
-      }
-    }
-  }
-
-  private void writeHint(Segment s) throws StoreException {
-    s.isHintDone = true; // tried once
-    try {
-      HintFile.write(directory, s);
-    } catch (StorageIoException e) {
-      recoveryMessages.add(s.hintFileName() + " was not written: " + e.getMessage());
-    }
-  }
-
-  /** The key's version of that record if it is still wanted, or null. */
-  private RecordVersion findVersion(StoredRecord r) {
-    RecordVersion head = index.get(r.key());
-    if (head != null) {
-      trimVersions(head);
-    }
-    for (RecordVersion s = head; s != null; s = s.previous) {
-      if (s.sequence == r.sequence()) {
-        return s;
-      }
-    }
-    return null;
-  }
-
-  /**
-   * The neighbours whose compaction gains most for what it copies, at least as much as it copies.
-   * With it the closed segments take at most twice what they hold, and a compaction one segment
-   * more.
-   */
-  private List<Segment> selectInputs() {
-    List<Segment> best = List.of();
-    double most = 1;
-    for (int i = 0; i < segments.size() - 1; i++) {
-      long size = 0;
-      long kept = 0;
-      for (int j = i; j < segments.size() - 1; j++) {
-        size += segments.get(j).sizeBytes;
-        kept += segments.get(j).bytesAfterCompaction(i == 0);
-        double gain = (size - kept) / (double) Math.max(1, kept);
-        if (kept <= options.segmentBytes() && gain > most) {
-          most = gain;
-          best = new ArrayList<>(segments.subList(i, j + 1));
-        }
-      }
-    }
-    return best;
-  }
-
-  /** What took the place of records that were left out must last before these go. */
-  private void replaceInputs() throws StorageIoException {
-    activeSegment().file.sync();
-    syncedOffset = activeSegment().sizeBytes;
-    Compaction done = compaction;
-    compaction = null;
-    List<Segment> after = new ArrayList<>(segments);
-    after.add(after.indexOf(done.inputs.get(0)), done.output);
-    after.removeAll(done.inputs);
-    if (done.output.sizeBytes == SegmentFormat.SEGMENT_HEADER_BYTES) {
-      after.remove(done.output);
-    }
-    writeManifest(after);
-    segments.clear();
-    segments.addAll(after);
-    done.copied.forEach(
-        (slot, stored) -> {
-          if (findVersion(slot.location.storedRecord()) == slot) {
-            slot.location = new RecordVersion.RecordLocation(done.output, stored);
-            done.output.addVersion(slot, 1);
-          }
-        });
-    done.dropped.forEach(
-        r ->
-            index.computeIfPresent(
-                r.key(),
-                (k, head) -> head.sequence == r.sequence() && head.previous == null ? null : head));
-    for (Segment s : done.inputs) {
-      s.release();
-      directory.delete(s.fileName);
-      if (directory.fileNames().contains(s.hintFileName())) {
-        directory.delete(s.hintFileName());
-      }
-    }
-    if (done.output.sizeBytes == SegmentFormat.SEGMENT_HEADER_BYTES) {
-      done.output.release();
-      directory.delete(done.output.fileName);
-    }
-  }
-
-  // ---- the rest ----
-
-  /** What the store is like. Bytes on the disk, and of those what the index points at. */
-  record EngineMetrics(
-      int keyCount,
-      int segmentCount,
-      long totalBytes,
-      long liveBytes,
-      long version,
-      String failure,
-      List<String> recoveryMessages) {}
-
-  EngineMetrics metrics() {
-    long bytes = 0;
-    long live = 0;
-    for (Segment s : segments) {
-      bytes += s.sizeBytes;
-      live += s.liveBytes;
-    }
-    return new EngineMetrics(
-        index.size(),
-        segments.size(),
-        bytes,
-        live,
-        publishedSequence,
-        failed,
-        List.copyOf(recoveryMessages));
-  }
-
-  List<Segment> segments() {
-    return segments;
-  }
-
-  /**
-   * Makes all last and says so in the log, so that damage at its end can be told from a torn one.
-   */
-  @Override
-  public void close() {
-    try {
-      if (failed == null) {
-        sync();
-        publish();
-        writeBuffer.clear();
-        SegmentFormat.endFrame(
-            writeBuffer,
-            SegmentFormat.beginFrame(writeBuffer, ++lastSequence, latestTimeMs.get(), syncedOffset),
-            activeSegment().salt,
-            activeSegment().sizeBytes,
-            0);
-        flush();
-        activeSegment().file.sync();
-      }
-    } catch (StoreException | StorageIoException e) {
-      recoveryMessages.add(
-          "not closed well: " + e.getMessage()); // as after a crash: what was synced is there
-    } finally {
-      if (compaction != null) {
-        compaction.output.release();
-      }
-      segments.forEach(Segment::release);
-    }
+    return index.range(from, to);
   }
 }
--- a/src/main/java/edgenode/store/StoreException.java
+++ b/src/main/java/edgenode/store/StoreException.java
@@ -1,27 +1,28 @@
 package edgenode.store;
 
-/** Why the store does not do what it was asked. */
+/** Why the store did not do what was asked. */
 public final class StoreException extends Exception {
   private static final long serialVersionUID = 1;
 
-  /** The kind of the reason. */
+  /** The kind of error. */
   public enum Reason {
     /**
-     * What is on the disk cannot be what was written; the message names file and offset. Nothing
-     * was changed.
+     * The files cannot be what was written; the message names file and offset. Nothing was changed.
      */
     DAMAGED,
-    /** Written by a later version of the program. */
+    /** A later version of the program wrote the files. */
     NEWER,
-    /** Another process has the folder open. */
+    /** Another process has the directory open. */
     LOCKED,
-    /** A key, value or batch over its limit. */
+    /** A namespace, key, value or batch is longer than allowed. */
     TOO_LARGE,
     /** A condition of the batch does not hold: nothing of it was written. */
     CONFLICT,
-    /** Too many writes wait: nothing of it was written, and it may come again. */
+    /** Too many writes are queued: nothing was written, and the write may be tried again. */
     BUSY,
-    /** The disk failed: nothing is written any more until the store is opened anew; reads go on. */
+    /**
+     * The disk failed: nothing is written any more until the store is opened again; reads go on.
+     */
     FAILED,
     /** The store is closed. */
     CLOSED
@@ -39,6 +40,7 @@
     this.reason = reason;
   }
 
+  /** The kind of error. */
   public Reason reason() {
     return reason;
   }
--- a/src/main/java/edgenode/store/StoreKey.java
+++ b/src/main/java/edgenode/store/StoreKey.java
@@ -3,14 +3,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A key within its namespace, ordered by namespace and then by unsigned bytes. */
+/** A key within its namespace, ordered by namespace, then by unsigned bytes. */
 record StoreKey(String namespace, byte[] bytes) implements Comparable<StoreKey> {
   static final int MAX_NAMESPACE_BYTES = 64;
   static final int MAX_KEY_BYTES = 1024;
 
-  static StoreKey of(String space, byte[] key) throws StoreException {
-    int length = space.getBytes(StandardCharsets.UTF_8).length;
-    if (length == 0 || length > MAX_NAMESPACE_BYTES || key.length > MAX_KEY_BYTES) {
+  /** Copies the key; throws TOO_LARGE where namespace or key are longer than allowed. */
+  static StoreKey of(String namespace, byte[] key) throws StoreException {
+    int namespaceBytes = namespace.getBytes(StandardCharsets.UTF_8).length;
+    if (namespaceBytes == 0 || namespaceBytes > MAX_NAMESPACE_BYTES || key.length > MAX_KEY_BYTES) {
       throw new StoreException(
           StoreException.Reason.TOO_LARGE,
           "a namespace has 1 to "
@@ -18,22 +19,22 @@
               + " bytes and a key at most "
               + MAX_KEY_BYTES
               + ", not "
-              + length
+              + namespaceBytes
               + " and "
               + key.length);
     }
-    return new StoreKey(space, key.clone());
+    return new StoreKey(namespace, key.clone());
   }
 
   @Override
-  public int compareTo(StoreKey o) {
-    int by = namespace.compareTo(o.namespace);
-    return by != 0 ? by : Arrays.compareUnsigned(bytes, o.bytes);
+  public int compareTo(StoreKey other) {
+    int byNamespace = namespace.compareTo(other.namespace);
+    return byNamespace != 0 ? byNamespace : Arrays.compareUnsigned(bytes, other.bytes);
   }
 
   @Override
-  public boolean equals(Object o) {
-    return o instanceof StoreKey k && compareTo(k) == 0;
+  public boolean equals(Object other) {
+    return other instanceof StoreKey key && compareTo(key) == 0;
   }
 
   @Override
--- a/src/main/java/edgenode/store/StoreScan.java
+++ b/src/main/java/edgenode/store/StoreScan.java
@@ -1,7 +1,6 @@
 package edgenode.store;
 
-import edgenode.store.SegmentFormat.StoredRecord;
-import edgenode.store.StoreDirectory.StorageIoException;
+import edgenode.store.StoreException.Reason;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -9,154 +8,210 @@
 import java.util.function.Consumer;
 
 /**
- * Reads all that can be read of a folder, changing nothing: what {@code store check}, {@code dump}
- * and {@code repair} stand on. A key's latest version that is whole counts; where a place is
- * damaged, a later one may have stood there.
+ * Reads everything readable of a directory without changing it: the base of {@code store check},
+ * {@code stats}, {@code dump} and {@code repair}. The latest intact record of a key counts; a later
+ * one may have stood at a place that is damaged.
  */
 final class StoreScan {
-  /** A record with the segment it stands in. */
-  record ScannedRecord(Segment segment, StoredRecord storedRecord) {}
+  /** A record with the segment that holds it. */
+  record ScannedRecord(Segment segment, StoredRecord storedRecord) {
+    byte[] readValue() throws StorageIoException, StoreException {
+      return SegmentFormat.readValue(segment, storedRecord);
+    }
+  }
 
   /**
-   * A place that cannot be read: bytes from, to before. Torn: at the end of the last segment, as
-   * after a crash.
+   * A range of bytes that cannot be read.
+   *
+   * @param endOffset the first byte after it
+   * @param isTornEnd whether it is the end of the last segment, as after a crash
    */
   record UnreadableRange(
-      String fileName, long startOffset, long endOffset, String reason, boolean isTornTail) {}
+      String fileName, long startOffset, long endOffset, String reason, boolean isTornEnd) {}
+
+  private static final int NONE = -1;
 
-  final Map<StoreKey, ScannedRecord> latestByKey = new TreeMap<>();
-  final List<UnreadableRange> unreadableRanges = new ArrayList<>();
-  long frameCount;
-  long recordCount;
-  long totalBytes;
-  long latestTimeMs;
+  private final StoreDirectory directory;
+  private final Map<StoreKey, ScannedRecord> latestByKey = new TreeMap<>();
+  private final List<UnreadableRange> unreadableRanges = new ArrayList<>();
+  private long frameCount;
+  private long recordCount;
+  private long totalBytes;
+  private long latestTimeMs;
+
+  private StoreScan(StoreDirectory directory) {
+    this.directory = directory;
+  }
 
   /**
-   * @param progress is told of each segment before it is read
+   * Reads a directory.
+   *
+   * @param onSegment is given the name of each segment before it is read
+   * @throws StoreException NEWER where a later version of the program wrote it
    */
-  static StoreScan scan(StoreDirectory disk, Consumer<String> progress)
+  static StoreScan scan(StoreDirectory directory, Consumer<String> onSegment)
       throws StorageIoException, StoreException {
-    StoreScan s = new StoreScan();
-    List<Long> ids = new ArrayList<>();
-    List<String> names = disk.fileNames();
-    long last = -1;
+    StoreScan scan = new StoreScan(directory);
+    List<String> fileNames = directory.fileNames();
+    List<Long> segmentIds = new ArrayList<>();
+    long lastId = NONE;
     try {
-      List<long[]> told = Manifest.read(disk).segments();
-      told.forEach(t -> ids.add(t[0]));
-      last = ids.get(ids.size() - 1);
-      for (long[] t : told) {
-        long size =
-            names.contains(Segment.fileName(t[0])) ? fileBytes(disk, Segment.fileName(t[0])) : 0;
-        if (size == 0 || t[0] != last && size != t[1]) {
-          s.unreadableRanges.add(
-              new UnreadableRange(
-                  Segment.fileName(t[0]),
-                  Math.min(size, t[1]),
-                  Math.max(size, t[1]),
-                  size + " bytes, of " + t[1] + " when it was closed",
-                  false));
-        }
-      }
+      List<Manifest.Entry> entries = Manifest.read(directory).segments();
+      entries.forEach(entry -> segmentIds.add(entry.id()));
+      lastId = segmentIds.get(segmentIds.size() - 1);
+      scan.checkSizes(entries, fileNames);
     } catch (StorageIoException | StoreException e) {
-      if (e instanceof StoreException known && known.reason() == StoreException.Reason.NEWER) {
+      if (isNewer(e)) {
         throw e;
       }
-      s.unreadableRanges.add(
-          new UnreadableRange(
-              Manifest.FILE_NAME, 0, 0, e.getMessage() + "; every segment there is read", false));
-      names.stream()
-          .filter(n -> n.matches("[0-9a-f]{16}\\.seg"))
-          .forEach(n -> ids.add(Long.parseLong(n.substring(0, 16), 16)));
+      scan.addUnreadable(
+          Manifest.FILE_NAME, 0, 0, e.getMessage() + "; every segment found is read");
+      fileNames.stream()
+          .filter(Segment::isSegmentFile)
+          .forEach(name -> segmentIds.add(Segment.idOf(name)));
     }
-    for (long id : ids) {
-      if (names.contains(Segment.fileName(id))) {
-        progress.accept(Segment.fileName(id));
-        s.scanSegment(disk, id, id == last);
+    for (long id : segmentIds) {
+      if (fileNames.contains(Segment.fileName(id))) {
+        onSegment.accept(Segment.fileName(id));
+        scan.scanSegment(id, id == lastId);
       }
     }
-    return s;
+    return scan;
   }
 
-  private static long fileBytes(StoreDirectory disk, String name) throws StorageIoException {
-    StoreDirectory.StoreFile file = disk.open(name, false);
-    try {
-      return file.size();
-    } finally {
-      file.close();
+  private static boolean isNewer(Exception error) {
+    return error instanceof StoreException known && known.reason() == Reason.NEWER;
+  }
+
+  private void addUnreadable(String fileName, long startOffset, long endOffset, String reason) {
+    unreadableRanges.add(new UnreadableRange(fileName, startOffset, endOffset, reason, false));
+  }
+
+  /** Compares the sizes of closed segments with those in the manifest. */
+  private void checkSizes(List<Manifest.Entry> entries, List<String> fileNames)
+      throws StorageIoException {
+    long lastId = entries.get(entries.size() - 1).id();
+    for (Manifest.Entry entry : entries) {
+      String name = Segment.fileName(entry.id());
+      long size = fileNames.contains(name) ? StoreDirectory.fileBytes(directory, name) : 0;
+      if (size == 0 || entry.id() != lastId && size != entry.sizeBytes()) {
+        addUnreadable(
+            name,
+            Math.min(size, entry.sizeBytes()),
+            Math.max(size, entry.sizeBytes()),
+            size + " bytes, but " + entry.sizeBytes() + " when it was closed");
+      }
     }
   }
 
-  private void scanSegment(StoreDirectory disk, long id, boolean last)
-      throws StorageIoException, StoreException {
-    StoreDirectory.StoreFile file = disk.open(Segment.fileName(id), false);
-    Segment s;
+  private void scanSegment(long id, boolean isLast) throws StorageIoException, StoreException {
+    StoreFile file = directory.open(Segment.fileName(id), false);
+    Segment segment;
     try {
-      s = new Segment(id, SegmentFormat.readSalt(file, id, Segment.fileName(id)), file);
+      segment = new Segment(id, SegmentFormat.readSalt(file, id, Segment.fileName(id)), file);
     } catch (StoreException e) {
-      if (e.reason() == StoreException.Reason.NEWER) {
+      if (isNewer(e)) {
         throw e;
       }
-      unreadableRanges.add(
-          new UnreadableRange(
-              Segment.fileName(id), 0, file.size(), "no header: its frames cannot be told", false));
+      addUnreadable(
+          Segment.fileName(id), 0, file.size(), "no header: its frames cannot be checked");
       file.close();
       return;
     }
-    s.sizeBytes = file.size();
-    totalBytes += s.sizeBytes;
-    SegmentFormat.FrameReader reader = new SegmentFormat.FrameReader(file, s.salt, s.sizeBytes);
-    long at = SegmentFormat.SEGMENT_HEADER_BYTES;
-    int open =
-        -1; // the last place that was lost, while no later frame says that it had been synced
-    while (at < s.sizeBytes) {
-      SegmentFormat.Frame f = reader.readFrame(at);
-      if (f == null) {
-        f = reader.findFrame(at + 1);
+    segment.sizeBytes = file.size();
+    totalBytes += segment.sizeBytes;
+    scanFrames(segment, isLast);
+  }
+
+  private void scanFrames(Segment segment, boolean isLast) throws StorageIoException {
+    FrameReader reader = new FrameReader(segment);
+    long offset = SegmentFormat.SEGMENT_HEADER_BYTES;
+    // the first unreadable range of which no later frame says that it had been durable
+    int firstUnconfirmed = NONE;
+    while (offset < segment.sizeBytes) {
+      Frame frame = reader.readFrame(offset);
+      if (frame == null) {
+        frame = reader.findFrame(offset + 1);
+        long endOffset = frame == null ? segment.sizeBytes : frame.offset();
         unreadableRanges.add(
-            new UnreadableRange(
-                s.fileName, at, f == null ? s.sizeBytes : f.offset(), "no whole frame", last));
-        open = open < 0 ? unreadableRanges.size() - 1 : open;
-        if (f == null) {
+            new UnreadableRange(segment.fileName, offset, endOffset, "no intact frame", isLast));
+        firstUnconfirmed =
+            firstUnconfirmed == NONE ? unreadableRanges.size() - 1 : firstUnconfirmed;
+        if (frame == null) {
           return;
         }
       }
-      if (open >= 0 && f.durableOffset() > unreadableRanges.get(open).startOffset()) {
-        for (int i = open; i < unreadableRanges.size(); i++) {
-          UnreadableRange l = unreadableRanges.get(i);
-          unreadableRanges.set(
-              i,
-              new UnreadableRange(
-                  l.fileName,
-                  l.startOffset,
-                  l.endOffset,
-                  "no whole frame, though it was synced",
-                  false));
-        }
-        open = -1;
+      if (firstUnconfirmed != NONE
+          && frame.durableOffset() > unreadableRanges.get(firstUnconfirmed).startOffset()) {
+        markDamaged(firstUnconfirmed);
+        firstUnconfirmed = NONE;
       }
-      at = f.endOffset();
+      offset = frame.endOffset();
       frameCount++;
-      latestTimeMs = Math.max(latestTimeMs, f.timeMs());
-      if (open < 0
-          || !unreadableRanges.get(open)
-              .isTornTail) { // what follows a torn place was never to be there
-        for (StoredRecord r : f.records()) {
-          recordCount++;
-          latestByKey.merge(
-              r.key(),
-              new ScannedRecord(s, r),
-              (a, b) -> a.storedRecord.sequence() > b.storedRecord.sequence() ? a : b);
-        }
+      latestTimeMs = Math.max(latestTimeMs, frame.timeMs());
+      // what follows a torn place was never completed
+      if (firstUnconfirmed == NONE || !unreadableRanges.get(firstUnconfirmed).isTornEnd()) {
+        addRecords(segment, frame);
       }
     }
   }
 
-  boolean isDamaged() {
-    return unreadableRanges.stream().anyMatch(l -> !l.isTornTail);
+  /** A later frame says that these ranges had been durable: they are damage, no torn end. */
+  private void markDamaged(int fromIndex) {
+    for (int i = fromIndex; i < unreadableRanges.size(); i++) {
+      UnreadableRange range = unreadableRanges.get(i);
+      unreadableRanges.set(
+          i,
+          new UnreadableRange(
+              range.fileName,
+              range.startOffset,
+              range.endOffset,
+              "no intact frame, though it was synced",
+              false));
+    }
+  }
+
+  private void addRecords(Segment segment, Frame frame) {
+    for (StoredRecord record : frame.records()) {
+      recordCount++;
+      latestByKey.merge(record.key(), new ScannedRecord(segment, record), StoreScan::laterOf);
+    }
   }
 
-  byte[] readValue(ScannedRecord f) throws StorageIoException, StoreException {
-    return SegmentFormat.readValue(
-        f.segment.file, f.segment.salt, f.storedRecord, f.segment.fileName);
+  private static ScannedRecord laterOf(ScannedRecord known, ScannedRecord other) {
+    return known.storedRecord.sequence() > other.storedRecord.sequence() ? known : other;
+  }
+
+  /** The latest intact record of each key, tombstones included, in the order of the keys. */
+  Map<StoreKey, ScannedRecord> latestByKey() {
+    return latestByKey;
+  }
+
+  /** What cannot be read, in the order of reading. */
+  List<UnreadableRange> unreadableRanges() {
+    return unreadableRanges;
+  }
+
+  long frameCount() {
+    return frameCount;
+  }
+
+  long recordCount() {
+    return recordCount;
+  }
+
+  /** Bytes of all segments read. */
+  long totalBytes() {
+    return totalBytes;
+  }
+
+  /** The latest time of a frame (ms since 1970). */
+  long latestTimeMs() {
+    return latestTimeMs;
+  }
+
+  /** Whether anything but a torn end cannot be read. */
+  boolean isDamaged() {
+    return unreadableRanges.stream().anyMatch(range -> !range.isTornEnd());
   }
 }
--- a/src/test/java/edgenode/ArchitectureTest.java
+++ b/src/test/java/edgenode/ArchitectureTest.java
@@ -51,7 +51,7 @@
               c.getPackageName().equals("edgenode.store")
                   && !c.getName()
                       .matches(
-                          "edgenode\\.store\\.(KeyValueStore|StoreCommand|FileSystemDirectory)"
+                          "edgenode\\.store\\.(KeyValueStore|StoreWriter|StoreCommand|FileSystemDirectory)"
                               + "(\\$.*)?"));
 
   @ArchTest
--- a/src/test/java/edgenode/store/CrashRecoveryTest.java
+++ b/src/test/java/edgenode/store/CrashRecoveryTest.java
@@ -23,93 +23,94 @@
  */
 class CrashRecoveryTest {
   private static final int CRASHES = Integer.getInteger("store.crashes", 10_000);
-  private static final StoreEngine.EngineOptions SMALL = new StoreEngine.EngineOptions(2000);
-  private static final String SPACE = "s";
+  private static final StoreEngine.Options SMALL = new StoreEngine.Options(2000);
+  private static final String NAMESPACE = "s";
 
-  private static byte[] bytes(String s) {
-    return s.getBytes(StandardCharsets.UTF_8);
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
   }
 
   /**
-   * One store through many crashes; what is in it after each must be one of the states since the
-   * last sync.
+   * One store through many crashes; after each its content must be one of the states since the last
+   * sync.
    */
   private static final class CrashScenario {
     final Random random;
-    final boolean retries;
-    FaultInjectingDirectory disk = new FaultInjectingDirectory();
+    final boolean retriesSync;
+    FaultInjectingDirectory directory = new FaultInjectingDirectory();
     StoreEngine engine;
 
     /**
-     * The state after each batch; each batch writes its number too, so that a state found tells
-     * which it is.
+     * The state after each batch; each batch writes its number too, so that a state tells which it
+     * is.
      */
     List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
 
     int synced;
-    long time = 1;
+    long timeMs = 1;
 
-    CrashScenario(long seed, String skips, boolean retries) {
+    CrashScenario(long seed, String skippedSyncs, boolean retriesSync) {
       random = new Random(seed);
-      disk.skippedSyncs = skips;
-      this.retries = retries;
+      directory.skippedSyncs = skippedSyncs;
+      this.retriesSync = retriesSync;
     }
 
     void open() throws Exception {
       for (int tries = 0; engine == null; tries++) {
-        disk.powerCutAtOperation =
+        directory.powerCutAtOperation =
             tries < 3 && random.nextInt(3) == 0
-                ? disk.operationCount + 1 + random.nextInt(12)
+                ? directory.operationCount + 1 + random.nextInt(12)
                 : Long.MAX_VALUE;
         try {
-          engine = new StoreEngine(disk, SMALL, time, random::nextLong);
-        } catch (StoreDirectory.StorageIoException e) { // power went while it recovered
-          disk = disk.crash(random);
+          engine = new StoreEngine(directory, SMALL, timeMs, random::nextLong);
+        } catch (StorageIoException e) { // power was cut while it recovered
+          directory = directory.crash(random);
         }
       }
-      disk.powerCutAtOperation = Long.MAX_VALUE;
+      directory.powerCutAtOperation = Long.MAX_VALUE;
     }
 
     WriteBatch batch(Map<String, String> state) throws StoreException {
-      WriteBatch b = new WriteBatch();
+      WriteBatch batch = new WriteBatch();
       for (int i = random.nextInt(4); i >= 0; i--) {
         String key = "k" + random.nextInt(12);
         if (random.nextInt(3) == 0) {
           state.remove(key);
-          b.delete(SPACE, bytes(key));
+          batch.delete(NAMESPACE, bytes(key));
         } else {
           String value =
               states.size() + "x".repeat(random.nextInt(random.nextInt(8) == 0 ? 1500 : 60));
           state.put(key, value);
-          b.put(SPACE, bytes(key), bytes(value));
+          batch.put(NAMESPACE, bytes(key), bytes(value));
         }
       }
       state.put("n", "" + states.size());
-      return b.put(SPACE, bytes("n"), bytes("" + states.size()));
+      return batch.put(NAMESPACE, bytes("n"), bytes("" + states.size()));
     }
 
-    void work() {
-      disk.powerCutAtOperation = disk.operationCount + 1 + random.nextInt(120);
-      disk.failAtOperation =
-          random.nextInt(4) == 0 ? disk.operationCount + 1 + random.nextInt(60) : Long.MAX_VALUE;
+    void writeUntilCrash() {
+      directory.powerCutAtOperation = directory.operationCount + 1 + random.nextInt(120);
+      directory.failAtOperation =
+          random.nextInt(4) == 0
+              ? directory.operationCount + 1 + random.nextInt(60)
+              : Long.MAX_VALUE;
       try {
         while (true) {
           Map<String, String> state = new TreeMap<>(states.get(states.size() - 1));
-          WriteBatch b = batch(state);
-          states.add(state); // it may survive, also if nobody is told so
-          engine.append(List.of(b), ++time);
+          WriteBatch batch = batch(state);
+          states.add(state); // it may survive although the write fails
+          engine.append(List.of(batch), ++timeMs);
           if (random.nextInt(3) > 0) {
             try {
               engine.sync();
             } catch (StoreException e) {
-              if (!retries) {
+              if (!retriesSync) {
                 throw e;
               }
-              var f =
-                  StoreEngine.class.getDeclaredField(
-                      "failed"); // the planted bug: the sync is tried again
-              f.setAccessible(true);
-              f.set(engine, null);
+              // the planted bug: the sync is tried again
+              var failure = StoreEngine.class.getDeclaredField("failure");
+              failure.setAccessible(true);
+              failure.set(engine, null);
               engine.sync();
             }
             synced = states.size() - 1;
@@ -125,41 +126,42 @@
         }
       }
       engine = null;
-      disk = disk.crash(random);
+      directory = directory.crash(random);
     }
 
     String read(String key) throws Exception {
-      StoreEngine.VersionedValue v = engine.get(StoreKey.of(SPACE, bytes(key)), time);
-      return v == null ? null : new String(v.bytes(), StandardCharsets.UTF_8);
+      StoreEngine.VersionedValue value = engine.get(StoreKey.of(NAMESPACE, bytes(key)), timeMs);
+      return value == null ? null : new String(value.bytes(), StandardCharsets.UTF_8);
     }
 
-    void check() throws Exception {
-      String n = read("n");
-      int at = n == null ? 0 : Integer.parseInt(n);
+    void checkState() throws Exception {
+      String number = read("n");
+      int index = number == null ? 0 : Integer.parseInt(number);
       assertTrue(
-          at >= synced && at < states.size(), at + " of " + states.size() + ", synced " + synced);
+          index >= synced && index < states.size(),
+          index + " of " + states.size() + ", synced " + synced);
       for (int k = 0; k < 12; k++) {
-        assertEquals(states.get(at).get("k" + k), read("k" + k), "k" + k + " in state " + at);
+        assertEquals(states.get(index).get("k" + k), read("k" + k), "k" + k + " in state " + index);
       }
-      while (states.size() > at + 1) {
+      while (states.size() > index + 1) {
         states.remove(states.size() - 1);
       }
-      synced = at;
+      synced = index;
     }
   }
 
-  private static void crashes(long seed, int times, String skips, boolean retries)
+  private static void crashes(long seed, int times, String skippedSyncs, boolean retriesSync)
       throws Exception {
-    CrashScenario run = new CrashScenario(seed, skips, retries);
+    CrashScenario run = new CrashScenario(seed, skippedSyncs, retriesSync);
     for (int i = 0; i < times; i++) {
       run.open();
-      run.check();
-      run.work();
+      run.checkState();
+      run.writeUntilCrash();
     }
   }
 
   @Test
-  void whatIsThereAfterACrashWasWrittenAndWhatWasSyncedIsThere() {
+  void afterACrashTheStoreHoldsAPrefixWithAllThatWasSynced() {
     IntStream.range(0, CRASHES / 20)
         .parallel()
         .forEach(
@@ -172,10 +174,10 @@
             });
   }
 
-  /** The test of the test: each bug is found. */
+  /** Checks the test itself: it finds each of these bugs. */
   @ParameterizedTest
   @ValueSource(strings = {"folder", "MANIFEST.new", ".*seg", "retry"})
-  void aSyncLeftOutIsFound(String bug) {
+  void givenAMissingSyncTheCrashTestFails(String bug) {
     assertThrows(
         Throwable.class,
         () -> {
@@ -185,16 +187,16 @@
         });
   }
 
-  /** A store that has rolled, deleted, compacted and holds batches. */
+  /** A store with several segments, deletions, compactions and batches. */
   private static FaultInjectingDirectory storeWithHistory(
-      boolean closed, List<Map<String, String>> states) throws Exception {
+      boolean isClosed, List<Map<String, String>> states) throws Exception {
     CrashScenario run = new CrashScenario(5, "", false);
     run.open();
     for (int i = 0; i < 80; i++) {
       Map<String, String> state = new TreeMap<>(run.states.get(run.states.size() - 1));
-      WriteBatch b = run.batch(state);
+      WriteBatch batch = run.batch(state);
       run.states.add(state);
-      run.engine.append(List.of(b), ++run.time);
+      run.engine.append(List.of(batch), ++run.timeMs);
       run.engine.sync();
       run.engine.publish();
       while (i < 60 && run.engine.runMaintenance(700, 0)) {
@@ -202,45 +204,48 @@
       }
     }
     assertTrue(run.engine.metrics().segmentCount() >= 3);
-    FaultInjectingDirectory disk = run.disk.copy();
-    if (closed) {
+    FaultInjectingDirectory directory = run.directory.copy();
+    if (isClosed) {
       run.engine.close();
-      disk = run.disk.copy();
+      directory = run.directory.copy();
     }
     states.addAll(run.states);
-    return disk;
+    return directory;
   }
 
-  /** Opens it and compares; refusing is right too where a sync had covered what is gone. */
-  private static String verdict(FaultInjectingDirectory disk, List<Map<String, String>> states)
+  /**
+   * Opens and compares a store. It may be reported as damaged where a sync had covered what is
+   * lost.
+   */
+  private static String verdict(FaultInjectingDirectory directory, List<Map<String, String>> states)
       throws Exception {
     CrashScenario run = new CrashScenario(1, "", false);
-    run.disk = disk;
+    run.directory = directory;
     run.states = new ArrayList<>(states);
     try {
-      run.engine = new StoreEngine(disk, SMALL, 1, run.random::nextLong);
-      run.check();
+      run.engine = new StoreEngine(directory, SMALL, 1, run.random::nextLong);
+      run.checkState();
     } catch (StoreException e) {
       assertTrue(e.reason() != StoreException.Reason.FAILED, e.getMessage());
       return "damaged";
     }
-    return run.engine.metrics().recoveryMessages().isEmpty() ? "state " + run.synced : "cut";
+    return run.engine.metrics().messages().isEmpty() ? "state " + run.synced : "cut";
   }
 
   @Test
-  void truncatedAtAnyByteAStoreHasAPrefixOrRefuses() throws Exception {
+  void givenAFileTruncatedAtAnyByteTheStoreHoldsAPrefixOrIsDamaged() throws Exception {
     List<Map<String, String>> states = new ArrayList<>();
-    FaultInjectingDirectory whole = storeWithHistory(false, states);
+    FaultInjectingDirectory intact = storeWithHistory(false, states);
     String last =
-        whole.fileNames().stream()
+        intact.fileNames().stream()
             .filter(n -> n.endsWith(".seg"))
             .max(String::compareTo)
             .orElseThrow();
     int[] seen = new int[2];
-    for (String name : whole.fileNames()) {
-      byte[] all = whole.fileBytes(name);
+    for (String name : intact.fileNames()) {
+      byte[] all = intact.fileBytes(name);
       for (int length = 0; length < all.length; length++) {
-        FaultInjectingDirectory cut = whole.copy();
+        FaultInjectingDirectory cut = intact.copy();
         cut.putFile(name, Arrays.copyOf(all, length));
         String verdict = verdict(cut, states);
         if (!name.equals(last) && !name.endsWith(".hint")) {
@@ -253,104 +258,109 @@
   }
 
   @Test
-  void aFlippedBitIsToldOrDoesNoHarm() throws Exception {
+  void givenAFlippedBitItIsReportedOrHasNoEffect() throws Exception {
     List<Map<String, String>> states = new ArrayList<>();
-    FaultInjectingDirectory whole = storeWithHistory(true, states);
+    FaultInjectingDirectory intact = storeWithHistory(true, states);
     int damaged = 0;
-    for (String name : whole.fileNames()) {
-      for (int i = 0; i < whole.fileBytes(name).length; i++) {
-        FaultInjectingDirectory bad = whole.copy();
-        bad.fileBytes(name)[i] ^= (byte) (1 << i % 8);
-        String verdict = verdict(bad, states);
+    for (String name : intact.fileNames()) {
+      for (int i = 0; i < intact.fileBytes(name).length; i++) {
+        FaultInjectingDirectory damagedCopy = intact.copy();
+        damagedCopy.fileBytes(name)[i] ^= (byte) (1 << i % 8);
+        String verdict = verdict(damagedCopy, states);
         damaged += verdict.equals("damaged") ? 1 : 0;
-        boolean toldOrWhole =
+        boolean isReportedOrComplete =
             !verdict.startsWith("state ") || verdict.equals("state " + (states.size() - 1));
-        assertTrue(toldOrWhole, name + " at " + i + ": " + verdict);
+        assertTrue(isReportedOrComplete, name + " at " + i + ": " + verdict);
       }
     }
     assertTrue(damaged > 1000, "" + damaged);
   }
 
   @Test
-  void aDamagedPlaceIsNamedAndAValueThatLooksLikeAFrameIsNone() throws Exception {
-    FaultInjectingDirectory disk = new FaultInjectingDirectory();
-    StoreEngine e = new StoreEngine(disk, new StoreEngine.EngineOptions(1 << 20), 1, () -> 9);
+  void damageIsNamedByOffsetAndAValueThatLooksLikeAFrameIsNotReadAsOne() throws Exception {
+    FaultInjectingDirectory directory = new FaultInjectingDirectory();
+    StoreEngine engine = new StoreEngine(directory, new StoreEngine.Options(1 << 20), 1, () -> 9);
     for (int i = 0; i < 3; i++) { // the second value holds all that was written before it
-      byte[] value = i == 1 ? disk.fileBytes(Segment.fileName(1)).clone() : bytes("v" + i);
-      e.append(List.of(new WriteBatch().put(SPACE, bytes("k" + i), value)), 1);
-      e.sync();
-      e.publish();
+      byte[] value = i == 1 ? directory.fileBytes(Segment.fileName(1)).clone() : bytes("v" + i);
+      engine.append(List.of(new WriteBatch().put(NAMESPACE, bytes("k" + i), value)), 1);
+      engine.sync();
+      engine.publish();
     }
-    FaultInjectingDirectory torn = disk.copy();
+    FaultInjectingDirectory torn = directory.copy();
     byte[] all = torn.fileBytes(Segment.fileName(1));
     torn.putFile(Segment.fileName(1), Arrays.copyOf(all, all.length - 3));
     StoreEngine again = new StoreEngine(torn, SMALL, 1, () -> 8);
     assertEquals(2, again.metrics().keyCount());
     assertTrue(
-        again.metrics().recoveryMessages().get(0).contains("cut off at offset "),
-        again.metrics().recoveryMessages().toString());
-    all = disk.fileBytes(Segment.fileName(1));
+        again.metrics().messages().get(0).contains("cut off at offset "),
+        again.metrics().messages().toString());
+    all = directory.fileBytes(Segment.fileName(1));
     all[SegmentFormat.SEGMENT_HEADER_BYTES + 40] ^= 1;
-    StoreException why =
-        assertThrows(StoreException.class, () -> new StoreEngine(disk.copy(), SMALL, 1, () -> 8));
-    assertEquals(StoreException.Reason.DAMAGED, why.reason());
-    assertTrue(why.getMessage().startsWith(Segment.fileName(1) + ", offset 32:"), why.getMessage());
+    StoreException error =
+        assertThrows(
+            StoreException.class, () -> new StoreEngine(directory.copy(), SMALL, 1, () -> 8));
+    assertEquals(StoreException.Reason.DAMAGED, error.reason());
+    assertTrue(
+        error.getMessage().startsWith(Segment.fileName(1) + ", offset 32:"), error.getMessage());
   }
 
   @Test
-  void snapshotsConditionsAndTimeToLive() throws Exception {
-    FaultInjectingDirectory disk = new FaultInjectingDirectory();
-    StoreEngine e = new StoreEngine(disk, SMALL, 100, () -> 9);
-    StoreKey k = StoreKey.of(SPACE, bytes("k"));
+  void snapshotsConditionsAndTimesToLiveHold() throws Exception {
+    FaultInjectingDirectory directory = new FaultInjectingDirectory();
+    StoreEngine engine = new StoreEngine(directory, SMALL, 100, () -> 9);
+    StoreKey key = StoreKey.of(NAMESPACE, bytes("k"));
     write(
-        e,
+        engine,
         new WriteBatch()
-            .put(SPACE, bytes("k"), bytes("old"))
-            .put(SPACE, bytes("x"), bytes("y"), 150));
-    long snapshot = e.snapshot();
-    long version = e.get(k, 100).version();
+            .put(NAMESPACE, bytes("k"), bytes("old"))
+            .put(NAMESPACE, bytes("x"), bytes("y"), 150));
+    long snapshot = engine.openSnapshot();
+    long version = engine.get(key, 100).version();
     for (int i = 0; i < 60; i++) {
-      write(e, new WriteBatch().put(SPACE, bytes("k"), bytes("new" + "z".repeat(200))));
-      while (e.runMaintenance(5000, 0)) {
-        assertNull(e.metrics().failure());
+      write(engine, new WriteBatch().put(NAMESPACE, bytes("k"), bytes("new" + "z".repeat(200))));
+      while (engine.runMaintenance(5000, 0)) {
+        assertNull(engine.metrics().failure());
       }
     }
-    assertEquals("old", new String(e.get(k, 100, snapshot).bytes(), StandardCharsets.UTF_8));
-    assertTrue(e.metrics().totalBytes() < 8000, "compacted: " + e.metrics());
+    assertEquals("old", new String(engine.get(key, 100, snapshot).bytes(), StandardCharsets.UTF_8));
+    assertTrue(engine.metrics().totalBytes() < 8000, "compacted: " + engine.metrics());
     StoreEngine.AppendResult stale =
-        e.append(
+        engine
+            .append(
                 List.of(
                     new WriteBatch()
-                        .require(SPACE, bytes("k"), version)
-                        .put(SPACE, bytes("k"), bytes("stale"))),
+                        .require(NAMESPACE, bytes("k"), version)
+                        .put(NAMESPACE, bytes("k"), bytes("stale"))),
                 100)
             .get(0);
     assertEquals(StoreException.Reason.CONFLICT, stale.rejection().reason());
-    e.release(snapshot);
+    engine.releaseSnapshot(snapshot);
     assertEquals(
         "y",
-        new String(e.get(StoreKey.of(SPACE, bytes("x")), 149).bytes(), StandardCharsets.UTF_8));
-    assertNull(e.get(StoreKey.of(SPACE, bytes("x")), 150));
-    assertNull(e.get(StoreKey.of(SPACE, bytes("x")), 120), "the clock went back");
-    for (int i = 0; i < 500; i++) { // keys that nobody deletes
-      WriteBatch b = new WriteBatch().put(SPACE, bytes("t" + i), bytes("v"), 1000 + i);
-      assertNull(e.append(List.of(b), 500 + i).get(0).rejection());
-      e.sync();
-      e.publish();
-      while (e.runMaintenance(5000, 500 + i)) {
-        assertNull(e.metrics().failure());
+        new String(
+            engine.get(StoreKey.of(NAMESPACE, bytes("x")), 149).bytes(), StandardCharsets.UTF_8));
+    assertNull(engine.get(StoreKey.of(NAMESPACE, bytes("x")), 150));
+    assertNull(engine.get(StoreKey.of(NAMESPACE, bytes("x")), 120), "the clock went back");
+    for (int i = 0; i < 500; i++) { // keys that are never deleted
+      WriteBatch batch = new WriteBatch().put(NAMESPACE, bytes("t" + i), bytes("v"), 1000 + i);
+      assertNull(engine.append(List.of(batch), 500 + i).get(0).rejection());
+      engine.sync();
+      engine.publish();
+      while (engine.runMaintenance(5000, 500 + i)) {
+        assertNull(engine.metrics().failure());
       }
     }
-    while (e.runMaintenance(5000, 2000)) {
-      assertNull(e.metrics().failure());
+    while (engine.runMaintenance(5000, 2000)) {
+      assertNull(engine.metrics().failure());
     }
     assertTrue(
-        e.metrics().keyCount() < 30 && e.metrics().totalBytes() < 8000, "expired: " + e.metrics());
+        engine.metrics().keyCount() < 30 && engine.metrics().totalBytes() < 8000,
+        "expired: " + engine.metrics());
   }
 
-  private static void write(StoreEngine e, WriteBatch b) throws StoreException {
-    assertNull(e.append(List.of(b), 100).get(0).rejection());
-    e.sync();
-    e.publish();
+  private static void write(StoreEngine engine, WriteBatch batch) throws StoreException {
+    assertNull(engine.append(List.of(batch), 100).get(0).rejection());
+    engine.sync();
+    engine.publish();
   }
 }
--- a/src/test/java/edgenode/store/FaultInjectingDirectory.java
+++ b/src/test/java/edgenode/store/FaultInjectingDirectory.java
@@ -10,20 +10,22 @@
 import java.util.function.Consumer;
 
 /**
- * A folder in memory that keeps apart what was synced and what was not. At a crash any part of the
- * rest survives: of files by sectors, of the folder by entries. A sync that has failed once never
- * makes up for what it covered.
+ * A directory in memory that keeps apart what was synced and what was not. At a crash any part of
+ * the rest survives: of files by sectors, of the directory by entries. What a failed sync covered
+ * is not made durable by a later one.
  */
 final class FaultInjectingDirectory implements StoreDirectory {
-  private static final int SECTOR = 512;
+  private static final int SECTOR_BYTES = 512;
 
-  /** What a planted bug leaves out: names of syncs. */
+  /** The planted bug: a pattern of files, or "folder", that are not synced. */
   String skippedSyncs = "";
 
-  /** From this operation on all fail, as when power goes; or only this one, as an error. */
+  /** From this operation on all fail, as after a power cut. */
   long powerCutAtOperation = Long.MAX_VALUE;
 
+  /** Only this operation fails. */
   long failAtOperation = Long.MAX_VALUE;
+
   long operationCount;
   private final Map<String, FileContent> currentFiles = new TreeMap<>();
   private final Map<String, FileContent> syncedFiles = new TreeMap<>();
@@ -32,48 +34,50 @@
   private static final class FileContent {
     byte[] current = new byte[0];
     byte[] synced = new byte[0];
-    byte[] lostBySync; // what stood there when a sync failed
+
+    /** The content when a sync failed, or null. */
+    byte[] lostBySync;
   }
 
-  private void countOperation(String what) throws StorageIoException {
+  private void countOperation(String operation) throws StorageIoException {
     operationCount++;
     if (operationCount >= powerCutAtOperation || operationCount == failAtOperation) {
-      throw new StorageIoException(what + ": planted", null);
+      throw new StorageIoException(operation + ": planted", null);
     }
   }
 
-  /** The disk as a new process finds it. */
+  /** The directory as a new process finds it after a crash. */
   FaultInjectingDirectory crash(Random random) {
     unsyncedEntryChanges.stream()
-        .filter(o -> random.nextBoolean())
-        .forEach(o -> o.accept(syncedFiles));
+        .filter(change -> random.nextBoolean())
+        .forEach(change -> change.accept(syncedFiles));
     FaultInjectingDirectory after = new FaultInjectingDirectory();
     after.skippedSyncs = skippedSyncs;
     syncedFiles.forEach(
         (name, old) -> {
-          FileContent node = new FileContent();
+          FileContent file = new FileContent();
           int longer = Math.max(old.current.length, old.synced.length);
           int shorter = Math.min(old.current.length, old.synced.length);
           int length =
               random.nextInt(3) == 0
                   ? shorter + random.nextInt(longer - shorter + 1)
                   : random.nextBoolean() ? old.current.length : old.synced.length;
-          node.current = new byte[length];
-          for (int at = 0; at < length; at += SECTOR) {
+          file.current = new byte[length];
+          for (int at = 0; at < length; at += SECTOR_BYTES) {
             byte[] from = random.nextBoolean() ? old.current : old.synced;
-            int to = Math.min(Math.min(at + SECTOR, length), from.length);
+            int to = Math.min(Math.min(at + SECTOR_BYTES, length), from.length);
             if (to > at) {
-              System.arraycopy(from, at, node.current, at, to - at);
+              System.arraycopy(from, at, file.current, at, to - at);
             }
           }
-          node.synced = node.current.clone();
-          after.currentFiles.put(name, node);
-          after.syncedFiles.put(name, node);
+          file.synced = file.current.clone();
+          after.currentFiles.put(name, file);
+          after.syncedFiles.put(name, file);
         });
     return after;
   }
 
-  /** The same, all of it there. */
+  /** A copy in which everything is durable. */
   FaultInjectingDirectory copy() {
     FaultInjectingDirectory after = new FaultInjectingDirectory();
     currentFiles.forEach((name, old) -> after.putFile(name, old.current.clone()));
@@ -81,11 +85,11 @@
   }
 
   void putFile(String name, byte[] bytes) {
-    FileContent node = new FileContent();
-    node.current = bytes;
-    node.synced = bytes.clone();
-    currentFiles.put(name, node);
-    syncedFiles.put(name, node);
+    FileContent file = new FileContent();
+    file.current = bytes;
+    file.synced = bytes.clone();
+    currentFiles.put(name, file);
+    syncedFiles.put(name, file);
   }
 
   byte[] fileBytes(String name) {
@@ -104,98 +108,108 @@
   }
 
   @Override
-  public StoreFile open(String name, boolean fresh) throws StorageIoException {
+  public StoreFile open(String name, boolean truncates) throws StorageIoException {
     countOperation("open " + name);
-    if (fresh) {
-      FileContent made = new FileContent();
-      changeEntry(m -> m.put(name, made));
+    if (truncates) {
+      FileContent created = new FileContent();
+      changeEntry(entries -> entries.put(name, created));
     }
-    FileContent node = currentFiles.get(name);
-    if (node == null) {
+    FileContent file = currentFiles.get(name);
+    if (file == null) {
       throw new StorageIoException(name + ": no such file", null);
     }
-    return new StoreFile() {
-      @Override
-      public void read(ByteBuffer into, long at) throws StorageIoException {
-        countOperation("read " + name);
-        int n = (int) Math.min(into.remaining(), Math.max(0, node.current.length - at));
-        into.put(node.current, (int) Math.min(at, node.current.length), n);
-      }
-
-      @Override
-      public void write(ByteBuffer from, long at) throws StorageIoException {
-        countOperation("write " + name);
-        int end = (int) at + from.remaining();
-        byte[] b = Arrays.copyOf(node.current, Math.max(end, node.current.length));
-        from.get(b, (int) at, from.remaining());
-        node.current = b;
-      }
-
-      @Override
-      public void sync() throws StorageIoException {
-        try {
-          countOperation("sync " + name);
-        } catch (StorageIoException e) {
-          node.lostBySync = node.current;
-          throw e;
-        }
-        if (skippedSyncs.isEmpty() || !name.matches(skippedSyncs)) {
-          byte[] lasts = node.current.clone();
-          for (int i = 0;
-              node.lostBySync != null && i < Math.min(lasts.length, node.lostBySync.length);
-              i++) {
-            lasts[i] =
-                lasts[i] == node.lostBySync[i]
-                    ? i < node.synced.length ? node.synced[i] : 0
-                    : lasts[i];
-          }
-          node.synced = lasts;
-        }
-      }
-
-      @Override
-      public long size() throws StorageIoException {
-        countOperation("size " + name);
-        return node.current.length;
-      }
-
-      @Override
-      public void truncate(long size) throws StorageIoException {
-        countOperation("truncate " + name);
-        node.current = Arrays.copyOf(node.current, (int) size);
-      }
-
-      @Override
-      public void close() {}
-    };
+    return new OpenFile(name, file);
   }
 
   @Override
   public void rename(String from, String to) throws StorageIoException {
     countOperation("rename " + from);
-    FileContent node = currentFiles.get(from);
+    FileContent file = currentFiles.get(from);
     changeEntry(
-        m -> {
-          m.remove(from);
-          m.put(to, node);
+        entries -> {
+          entries.remove(from);
+          entries.put(to, file);
         });
   }
 
   @Override
   public void delete(String name) throws StorageIoException {
     countOperation("delete " + name);
-    changeEntry(m -> m.remove(name));
+    changeEntry(entries -> entries.remove(name));
   }
 
   @Override
   public void syncDirectory() throws StorageIoException {
     countOperation("sync folder");
     if (!skippedSyncs.equals("folder")) {
-      unsyncedEntryChanges.forEach(o -> o.accept(syncedFiles));
+      unsyncedEntryChanges.forEach(change -> change.accept(syncedFiles));
       unsyncedEntryChanges.clear();
     }
   }
 
   @Override
   public void close() {}
+
+  private final class OpenFile implements StoreFile {
+    private final String name;
+    private final FileContent content;
+
+    OpenFile(String name, FileContent content) {
+      this.name = name;
+      this.content = content;
+    }
+
+    @Override
+    public void read(ByteBuffer target, long offset) throws StorageIoException {
+      countOperation("read " + name);
+      int length = (int) Math.min(target.remaining(), Math.max(0, content.current.length - offset));
+      target.put(content.current, (int) Math.min(offset, content.current.length), length);
+    }
+
+    @Override
+    public void write(ByteBuffer source, long offset) throws StorageIoException {
+      countOperation("write " + name);
+      int end = (int) offset + source.remaining();
+      byte[] written = Arrays.copyOf(content.current, Math.max(end, content.current.length));
+      source.get(written, (int) offset, source.remaining());
+      content.current = written;
+    }
+
+    @Override
+    public void sync() throws StorageIoException {
+      try {
+        countOperation("sync " + name);
+      } catch (StorageIoException e) {
+        content.lostBySync = content.current;
+        throw e;
+      }
+      if (skippedSyncs.isEmpty() || !name.matches(skippedSyncs)) {
+        byte[] durable = content.current.clone();
+        for (int i = 0;
+            content.lostBySync != null && i < Math.min(durable.length, content.lostBySync.length);
+            i++) {
+          durable[i] =
+              durable[i] == content.lostBySync[i]
+                  ? i < content.synced.length ? content.synced[i] : 0
+                  : durable[i];
+        }
+        content.synced = durable;
+      }
+    }
+
+    @Override
+    public long size() throws StorageIoException {
+      countOperation("size " + name);
+      return content.current.length;
+    }
+
+    @Override
+    public void truncate(long sizeBytes) throws StorageIoException {
+      countOperation("truncate " + name);
+      content.current = Arrays.copyOf(content.current, (int) sizeBytes);
+    }
+
+    @Override
+    public void close() {}
+  }
 }
--- a/src/test/java/edgenode/store/StoreTest.java
+++ b/src/test/java/edgenode/store/KeyValueStoreTest.java
@@ -23,25 +23,25 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The store on a real folder and with real threads. */
+/** The store in a real directory and with real threads. */
 @Timeout(120)
-class StoreTest {
+class KeyValueStoreTest {
   private static final KeyValueStore.Options SMALL =
       new KeyValueStore.Options(8192, 1000, 50, 64 << 20);
 
-  private static byte[] bytes(String s) {
-    return s.getBytes(StandardCharsets.UTF_8);
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static StoreException.Reason reason(KeyValueStore.PendingWrite c) {
+  private static StoreException.Reason reason(KeyValueStore.PendingWrite write) {
     return ((StoreException)
-            assertThrows(CompletionException.class, () -> c.durable().join()).getCause())
+            assertThrows(CompletionException.class, () -> write.durable().join()).getCause())
         .reason();
   }
 
   /**
-   * The child of the test below: writes from many threads, and prints each write that was promised
-   * to last.
+   * The child process of the test below: writes from many threads, and prints each write once it is
+   * durable.
    */
   public static void main(String[] args) throws Exception {
     KeyValueStore store = KeyValueStore.open(Path.of(args[0]), SMALL);
@@ -73,9 +73,9 @@
   }
 
   @Test
-  void whatAKilledProcessWasPromisedIsThere(@TempDir Path folder) throws Exception {
-    Path store = folder.resolve("store");
-    int promised = 0;
+  void durableWritesSurviveAKilledProcess(@TempDir Path tempDirectory) throws Exception {
+    Path store = tempDirectory.resolve("store");
+    int durableCount = 0;
     for (int round = 0; round < 5; round++) {
       String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
       Process child =
@@ -83,43 +83,44 @@
                   java,
                   "-cp",
                   System.getProperty("java.class.path"),
-                  "edgenode.store.StoreTest",
+                  KeyValueStoreTest.class.getName(),
                   store.toString())
               .redirectError(ProcessBuilder.Redirect.INHERIT)
               .start();
-      Map<String, Integer> last = new HashMap<>();
+      Map<String, Integer> lastDurable = new HashMap<>();
       try (BufferedReader out =
           new BufferedReader(
               new InputStreamReader(child.getInputStream(), StandardCharsets.UTF_8))) {
         for (int i = 0; i < 700; i++) {
-          String[] word = out.readLine().split(" ");
-          last.put(word[0], Integer.parseInt(word[1]));
+          String[] words = out.readLine().split(" ");
+          lastDurable.put(words[0], Integer.parseInt(words[1]));
         }
-        child.destroyForcibly(); // SIGKILL, in the middle of whatever it does
+        child.destroyForcibly(); // SIGKILL, while it writes
       }
       child.waitFor();
       try (KeyValueStore again = KeyValueStore.open(store, SMALL)) {
-        for (var e : last.entrySet()) {
+        for (var e : lastDurable.entrySet()) {
           int there =
               Integer.parseInt(
                   new String(again.get("s", bytes(e.getKey())).value(), StandardCharsets.UTF_8));
-          assertTrue(there >= e.getValue(), e + " was promised, " + there + " is there");
+          assertTrue(there >= e.getValue(), e + " was durable, " + there + " is there");
           assertArrayEquals(
               again.get("s", bytes(e.getKey())).value(),
               again.get("s", bytes(e.getKey() + "'")).value(),
               "half a batch");
-          promised++;
+          durableCount++;
         }
       }
     }
-    assertTrue(promised > 300, "" + promised);
+    assertTrue(durableCount > 300, "" + durableCount);
   }
 
   @Test
-  void aSecondProcessIsKeptOutAndAClosedStoreRefuses(@TempDir Path folder) throws Exception {
-    KeyValueStore store = KeyValueStore.open(folder, SMALL);
+  void anOpenDirectoryIsLockedAndAClosedStoreRejectsWrites(@TempDir Path tempDirectory)
+      throws Exception {
+    KeyValueStore store = KeyValueStore.open(tempDirectory, SMALL);
     StoreException second =
-        assertThrows(StoreException.class, () -> KeyValueStore.open(folder, SMALL));
+        assertThrows(StoreException.class, () -> KeyValueStore.open(tempDirectory, SMALL));
     assertEquals(StoreException.Reason.LOCKED, second.reason());
     store
         .write(new WriteBatch().put("s", bytes("k"), bytes("v")), KeyValueStore.Durability.ASYNC)
@@ -129,7 +130,7 @@
     assertEquals(
         StoreException.Reason.CLOSED,
         reason(store.write(new WriteBatch(), KeyValueStore.Durability.SYNC)));
-    try (KeyValueStore again = KeyValueStore.open(folder, SMALL)) {
+    try (KeyValueStore again = KeyValueStore.open(tempDirectory, SMALL)) {
       assertEquals("v", new String(again.get("s", bytes("k")).value(), StandardCharsets.UTF_8));
       assertTrue(again.recoveryMessages().isEmpty(), again.recoveryMessages().toString());
     }
@@ -140,16 +141,16 @@
         () -> new WriteBatch().put("s", new byte[1], new byte[(1 << 20) + 1]));
   }
 
-  /** After a failed sync nothing is promised any more, and what was is still read. */
+  /** After a failed sync no write is accepted, and earlier ones are still read. */
   @Test
-  void aDiskThatFailsEndsWritingAndNotReading() throws Exception {
-    FaultInjectingDirectory disk = new FaultInjectingDirectory();
-    try (KeyValueStore store = KeyValueStore.openOn(disk, SMALL, () -> 1)) {
+  void afterAFailedSyncWritesFailAndReadsGoOn() throws Exception {
+    FaultInjectingDirectory directory = new FaultInjectingDirectory();
+    try (KeyValueStore store = KeyValueStore.openOn(directory, SMALL, () -> 1)) {
       store
           .write(new WriteBatch().put("s", bytes("k"), bytes("v")), KeyValueStore.Durability.SYNC)
           .completed()
           .join();
-      disk.failAtOperation = disk.operationCount + 2; // the write, then its sync
+      directory.failAtOperation = directory.operationCount + 2; // the write, then its sync
       KeyValueStore.PendingWrite lost =
           store.write(
               new WriteBatch().put("s", bytes("k"), bytes("w")), KeyValueStore.Durability.SYNC);
@@ -161,72 +162,63 @@
                   new WriteBatch().put("s", bytes("k"), bytes("x")),
                   KeyValueStore.Durability.ASYNC)));
       assertEquals("v", new String(store.get("s", bytes("k")).value(), StandardCharsets.UTF_8));
-      assertEquals("failed", store.metrics().get("state"));
+      assertEquals("failed", store.metrics().toTelemetry().get("state"));
     }
   }
 
-  /**
-   * Writers that add one to two counters in a batch, by condition, while readers and compaction go
-   * on.
-   */
+  private static void incrementCounters(
+      KeyValueStore store, AtomicInteger added, List<Throwable> wrong) {
+    for (int i = 0; i < 400; i++) {
+      try {
+        KeyValueStore.Entry entry = store.get("s", bytes("a"));
+        long count =
+            entry == null ? 0 : Long.parseLong(new String(entry.value(), StandardCharsets.UTF_8));
+        WriteBatch batch =
+            new WriteBatch()
+                .require("s", bytes("a"), entry == null ? 0 : entry.version())
+                .put("s", bytes("a"), bytes("" + (count + 1)))
+                .put("s", bytes("b"), bytes("" + (count + 1)));
+        store.write(batch, KeyValueStore.Durability.SYNC).completed().join();
+        added.incrementAndGet();
+      } catch (CompletionException e) {
+        if (((StoreException) e.getCause()).reason() != StoreException.Reason.CONFLICT) {
+          wrong.add(e);
+        }
+      } catch (StoreException e) {
+        wrong.add(e);
+      }
+    }
+  }
+
+  private static void readCounters(KeyValueStore store, List<Throwable> wrong) {
+    for (int i = 0; i < 4000; i++) {
+      try (KeyValueStore.Snapshot snapshot = store.snapshot()) {
+        List<String> seen = new ArrayList<>();
+        snapshot.scan(
+            "s",
+            new byte[0],
+            null,
+            entry -> seen.add(new String(entry.value(), StandardCharsets.UTF_8)));
+        if (seen.size() == 1 || seen.size() == 2 && !seen.get(0).equals(seen.get(1))) {
+          wrong.add(new AssertionError("half a batch: " + seen));
+        }
+      } catch (StoreException e) {
+        wrong.add(e);
+      }
+    }
+  }
+
+  /** Writers increment two counters in one conditional batch, while readers and compaction run. */
   @Test
-  void nothingIsLostOrSeenInHalvesUnderConcurrency() throws Exception {
-    FaultInjectingDirectory disk = new FaultInjectingDirectory();
+  void concurrentWritesAreNotLostAndBatchesAreSeenWhole() throws Exception {
+    FaultInjectingDirectory directory = new FaultInjectingDirectory();
     AtomicInteger added = new AtomicInteger();
     List<Throwable> wrong = new ArrayList<>();
-    try (KeyValueStore store = KeyValueStore.openOn(disk, SMALL, () -> 1)) {
+    try (KeyValueStore store = KeyValueStore.openOn(directory, SMALL, () -> 1)) {
       List<Thread> threads = new ArrayList<>();
       for (int t = 0; t < 4; t++) {
-        threads.add(
-            new Thread(
-                () -> {
-                  for (int i = 0; i < 400; i++) {
-                    try {
-                      KeyValueStore.Entry a = store.get("s", bytes("a"));
-                      long n =
-                          a == null
-                              ? 0
-                              : Long.parseLong(new String(a.value(), StandardCharsets.UTF_8));
-                      store
-                          .write(
-                              new WriteBatch()
-                                  .require("s", bytes("a"), a == null ? 0 : a.version())
-                                  .put("s", bytes("a"), bytes("" + (n + 1)))
-                                  .put("s", bytes("b"), bytes("" + (n + 1))),
-                              KeyValueStore.Durability.SYNC)
-                          .completed()
-                          .join();
-                      added.incrementAndGet();
-                    } catch (CompletionException e) {
-                      if (((StoreException) e.getCause()).reason()
-                          != StoreException.Reason.CONFLICT) {
-                        wrong.add(e);
-                      }
-                    } catch (StoreException e) {
-                      wrong.add(e);
-                    }
-                  }
-                }));
-        threads.add(
-            new Thread(
-                () -> {
-                  for (int i = 0; i < 4000; i++) {
-                    try (KeyValueStore.Snapshot s = store.snapshot()) {
-                      List<String> seen = new ArrayList<>();
-                      s.scan(
-                          "s",
-                          new byte[0],
-                          null,
-                          e -> seen.add(new String(e.value(), StandardCharsets.UTF_8)));
-                      if (seen.size() == 1
-                          || seen.size() == 2 && !seen.get(0).equals(seen.get(1))) {
-                        wrong.add(new AssertionError("half a batch: " + seen));
-                      }
-                    } catch (StoreException e) {
-                      wrong.add(e);
-                    }
-                  }
-                }));
+        threads.add(new Thread(() -> incrementCounters(store, added, wrong)));
+        threads.add(new Thread(() -> readCounters(store, wrong)));
       }
       threads.forEach(Thread::start);
       for (Thread t : threads) {
@@ -240,9 +232,9 @@
   }
 
   @Test
-  void checkTellsDamageAndRepairKeepsTheRest(@TempDir Path folder) throws Exception {
-    Path dir = folder.resolve("a");
-    try (KeyValueStore store = KeyValueStore.open(dir, SMALL)) {
+  void checkReportsDamageAndRepairKeepsTheRest(@TempDir Path tempDirectory) throws Exception {
+    Path directory = tempDirectory.resolve("a");
+    try (KeyValueStore store = KeyValueStore.open(directory, SMALL)) {
       for (int i = 0; i < 200; i++) {
         store
             .write(
@@ -252,25 +244,26 @@
             .get(10, TimeUnit.SECONDS);
       }
     }
-    assertEquals(0, StoreCommand.run(new String[] {"check", dir.toString()}));
-    Path first = dir.resolve(Segment.fileName(1));
+    assertEquals(0, StoreCommand.run(new String[] {"check", directory.toString()}));
+    Path first = directory.resolve(Segment.fileName(1));
     byte[] all = Files.readAllBytes(first);
     all[500] ^= 4;
     Files.write(first, all);
-    Files.deleteIfExists(dir.resolve(Segment.hintFileName(1)));
-    assertEquals(1, StoreCommand.run(new String[] {"check", dir.toString()}));
+    Files.deleteIfExists(directory.resolve(Segment.hintFileName(1)));
+    assertEquals(1, StoreCommand.run(new String[] {"check", directory.toString()}));
     assertEquals(
         StoreException.Reason.DAMAGED,
-        assertThrows(StoreException.class, () -> KeyValueStore.open(dir, SMALL)).reason());
-    Path mended = folder.resolve("b");
-    assertEquals(0, StoreCommand.run(new String[] {"repair", dir.toString(), mended.toString()}));
-    assertEquals(0, StoreCommand.run(new String[] {"check", mended.toString()}));
-    try (KeyValueStore store = KeyValueStore.open(mended, SMALL)) {
-      int there = 0;
+        assertThrows(StoreException.class, () -> KeyValueStore.open(directory, SMALL)).reason());
+    Path repaired = tempDirectory.resolve("b");
+    assertEquals(
+        0, StoreCommand.run(new String[] {"repair", directory.toString(), repaired.toString()}));
+    assertEquals(0, StoreCommand.run(new String[] {"check", repaired.toString()}));
+    try (KeyValueStore store = KeyValueStore.open(repaired, SMALL)) {
+      int found = 0;
       for (int i = 0; i < 200; i++) {
-        there += store.get("s", bytes("k" + i)) != null ? 1 : 0;
+        found += store.get("s", bytes("k" + i)) != null ? 1 : 0;
       }
-      assertEquals(199, there);
+      assertEquals(199, found);
       assertNotNull(store.get("s", bytes("k199")));
       assertNull(store.get("s", bytes("k200")));
     }
--- a/src/test/java/edgenode/store/StoreFormatTest.java
+++ b/src/test/java/edgenode/store/StoreFormatTest.java
@@ -114,10 +114,10 @@
     List<String> segments = new ArrayList<>();
     try (StoreDirectory files = new FileSystemDirectory(directory)) {
       StoreScan scan = StoreScan.scan(files, segments::add);
-      assertEquals(List.of(), scan.unreadableRanges);
-      assertEquals(46, scan.frameCount);
-      assertEquals(47, scan.recordCount);
-      assertEquals(5590, scan.totalBytes);
+      assertEquals(List.of(), scan.unreadableRanges());
+      assertEquals(46, scan.frameCount());
+      assertEquals(47, scan.recordCount());
+      assertEquals(5590, scan.totalBytes());
     }
     assertEquals(
         List.of(6L, 4L, 7L, 8L).stream().map(Segment::fileName).toList(),
