--- a/src/main/java/edgenode/idempotency/IdempotencyIndex.java
+++ b/src/main/java/edgenode/idempotency/IdempotencyIndex.java
@@ -9,48 +9,54 @@
 import java.util.Set;
 
 /**
- * Recognises a request that carries the idempotency key of one that is running or has just ended,
- * so that it gets that one's final answer instead of a second effect (the manner of the IETF draft
- * "The Idempotency-Key HTTP Header Field", section 2). A pure core: time (ms) is an argument and
- * never goes back. Each call costs O(1), and O(f) where f repeats wait.
+ * Recognises a request that carries the idempotency key of one in flight or just completed, so that
+ * it gets that one's final response instead of a second effect (compare the IETF draft "The
+ * Idempotency-Key HTTP Header Field", section 2). No I/O and no clock: times (ms) are arguments and
+ * never go back. Not thread-safe. Each call costs O(1), and O(n) where n duplicates wait.
  *
- * <p>The first request of a key <em>leads</em>. While it runs, others of the key <em>follow</em>:
- * they are not sent on and get its answer when it ends. What cannot have run leaves no trace, so
- * that the next one of the key may try. What ran, or may have, is remembered for a stated time,
- * from its end on. Answers are kept within a bound of bytes and go before their keys do: a key
- * without its answer still keeps a second effect away.
+ * <p>The first request of a key is forwarded. While it is in flight, duplicates wait for its
+ * response. A request that cannot have run leaves no trace, so that the next one of its key is a
+ * first one; one that ran, or may have, is remembered for the retention time from its end on.
+ * Cached responses are bounded by bytes and are evicted before their keys: a key without its
+ * response still prevents a second effect.
  *
- * @param <A> an answer
+ * @param <A> a response
  */
 public final class IdempotencyIndex<A> {
-  /** What is to become of a request that arrives. */
+  /** What becomes of a request. */
   public enum Decision {
-    /**
-     * The first of its key, or of a key that has been forgotten: it is sent on, and its end must be
-     * told.
-     */
+    /** The first of its key: it is forwarded, and its end must be reported to the index. */
     FIRST,
-    /** One of its key runs: it waits for that one's answer. */
+    /** One of its key is in flight: it waits for that one's response. */
     JOINED,
-    /** One of its key has ended: it gets that one's answer, at once. */
+    /** One of its key has completed: it gets the cached response at once. */
     REPLAYED,
-    /** One of its key has ended well, and its answer is no longer kept. */
+    /** One of its key has completed, and its response is not cached, or not any more. */
     RESPONSE_EVICTED,
-    /** Its key belongs to another request: it must not run under it. */
+    /** Its key belongs to a different request: it must not run. */
     KEY_CONFLICT,
-    /** There is no room: nothing ran, and it may come again. */
+    /** A limit is reached: nothing ran, and the client may try again. */
     REJECTED,
-    /** There is no room: it is sent on as if it had no key, and its end is not to be told. */
+    /** A limit is reached: it is forwarded like one without a key; its end is not reported. */
     UNTRACKED
   }
 
   /**
-   * @param response where the verdict is REPLAYED
-   * @param retryAfterMs where it is REFUSED: when to come again (ms)
+   * The answer to a registration.
+   *
+   * @param response the cached response where REPLAYED, else null
+   * @param retryAfterMs when to try again where REJECTED (ms from now), else 0
    */
   public record LookupResult<A>(Decision decision, A response, double retryAfterMs) {}
 
-  /** Counts from the start, and what is held. */
+  /**
+   * The present size, and counts since the start.
+   *
+   * @param entries keys remembered
+   * @param inFlight of them, those whose first request has not ended
+   * @param responseBytes bytes of cached responses
+   * @param evicted completed keys that made room before their time
+   */
   public record IdempotencyMetrics(
       int entries,
       int inFlight,
@@ -66,34 +72,40 @@
   private static final class Entry<A> {
     final String key;
     final long digest;
-    final long firstRequestId;
     final Set<Long> waitingIds = new LinkedHashSet<>(2);
+
+    /** The cached response, or null. */
     A response;
+
     int responseBytes;
+    boolean isInFlight;
 
-    /** When it is forgotten, or NaN while it runs. */
-    double expiresAtMs = Double.NaN;
+    /** When a completed entry is forgotten (ms). */
+    double expiresAtMs;
 
-    Entry(String key, long digest, long leader) {
+    Entry(String key, long digest, boolean isInFlight) {
       this.key = key;
       this.digest = digest;
-      this.firstRequestId = leader;
+      this.isInFlight = isInFlight;
     }
   }
 
+  /** A client that is told to wait is told at least this (ms). */
+  private static final double MIN_RETRY_AFTER_MS = 1;
+
   private final IdempotencyLimits limits;
   private final Map<String, Entry<A>> entries = new HashMap<>();
   private final Map<Long, Entry<A>> entriesByFirstId = new HashMap<>();
   private final Map<Long, Entry<A>> entriesByWaitingId = new HashMap<>();
 
-  /** Those that have ended, in the order in which they are forgotten: all are kept equally long. */
-  private final ArrayDeque<Entry<A>> complete = new ArrayDeque<>();
+  /** Completed entries, the next to expire first: the retention is the same for all. */
+  private final ArrayDeque<Entry<A>> completed = new ArrayDeque<>();
 
-  /** Those whose answers are kept, the oldest first. */
+  /** Entries with a cached response, the oldest first. */
   private final ArrayDeque<Entry<A>> entriesWithResponse = new ArrayDeque<>();
 
   private long responseBytes;
-  private long hasWaitingDuplicates;
+  private long joinedCount;
   private long replayedCount;
   private long responseEvictedCount;
   private long keyConflictCount;
@@ -101,171 +113,185 @@
   private long untrackedCount;
   private long evictedCount;
 
-  public IdempotencyIndex(IdempotencyLimits bounds) {
-    this.limits = bounds;
+  /** An empty index. */
+  public IdempotencyIndex(IdempotencyLimits limits) {
+    this.limits = limits;
   }
 
   /**
-   * A request with a key arrives.
+   * Registers a request and decides what becomes of it.
    *
-   * @param request its number, which no other request has
+   * @param requestId of this request alone
    * @param key of its customer: the same text for the same effect
-   * @param digest of what it asks: two that differ are two requests
+   * @param digest of what it asks for: where two differ, the requests differ
    */
-  public LookupResult<A> register(double now, long request, String key, long digest) {
-    expire(now);
-    Entry<A> e = entries.get(key);
-    if (e == null) {
-      return registerFirst(now, request, key, digest);
+  public LookupResult<A> register(double nowMs, long requestId, String key, long digest) {
+    expire(nowMs);
+    Entry<A> entry = entries.get(key);
+    if (entry == null) {
+      return registerFirst(nowMs, requestId, key, digest);
     }
-    if (e.digest != digest) {
+    if (entry.digest != digest) {
       keyConflictCount++;
       return resultOf(Decision.KEY_CONFLICT);
     }
-    if (Double.isNaN(e.expiresAtMs)) {
-      if (e.waitingIds.size() >= limits.maxWaitingDuplicates()) {
-        rejectedCount++;
-        return new LookupResult<>(Decision.REJECTED, null, limits.retentionMs());
-      }
-      e.waitingIds.add(request);
-      entriesByWaitingId.put(request, e);
-      hasWaitingDuplicates++;
-      return resultOf(Decision.JOINED);
+    if (entry.isInFlight) {
+      return join(requestId, entry);
     }
-    if (e.response == null) {
+    if (entry.response == null) {
       responseEvictedCount++;
       return resultOf(Decision.RESPONSE_EVICTED);
     }
     replayedCount++;
-    return new LookupResult<>(Decision.REPLAYED, e.response, 0);
+    return new LookupResult<>(Decision.REPLAYED, entry.response, 0);
   }
 
-  private LookupResult<A> registerFirst(double now, long request, String key, long digest) {
+  private LookupResult<A> join(long requestId, Entry<A> entry) {
+    if (entry.waitingIds.size() >= limits.maxWaitingDuplicates()) {
+      return reject(limits.retentionMs());
+    }
+    entry.waitingIds.add(requestId);
+    entriesByWaitingId.put(requestId, entry);
+    joinedCount++;
+    return resultOf(Decision.JOINED);
+  }
+
+  private LookupResult<A> registerFirst(double nowMs, long requestId, String key, long digest) {
     if (entries.size() >= limits.maxEntries()) {
       if (limits.rejectsWhenFull()) {
-        rejectedCount++;
-        return new LookupResult<>(
-            Decision.REJECTED,
-            null,
-            complete.isEmpty()
-                ? limits.retentionMs()
-                : Math.max(1, complete.peek().expiresAtMs - now));
+        return reject(untilNextExpiryMs(nowMs));
       }
-      if (complete.isEmpty()) {
+      if (completed.isEmpty()) {
         untrackedCount++;
         return resultOf(Decision.UNTRACKED);
       }
-      forget(complete.poll());
+      forget(completed.poll());
       evictedCount++;
     }
-    Entry<A> e = new Entry<>(key, digest, request);
-    entries.put(key, e);
-    entriesByFirstId.put(request, e);
+    Entry<A> entry = new Entry<>(key, digest, true);
+    entries.put(key, entry);
+    entriesByFirstId.put(requestId, entry);
     return resultOf(Decision.FIRST);
   }
 
+  private double untilNextExpiryMs(double nowMs) {
+    return completed.isEmpty()
+        ? limits.retentionMs()
+        : Math.max(MIN_RETRY_AFTER_MS, completed.peek().expiresAtMs - nowMs);
+  }
+
+  private LookupResult<A> reject(double retryAfterMs) {
+    rejectedCount++;
+    return new LookupResult<>(Decision.REJECTED, null, retryAfterMs);
+  }
+
+  private LookupResult<A> resultOf(Decision decision) {
+    return new LookupResult<>(decision, null, 0);
+  }
+
   /**
-   * What an earlier process remembered, told before the first request; the next to be forgotten
-   * comes first.
+   * Adds a completed key that an earlier process remembered. To be called before the first request,
+   * in the order of expiry.
    *
-   * @param until when it is forgotten
+   * @param expiresAtMs when it is forgotten (ms)
+   * @param response null where none was cached
+   * @param responseSize bytes of the response
    */
-  public void restore(double until, String key, long digest, A answer, int size) {
-    Entry<A> e = new Entry<>(key, digest, 0);
-    e.expiresAtMs = until;
-    if (entries.putIfAbsent(key, e) == null) {
-      complete.add(e);
-      storeResponse(e, answer, size);
+  public void restore(double expiresAtMs, String key, long digest, A response, int responseSize) {
+    Entry<A> entry = new Entry<>(key, digest, false);
+    entry.expiresAtMs = expiresAtMs;
+    if (entries.putIfAbsent(key, entry) == null) {
+      completed.add(entry);
+      cacheResponse(entry, response, responseSize);
     }
   }
 
-  private LookupResult<A> resultOf(Decision verdict) {
-    return new LookupResult<>(verdict, null, 0);
-  }
-
   /**
-   * A leader has its final answer.
+   * Reports the final response of a first request; nothing happens for any other.
    *
-   * @param answer for those that follow and, where it is kept, for those that come later; null:
-   *     none can be kept
-   * @param size bytes of the answer
-   * @param mayHaveRun whether it had an effect, or may have one yet
-   * @return the requests that wait for it, in the order in which they came; none of them follows
-   *     any more
+   * @param response for those that wait and, where it is cached, for later duplicates; null where
+   *     it cannot be cached
+   * @param responseSize bytes of the response
+   * @param mayHaveRun whether the request had an effect, or may still have one
+   * @return the requests that wait for the response, in the order of arrival; none waits any more
    */
-  public List<Long> complete(double now, long leader, A answer, int size, boolean mayHaveRun) {
-    Entry<A> e = entriesByFirstId.remove(leader);
-    if (e == null) {
+  public List<Long> complete(
+      double nowMs, long firstRequestId, A response, int responseSize, boolean mayHaveRun) {
+    Entry<A> entry = entriesByFirstId.remove(firstRequestId);
+    if (entry == null) {
       return List.of();
     }
-    List<Long> waiting = new ArrayList<>(e.waitingIds);
-    waiting.forEach(entriesByWaitingId::remove);
-    e.waitingIds.clear();
+    List<Long> waitingIds = new ArrayList<>(entry.waitingIds);
+    waitingIds.forEach(entriesByWaitingId::remove);
+    entry.waitingIds.clear();
     if (mayHaveRun) {
-      e.expiresAtMs = now + limits.retentionMs();
-      complete.add(e);
-      storeResponse(e, answer, size);
+      entry.isInFlight = false;
+      entry.expiresAtMs = nowMs + limits.retentionMs();
+      completed.add(entry);
+      cacheResponse(entry, response, responseSize);
     } else {
-      entries.remove(e.key);
+      entries.remove(entry.key);
     }
-    return waiting;
+    return waitingIds;
   }
 
-  /** The oldest answers go for a new one; one larger than all the room is not kept. */
-  private void storeResponse(Entry<A> e, A answer, int size) {
-    if (answer == null || size > limits.maxResponseBytes()) {
+  /** Evicts the oldest responses for a new one; a response beyond the whole limit is not cached. */
+  private void cacheResponse(Entry<A> entry, A response, int responseSize) {
+    if (response == null || responseSize > limits.maxResponseBytes()) {
       return;
     }
-    while (responseBytes + size > limits.maxResponseBytes()) {
+    while (responseBytes + responseSize > limits.maxResponseBytes()) {
       dropResponse(entriesWithResponse.poll());
     }
-    e.response = answer;
-    e.responseBytes = size;
-    responseBytes += size;
-    entriesWithResponse.add(e);
+    entry.response = response;
+    entry.responseBytes = responseSize;
+    responseBytes += responseSize;
+    entriesWithResponse.add(entry);
   }
 
-  private void dropResponse(Entry<A> e) {
-    responseBytes -= e.responseBytes;
-    e.responseBytes = 0;
-    e.response = null;
+  private void dropResponse(Entry<A> entry) {
+    responseBytes -= entry.responseBytes;
+    entry.responseBytes = 0;
+    entry.response = null;
   }
 
-  private void forget(Entry<A> e) {
-    entries.remove(e.key);
-    if (e.response != null) { // kept in the order of their ends, as those that end: it is the first
-      entriesWithResponse.remove(e);
-      dropResponse(e);
+  private void forget(Entry<A> entry) {
+    entries.remove(entry.key);
+    if (entry.response != null) {
+      // O(1): both queues are in the order of completion, so it is the first one
+      entriesWithResponse.remove(entry);
+      dropResponse(entry);
     }
   }
 
-  private void expire(double now) {
-    while (!complete.isEmpty() && complete.peek().expiresAtMs <= now) {
-      forget(complete.poll());
+  private void expire(double nowMs) {
+    while (!completed.isEmpty() && completed.peek().expiresAtMs <= nowMs) {
+      forget(completed.poll());
     }
   }
 
-  /** A request that follows has been answered otherwise, or its client has gone. */
-  public void removeWaiting(long follower) {
-    Entry<A> e = entriesByWaitingId.remove(follower);
-    if (e != null) {
-      e.waitingIds.remove(follower);
+  /** A waiting duplicate was answered otherwise, or its client disconnected. */
+  public void removeWaiting(long requestId) {
+    Entry<A> entry = entriesByWaitingId.remove(requestId);
+    if (entry != null) {
+      entry.waitingIds.remove(requestId);
     }
   }
 
-  /** Whether others wait for this leader's answer. */
-  public boolean hasWaitingDuplicates(long leader) {
-    Entry<A> e = entriesByFirstId.get(leader);
-    return e != null && !e.waitingIds.isEmpty();
+  /** Whether duplicates wait for the response of this first request. */
+  public boolean hasWaitingDuplicates(long firstRequestId) {
+    Entry<A> entry = entriesByFirstId.get(firstRequestId);
+    return entry != null && !entry.waitingIds.isEmpty();
   }
 
-  public IdempotencyMetrics metrics(double now) {
-    expire(now);
+  /** Size and counts at a time (ms). */
+  public IdempotencyMetrics metrics(double nowMs) {
+    expire(nowMs);
     return new IdempotencyMetrics(
         entries.size(),
         entriesByFirstId.size(),
         responseBytes,
-        hasWaitingDuplicates,
+        joinedCount,
         replayedCount,
         responseEvictedCount,
         keyConflictCount,
--- a/src/main/java/edgenode/idempotency/IdempotencyLimits.java
+++ b/src/main/java/edgenode/idempotency/IdempotencyLimits.java
@@ -1,14 +1,14 @@
 package edgenode.idempotency;
 
 /**
- * How much {@link IdempotencyIndex} remembers.
+ * How much an {@link IdempotencyIndex} remembers.
  *
- * @param maxEntries keys at once
- * @param maxResponseBytes of answers kept, all together
+ * @param maxEntries keys at a time
+ * @param maxResponseBytes bytes of cached responses, all together
  * @param retentionMs how long a key is remembered after its request has ended (ms)
- * @param maxWaitingDuplicates repeats that may wait for one request at once
- * @param rejectsWhenFull what happens to a new key when all entries are taken: refused, or (false)
- *     taken in the place of the finished one that would be forgotten next
+ * @param maxWaitingDuplicates duplicates that may wait for one request at a time
+ * @param rejectsWhenFull what happens to a new key when all entries are taken: it is rejected, or
+ *     (false) it evicts the completed key that expires next
  */
 public record IdempotencyLimits(
     int maxEntries,
@@ -16,7 +16,7 @@
     double retentionMs,
     int maxWaitingDuplicates,
     boolean rejectsWhenFull) {
-  /** Longer than the servers themselves drop repeats (7.5 s on the first platform). */
+  /** Retention is longer than the servers themselves drop duplicates (7.5 s). */
   public static final IdempotencyLimits DEFAULT =
       new IdempotencyLimits(10_000, 4 << 20, 10_000, 8, false);
 }
