--- a/src/main/java/edgenode/policy/ConcurrencyLimiter.java
+++ b/src/main/java/edgenode/policy/ConcurrencyLimiter.java
@@ -8,6 +8,9 @@
  * attempts, as one attempt of every node can be too much for an endpoint.
  */
 final class ConcurrencyLimiter {
+  /** The limit of a new endpoint: about two for each core of a small machine. */
+  static final double INITIAL_LIMIT = 4;
+
   /** A slow answer takes a tenth off: some answers are slow by themselves. */
   private static final double DECREASE_FACTOR = 0.9;
 
--- a/src/main/java/edgenode/policy/CounterCallBudget.java
+++ b/src/main/java/edgenode/policy/CounterCallBudget.java
@@ -35,7 +35,7 @@
   /** Growth in a tick without a failure, for each such tick in a row. */
   private static final double INCREASE_STEP = 0.01;
 
-  /** So many calls in a row without an answer: the counter is away. */
+  /** So many calls in a row without an answer: the counter is silent. */
   private static final int SILENT_AFTER_FAILURES = 8;
 
   private static final double MIN_BACKOFF_MS = PolicyTimers.QUOTA_TICK_MS;
@@ -143,7 +143,7 @@
       backoffMs = MIN_BACKOFF_MS;
       return;
     }
-    // a connection that broke was up a moment ago: no sign that the counter is away
+    // a connection that broke was up a moment ago: no sign of a silent counter
     if (outcome != CallOutcome.RESET && outcome != CallOutcome.ERROR) {
       consecutiveFailures++;
     }
--- a/src/main/java/edgenode/policy/Customer.java
+++ b/src/main/java/edgenode/policy/Customer.java
@@ -12,6 +12,9 @@
  * out of it. Each rule owns the fields of its section.
  */
 final class Customer {
+  /** Hardly any traffic: less than one unit in ten ticks. */
+  private static final double IDLE_UNITS_PER_TICK = 0.1;
+
   final String name;
   final QuotaPlan plan;
 
@@ -175,6 +178,6 @@
         && inFlight == 0
         && !isCallInFlight
         && openSlotEpochs.isEmpty()
-        && usualUnitsPerTick < 0.1;
+        && usualUnitsPerTick < IDLE_UNITS_PER_TICK;
   }
 }
--- a/src/main/java/edgenode/policy/Endpoint.java
+++ b/src/main/java/edgenode/policy/Endpoint.java
@@ -38,8 +38,8 @@
 
   // ---- concurrency limit (ConcurrencyLimiter) ----
 
-  /** Attempts in flight at most; at first about two for each core of a small machine. */
-  double concurrencyLimit = 4;
+  /** Attempts in flight at most. */
+  double concurrencyLimit = ConcurrencyLimiter.INITIAL_LIMIT;
 
   double lastSentMs;
 
--- a/src/main/java/edgenode/policy/EndpointScore.java
+++ b/src/main/java/edgenode/policy/EndpointScore.java
@@ -2,7 +2,7 @@
 
 /**
  * How much worse than usual an endpoint is: the inputs of the load balancer's choice. What is known
- * fades while no new samples come.
+ * decays while no new samples come.
  *
  * <p>Inputs: outcomes and answer times of attempts (ms), how long the endpoint keeps idle
  * connections.
@@ -42,9 +42,9 @@
     return needsHandshake ? cost * HANDSHAKE_FACTOR : cost;
   }
 
-  /** The faded moving average, or what the oldest attempt in flight shows already. */
+  /** The decayed moving average, or what the oldest attempt in flight shows already. */
   private double slowdown(Endpoint endpoint) {
-    double slowdown = fadedSlowdown(endpoint);
+    double slowdown = decayedSlowdown(endpoint);
     if (endpoint.inFlight.isEmpty()) {
       return slowdown;
     }
@@ -53,17 +53,19 @@
     return Math.max(slowdown, waitedMs / oldest.request.classStats.meanMs / 2);
   }
 
-  private double fadedSlowdown(Endpoint endpoint) {
+  private double decayedSlowdown(Endpoint endpoint) {
     return 1
         + (endpoint.slowdown - 1)
             * Math.pow(0.5, (timers.nowMs() - endpoint.slowdownAtMs) / SLOWDOWN_HALF_LIFE_MS);
   }
 
   /**
+   * Takes a sample into the moving average.
+   *
    * @param sample answer time over the mean of the class
    */
   void recordSlowdown(Endpoint endpoint, double sample) {
-    endpoint.slowdown = fadedSlowdown(endpoint);
+    endpoint.slowdown = decayedSlowdown(endpoint);
     endpoint.slowdown +=
         (Math.min(sample, MAX_SLOWDOWN_SAMPLE) - endpoint.slowdown) * Ewma.FAST_WEIGHT;
     endpoint.slowdownAtMs = timers.nowMs();
--- a/src/main/java/edgenode/policy/OutcomeRecorder.java
+++ b/src/main/java/edgenode/policy/OutcomeRecorder.java
@@ -51,7 +51,7 @@
         outliers.recordFault(endpoint, OutlierDetector.NO_CONNECTION_WEIGHT);
       }
       case RESET -> outliers.recordFault(endpoint, OutlierDetector.RESET_WEIGHT);
-      default -> {}
+      case ERROR, CANCELLED, NOT_SENT, OVERDUE -> {} // say nothing of the endpoint's load
     }
   }
 
--- a/src/main/java/edgenode/policy/PolicyEngine.java
+++ b/src/main/java/edgenode/policy/PolicyEngine.java
@@ -10,10 +10,10 @@
  * seed. No I/O, threads or clock of its own; for one thread.
  */
 public final class PolicyEngine implements PolicyEvents {
-  /** So many ticks after a start, endpoints that come raise the initial pace. */
+  /** Endpoints that are listed within so many ticks after a start raise the initial pace. */
   private static final int START_TICKS = 4;
 
-  /** Idle customers are looked for each so many ticks. */
+  /** Idle customers are forgotten each so many ticks. */
   private static final int TICKS_PER_CLEANUP = 64;
 
   private final boolean settlesUnits;
