--- a/src/test/java/edgenode/membership/MembershipProperties.java
+++ b/src/test/java/edgenode/membership/MembershipProperties.java
@@ -16,45 +16,50 @@
 import net.jqwik.api.constraints.LongRange;
 
 /**
- * The core against a model that knows the truth: a discovery whose list changes, told by two eyes
- * that lag, repeat, lose, go back, and by moves to places that are behind. Random interleavings
- * from one seed each.
+ * The view against a model that knows the truth: a source whose list changes, reported by a watch
+ * and by polls that lag, repeat, lose and go back, and by changes to sources that are behind.
+ * Random interleavings from one seed each.
  */
 class MembershipProperties {
   private static final MembershipLimits LIMITS = MembershipLimits.defaults(18_000);
+  private static final int STEPS = 300;
 
-  /** What discovery has: its history, so that a source may tell any part of it. */
+  /** All versions of a source's list, so that a connection may report any of them. */
   private static final class SourceHistory {
     final List<Map<String, DiscoveredEndpoint>> versions = new ArrayList<>();
-    final long base;
+    final long firstVersion;
 
-    SourceHistory(long base, Map<String, DiscoveredEndpoint> first) {
-      this.base = base;
-      versions.add(first);
+    SourceHistory(long firstVersion, Map<String, DiscoveredEndpoint> firstList) {
+      this.firstVersion = firstVersion;
+      versions.add(firstList);
     }
 
-    long seq() {
-      return base + versions.size() - 1;
+    long newest() {
+      return firstVersion + versions.size() - 1;
     }
 
-    Map<String, DiscoveredEndpoint> at(long seq) {
-      return versions.get((int) (seq - base));
+    Map<String, DiscoveredEndpoint> at(long version) {
+      return versions.get((int) (version - firstVersion));
     }
 
-    TreeSet<String> ups() {
-      TreeSet<String> all = new TreeSet<>();
-      at(seq())
+    List<DiscoveredEndpoint> listAt(long version) {
+      return List.copyOf(at(version).values());
+    }
+
+    TreeSet<String> upEndpoints() {
+      TreeSet<String> ids = new TreeSet<>();
+      at(newest())
           .forEach(
-              (id, e) -> {
-                if (e.info().state() == EndpointState.UP) {
-                  all.add(id);
+              (id, endpoint) -> {
+                if (endpoint.info().state() == EndpointState.UP) {
+                  ids.add(id);
                 }
               });
-      return all;
+      return ids;
     }
 
-    void change(Random random, double now) {
-      Map<String, DiscoveredEndpoint> next = new TreeMap<>(at(seq()));
+    void change(Random random) {
+      Map<String, DiscoveredEndpoint> next = new TreeMap<>(at(newest()));
       for (int n = 1 + random.nextInt(3); n > 0; n--) {
         String id = "s" + random.nextInt(8);
         switch (random.nextInt(4)) {
@@ -69,231 +74,270 @@
     /** What changed from one version to another. */
     List<DiscoveredEndpoint> between(long from, long to) {
       List<DiscoveredEndpoint> changed = new ArrayList<>();
-      Map<String, DiscoveredEndpoint> a = at(from);
-      Map<String, DiscoveredEndpoint> b = at(to);
-      for (String id : new TreeSet<>(a.keySet())) {
-        if (!b.containsKey(id)) {
+      Map<String, DiscoveredEndpoint> before = at(from);
+      Map<String, DiscoveredEndpoint> after = at(to);
+      for (String id : new TreeSet<>(before.keySet())) {
+        if (!after.containsKey(id)) {
           changed.add(MembershipTest.endpoint(id, null, EndpointState.REMOVED, 0));
         }
       }
-      b.forEach(
-          (id, e) -> {
-            if (!e.equals(a.get(id))) {
-              changed.add(e);
+      after.forEach(
+          (id, endpoint) -> {
+            if (!endpoint.equals(before.get(id))) {
+              changed.add(endpoint);
             }
           });
       return changed;
     }
   }
 
+  /** The view as a caller of {@link Membership} has it, in virtual time. */
   private static final class SimulatedView {
     final Random random;
-    final Membership core = new Membership(LIMITS, "p0");
-    final Map<String, DiscoveredEndpoint> view = new HashMap<>();
-    double now = 1_000_000;
-    boolean first = true;
-    boolean askAnew;
+    final Membership membership = new Membership(LIMITS, "p0");
+    final Map<String, DiscoveredEndpoint> endpoints = new HashMap<>();
+    double nowMs = 1_000_000;
+    boolean isFirst = true;
 
     SimulatedView(long seed) {
       random = new Random(seed);
     }
 
-    void take(MembershipUpdate c) {
-      assertTrue(!c.isComplete() || first, "only the first is whole");
-      first &= c.endpoints().isEmpty();
-      askAnew |= c.mustResync();
-      for (DiscoveredEndpoint e : c.endpoints()) {
-        if (e.info().state() == EndpointState.REMOVED) {
-          view.remove(e.id());
+    void apply(MembershipUpdate update) {
+      assertTrue(!update.isComplete() || isFirst, "only the first update is complete");
+      isFirst &= update.endpoints().isEmpty();
+      for (DiscoveredEndpoint endpoint : update.endpoints()) {
+        if (endpoint.info().state() == EndpointState.REMOVED) {
+          endpoints.remove(endpoint.id());
         } else {
-          view.put(e.id(), e);
+          endpoints.put(endpoint.id(), endpoint);
         }
       }
     }
 
-    void pass(double ms) {
-      double until = now + ms;
-      for (double at = core.nextTickMs(); at <= until; at = core.nextTickMs()) {
-        now = Math.max(now, at);
-        take(core.tick(now));
+    void advance(double ms) {
+      double until = nowMs + ms;
+      double next = membership.nextTickMs();
+      while (next <= until) {
+        nowMs = Math.max(nowMs, next);
+        apply(membership.tick(nowMs));
+        next = membership.nextTickMs();
       }
-      now = until;
-      take(core.tick(now));
+      nowMs = until;
+      apply(membership.tick(nowMs));
+    }
+
+    void receive(
+        String sourceId, long version, boolean isComplete, List<DiscoveredEndpoint> reported) {
+      apply(membership.endpointsReceived(nowMs, sourceId, version, isComplete, reported));
     }
 
-    boolean up(String id) {
-      DiscoveredEndpoint e = view.get(id);
-      return e != null && e.info().state() == EndpointState.UP;
+    boolean isUp(String id) {
+      DiscoveredEndpoint endpoint = endpoints.get(id);
+      return endpoint != null && endpoint.info().state() == EndpointState.UP;
     }
 
-    TreeSet<String> ups() {
-      TreeSet<String> all = new TreeSet<>();
-      for (String id : view.keySet()) {
-        if (up(id)) {
-          all.add(id);
+    TreeSet<String> upEndpoints() {
+      TreeSet<String> ids = new TreeSet<>();
+      for (String id : endpoints.keySet()) {
+        if (isUp(id)) {
+          ids.add(id);
         }
       }
-      return all;
+      return ids;
+    }
+
+    /** What a source has just reported as down is not up. */
+    void assertNoneUpThatIsDown(List<DiscoveredEndpoint> reported) {
+      Map<String, DiscoveredEndpoint> last = new HashMap<>();
+      reported.forEach(endpoint -> last.put(endpoint.id(), endpoint));
+      for (DiscoveredEndpoint endpoint : last.values()) {
+        assertTrue(
+            endpoint.info().state() == EndpointState.UP || !isUp(endpoint.id()),
+            endpoint.id() + " was reported down");
+      }
     }
   }
 
-  /**
-   * Safety: whatever a source just told as down is not shown up, be the message new, old, repeated,
-   * or of a place that was left; nor is one that the newest whole list lacks, unless the list is
-   * held. Liveness: once all tell the truth for a while, the view is the truth.
-   */
-  @Property(tries = 3000, seed = "1")
-  void anyInterleaving(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
-    SimulatedView w = new SimulatedView(seed);
-    Random r = w.random;
-    SourceHistory truth = new SourceHistory(r.nextInt(50), new TreeMap<>());
-    truth.change(r, w.now);
-    SourceHistory left = null;
-    String place = "p0";
-    String leftPlace = null;
-    int places = 0;
-    long watched = -1;
-    long lookedAt = -1;
-    String lookedIn = "";
-    for (int step = 0; step < 300; step++) {
-      switch (r.nextInt(12)) {
-        case 0, 1, 2 -> truth.change(r, w.now);
-        case 3, 4, 5 -> { // the watch, from where it was, perhaps not to the end
-          if (watched >= 0 && watched < truth.seq()) {
-            long to = watched + 1 + r.nextInt((int) (truth.seq() - watched));
-            List<DiscoveredEndpoint> told = truth.between(watched, to);
-            w.take(w.core.endpointsReceived(w.now, place, to, false, told));
-            safe(w, told);
-            watched = to;
-          }
-        }
-        case 6, 7 -> { // the look, which may be late
-          long seq = Math.max(truth.base, truth.seq() - (r.nextInt(3) == 0 ? r.nextInt(4) : 0));
-          List<DiscoveredEndpoint> told = List.copyOf(truth.at(seq).values());
-          long before = w.core.resumeVersion();
-          if (!(seq == lookedAt
-              && place.equals(lookedIn)
-              && w.core.confirmUnchanged(w.now, place, seq))) {
-            w.take(w.core.endpointsReceived(w.now, place, seq, true, told));
-          }
-          lookedAt = seq;
-          lookedIn = place;
-          if (!w.core.isIgnored(seq)) {
-            safe(w, told);
-          }
-          if (seq >= before && w.core.stats(w.now).quarantinedCount() == 0) {
-            for (String id : w.ups()) {
-              assertTrue(truth.at(seq).containsKey(id), id + " is not in the newest list");
-            }
-          }
-          watched = Math.max(watched, w.core.resumeVersion());
-        }
-        case 8 -> { // what was left still speaks
-          if (left != null) {
-            left.change(r, w.now);
-            List<DiscoveredEndpoint> told = left.between(left.seq() - 1, left.seq());
-            w.take(w.core.endpointsReceived(w.now, leftPlace, left.seq(), false, told));
-            safe(w, told);
-          }
-        }
-        case 9 -> { // a move, to a place that may be behind
-          if (r.nextInt(8) == 0) {
-            if (leftPlace != null) {
-              w.take(w.core.sourceClosed(w.now, leftPlace));
-            }
-            left = truth;
-            leftPlace = place;
-            place = "p" + ++places;
-            truth =
-                new SourceHistory(
-                    r.nextInt(50), truth.at(Math.max(truth.base, truth.seq() - r.nextInt(3))));
-            w.core.switchSource(w.now, place);
-            watched = -1;
-          }
-        }
-        case 10 -> {
-          String id = "s" + r.nextInt(8);
-          if (r.nextBoolean()) {
-            w.take(w.core.connected(w.now, id));
-          } else {
-            w.take(w.core.connectFailed(w.now, id, r.nextBoolean(), r.nextInt(2)));
-          }
+  /** One random interleaving of reports, changes of the source, connects and time. */
+  private static final class Interleaving {
+    final SimulatedView view;
+    final Random random;
+    SourceHistory current;
+    SourceHistory retired;
+    String sourceId = "p0";
+    String retiredId;
+    int sourceCount;
+    long watchedVersion = -1;
+    long polledVersion = -1;
+    String polledId = "";
+
+    Interleaving(long seed) {
+      view = new SimulatedView(seed);
+      random = view.random;
+      current = new SourceHistory(random.nextInt(50), new TreeMap<>());
+      current.change(random);
+    }
+
+    void step() {
+      switch (random.nextInt(12)) {
+        case 0, 1, 2 -> current.change(random);
+        case 3, 4, 5 -> watch();
+        case 6, 7 -> poll();
+        case 8 -> reportFromRetired();
+        case 9 -> switchSource();
+        case 10 -> connect();
+        default -> view.advance(random.nextInt(200));
+      }
+    }
+
+    /** The watch goes on from where it was, perhaps not to the newest version. */
+    private void watch() {
+      if (watchedVersion < 0 || watchedVersion >= current.newest()) {
+        return;
+      }
+      long to = watchedVersion + 1 + random.nextInt((int) (current.newest() - watchedVersion));
+      List<DiscoveredEndpoint> reported = current.between(watchedVersion, to);
+      view.receive(sourceId, to, false, reported);
+      view.assertNoneUpThatIsDown(reported);
+      watchedVersion = to;
+    }
+
+    /** A poll, whose response may be late. */
+    private void poll() {
+      long lag = random.nextInt(3) == 0 ? random.nextInt(4) : 0;
+      long version = Math.max(current.firstVersion, current.newest() - lag);
+      List<DiscoveredEndpoint> reported = current.listAt(version);
+      long before = view.membership.resumeVersion();
+      boolean isRepeated = version == polledVersion && sourceId.equals(polledId);
+      if (!(isRepeated && view.membership.confirmUnchanged(view.nowMs, sourceId, version))) {
+        view.receive(sourceId, version, true, reported);
+      }
+      polledVersion = version;
+      polledId = sourceId;
+      if (!view.membership.isIgnored(version)) {
+        view.assertNoneUpThatIsDown(reported);
+      }
+      if (version >= before && view.membership.stats(view.nowMs).quarantinedCount() == 0) {
+        for (String id : view.upEndpoints()) {
+          assertTrue(current.at(version).containsKey(id), id + " is not in the newest list");
         }
-        default -> w.pass(r.nextInt(200));
       }
+      watchedVersion = Math.max(watchedVersion, view.membership.resumeVersion());
     }
-    // the truth stands still, both eyes tell it, every server can be reached
-    if (leftPlace != null) {
-      w.take(w.core.sourceClosed(w.now, leftPlace));
+
+    private void reportFromRetired() {
+      if (retired == null) {
+        return;
+      }
+      retired.change(random);
+      List<DiscoveredEndpoint> reported = retired.between(retired.newest() - 1, retired.newest());
+      view.receive(retiredId, retired.newest(), false, reported);
+      view.assertNoneUpThatIsDown(reported);
+    }
+
+    /** Another source is in use, which may be behind. */
+    private void switchSource() {
+      if (random.nextInt(8) != 0) {
+        return;
+      }
+      closeRetired();
+      retired = current;
+      retiredId = sourceId;
+      sourceCount++;
+      sourceId = "p" + sourceCount;
+      int firstVersion = random.nextInt(50);
+      long copied = Math.max(current.firstVersion, current.newest() - random.nextInt(3));
+      current = new SourceHistory(firstVersion, current.at(copied));
+      view.membership.switchSource(view.nowMs, sourceId);
+      watchedVersion = -1;
     }
-    for (int i = 0; i < 50; i++) {
-      w.take(
-          w.core.endpointsReceived(
-              w.now, place, truth.seq(), true, List.copyOf(truth.at(truth.seq()).values())));
-      for (String id : truth.at(truth.seq()).keySet()) {
-        w.take(w.core.connected(w.now, id));
+
+    void closeRetired() {
+      if (retiredId != null) {
+        view.apply(view.membership.sourceClosed(view.nowMs, retiredId));
+      }
+    }
+
+    private void connect() {
+      String id = "s" + random.nextInt(8);
+      if (random.nextBoolean()) {
+        view.apply(view.membership.connected(view.nowMs, id));
+      } else {
+        boolean isRefused = random.nextBoolean();
+        view.apply(view.membership.connectFailed(view.nowMs, id, isRefused, random.nextInt(2)));
+      }
+    }
+
+    /** The list stands still, all connections report it, every endpoint accepts connects. */
+    void settle() {
+      closeRetired();
+      for (int i = 0; i < 50; i++) {
+        view.receive(sourceId, current.newest(), true, current.listAt(current.newest()));
+        for (String id : current.at(current.newest()).keySet()) {
+          view.apply(view.membership.connected(view.nowMs, id));
+        }
+        view.advance(100);
       }
-      w.pass(100);
     }
-    assertEquals(truth.ups(), w.ups());
   }
 
-  private static void safe(SimulatedView w, List<DiscoveredEndpoint> told) {
-    Map<String, DiscoveredEndpoint> last = new HashMap<>();
-    told.forEach(e -> last.put(e.id(), e));
-    for (DiscoveredEndpoint e : last.values()) {
-      assertTrue(e.info().state() == EndpointState.UP || !w.up(e.id()), e.id() + " was told down");
+  /**
+   * Safety: whatever a source just reported as down is not up, be the message new, old, repeated,
+   * or of a retired source; nor is an endpoint that the newest complete list lacks, unless it is in
+   * quarantine. Liveness: once all report the truth for a while, the view is the truth.
+   */
+  @Property(tries = 3000, seed = "1")
+  void anyInterleaving(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    Interleaving interleaving = new Interleaving(seed);
+    for (int i = 0; i < STEPS; i++) {
+      interleaving.step();
     }
+    interleaving.settle();
+    assertEquals(interleaving.current.upEndpoints(), interleaving.view.upEndpoints());
   }
 
-  /** Both eyes agree on a steady truth for 2 s and no list was held: the view is theirs by then. */
+  /** All reports agree on a steady truth for 2 s, and no list was held: the view is theirs. */
   @Property(tries = 1000, seed = "1")
   void twoSecondsOfAgreement(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
-    SimulatedView w = new SimulatedView(seed);
-    Random r = w.random;
-    SourceHistory truth = new SourceHistory(10, new TreeMap<>());
+    SimulatedView view = new SimulatedView(seed);
+    Random random = view.random;
+    SourceHistory source = new SourceHistory(10, new TreeMap<>());
     for (int i = 0; i < 60; i++) {
-      truth.change(r, w.now);
-      long seq = truth.seq() - (r.nextInt(4) == 0 ? r.nextInt(3) : 0);
-      w.take(
-          w.core.endpointsReceived(
-              w.now,
-              "p0",
-              Math.max(10, seq),
-              true,
-              List.copyOf(truth.at(Math.max(10, seq)).values())));
-      w.pass(r.nextInt(150));
+      source.change(random);
+      long lag = random.nextInt(4) == 0 ? random.nextInt(3) : 0;
+      long version = Math.max(10, source.newest() - lag);
+      view.receive("p0", version, true, source.listAt(version));
+      view.advance(random.nextInt(150));
     }
     for (int i = 0; i <= 20; i++) {
-      w.take(
-          w.core.endpointsReceived(
-              w.now, "p0", truth.seq(), true, List.copyOf(truth.at(truth.seq()).values())));
-      w.pass(100);
+      view.receive("p0", source.newest(), true, source.listAt(source.newest()));
+      view.advance(100);
     }
-    assertEquals(truth.ups(), w.ups());
+    assertEquals(source.upEndpoints(), view.upEndpoints());
   }
 
   /** The same calls give the same results. */
   @Property(tries = 50, seed = "1")
   void isDeterministic(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
-    List<String> one = new ArrayList<>();
-    List<String> two = new ArrayList<>();
-    for (List<String> trace : List.of(one, two)) {
-      SimulatedView w = new SimulatedView(seed);
-      SourceHistory truth = new SourceHistory(10, new TreeMap<>());
+    List<String> first = new ArrayList<>();
+    List<String> second = new ArrayList<>();
+    for (List<String> trace : List.of(first, second)) {
+      SimulatedView view = new SimulatedView(seed);
+      SourceHistory source = new SourceHistory(10, new TreeMap<>());
       for (int i = 0; i < 60; i++) {
-        truth.change(w.random, w.now);
-        MembershipUpdate c =
-            w.core.endpointsReceived(
-                w.now,
+        source.change(view.random);
+        MembershipUpdate update =
+            view.membership.endpointsReceived(
+                view.nowMs,
                 "p0",
-                truth.seq() - w.random.nextInt(2),
+                source.newest() - view.random.nextInt(2),
                 true,
-                List.copyOf(truth.at(truth.seq()).values()));
-        trace.add(c.toString());
-        w.now += w.random.nextInt(150);
+                source.listAt(source.newest()));
+        trace.add(update.toString());
+        view.nowMs += view.random.nextInt(150);
       }
     }
-    assertEquals(one, two);
+    assertEquals(first, second);
   }
 }
--- a/src/test/java/edgenode/membership/MembershipTest.java
+++ b/src/test/java/edgenode/membership/MembershipTest.java
@@ -14,19 +14,21 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Each rule of the core by itself; times are ms. */
+/** Each rule of the membership by itself; times are ms. */
 class MembershipTest {
   private static final MembershipLimits LIMITS = MembershipLimits.defaults(18_000);
-  private static final String A = "a:1";
-  private static final String B = "b:1";
-  private Membership core = new Membership(LIMITS, A);
+  private static final String SOURCE_A = "a:1";
+  private static final String SOURCE_B = "b:1";
+  private Membership membership = new Membership(LIMITS, SOURCE_A);
   private final Map<String, DiscoveredEndpoint> view = new TreeMap<>();
-  private final List<String> notes = new ArrayList<>();
-  private boolean askAnew;
-  private double now = 1_000_000;
+  private final List<String> messages = new ArrayList<>();
+  private boolean mustResync;
+  private double nowMs = 1_000_000;
 
-  static DiscoveredEndpoint endpoint(String id, String dial, EndpointState state, double born) {
-    return new DiscoveredEndpoint(new EndpointInfo(id, 1, "z", state, "m", born, 1), dial);
+  static DiscoveredEndpoint endpoint(
+      String id, String address, EndpointState state, double startedAtMs) {
+    return new DiscoveredEndpoint(
+        new EndpointInfo(id, 1, "z", state, "m", startedAtMs, 1), address);
   }
 
   private static DiscoveredEndpoint up(String id) {
@@ -37,37 +39,41 @@
     return endpoint(id, id + ":1", EndpointState.DRAINING, 0);
   }
 
-  private static DiscoveredEndpoint gone(String id) {
+  private static DiscoveredEndpoint removed(String id) {
     return endpoint(id, null, EndpointState.REMOVED, 0);
   }
 
-  private void apply(MembershipUpdate changes) {
-    notes.addAll(changes.messages());
-    askAnew |= changes.mustResync();
-    for (DiscoveredEndpoint e : changes.endpoints()) {
-      if (e.info().state() == EndpointState.REMOVED) {
-        assertTrue(view.remove(e.id()) != null, "gone, and never told: " + e);
+  private void apply(MembershipUpdate update) {
+    messages.addAll(update.messages());
+    mustResync |= update.mustResync();
+    for (DiscoveredEndpoint endpoint : update.endpoints()) {
+      if (endpoint.info().state() == EndpointState.REMOVED) {
+        assertTrue(view.remove(endpoint.id()) != null, "removed, never reported: " + endpoint);
       } else {
-        assertFalse(e.equals(view.put(e.id(), e)), "told again: " + e);
+        boolean isRepeated = endpoint.equals(view.put(endpoint.id(), endpoint));
+        assertFalse(isRepeated, "reported again: " + endpoint);
       }
     }
   }
 
-  private void told(String space, long seq, boolean whole, DiscoveredEndpoint... entries) {
-    apply(core.endpointsReceived(now, space, seq, whole, Arrays.asList(entries)));
+  private void receive(
+      String sourceId, long version, boolean isComplete, DiscoveredEndpoint... reported) {
+    apply(
+        membership.endpointsReceived(
+            nowMs, sourceId, version, isComplete, Arrays.asList(reported)));
   }
 
-  private void advance(double ms) {
-    double until = now + ms;
-    while (core.nextTickMs() <= until) {
-      now = Math.max(now, core.nextTickMs());
-      apply(core.tick(now));
+  private void advance(double durationMs) {
+    double untilMs = nowMs + durationMs;
+    while (membership.nextTickMs() <= untilMs) {
+      nowMs = Math.max(nowMs, membership.nextTickMs());
+      apply(membership.tick(nowMs));
     }
-    now = until;
-    apply(core.tick(now));
+    nowMs = untilMs;
+    apply(membership.tick(nowMs));
   }
 
-  /** Servers shown up. */
+  /** Ids of the endpoints that are up. */
   private String upEndpoints() {
     return view.values().stream()
         .filter(e -> e.info().state() == EndpointState.UP)
@@ -76,48 +82,49 @@
   }
 
   private void start(String... ids) {
-    told(
-        A, 40, true, Arrays.stream(ids).map(MembershipTest::up).toArray(DiscoveredEndpoint[]::new));
+    receive(
+        SOURCE_A,
+        40,
+        true,
+        Arrays.stream(ids).map(MembershipTest::up).toArray(DiscoveredEndpoint[]::new));
     for (String id : ids) {
-      apply(core.connected(now, id));
+      apply(membership.connected(nowMs, id));
     }
     assertEquals(String.join(" ", ids), upEndpoints());
   }
 
   @Test
-  void whatIsKnownServesUntilASourceTells() {
-    apply(core.loadInitialList(now, 41, List.of(up("s0"), up("s1"))));
-    assertEquals(41, core.resumeVersion());
-    told(A, 42, false, down("s0"));
+  void initialListIsUsedUntilASourceReports() {
+    apply(membership.loadInitialList(nowMs, 41, List.of(up("s0"), up("s1"))));
+    assertEquals(41, membership.resumeVersion());
+    receive(SOURCE_A, 42, false, down("s0"));
     assertEquals("s1", upEndpoints());
-    assertEquals(42, core.resumeVersion());
+    assertEquals(42, membership.resumeVersion());
   }
 
-  /**
-   * What was known may be newer than discovery: its own first list counts, whatever the version.
-   */
+  /** The initial list may be newer than the source's own. */
   @Test
-  void theFirstWholeListCountsWhateverWasKnown() {
-    apply(core.loadInitialList(now, 41, List.of(up("s0"), up("s1"))));
-    told(A, 3, true, up("s1"), up("s2"));
+  void firstCompleteListCountsWhateverTheInitialVersionWas() {
+    apply(membership.loadInitialList(nowMs, 41, List.of(up("s0"), up("s1"))));
+    receive(SOURCE_A, 3, true, up("s1"), up("s2"));
     assertEquals("s1 s2", upEndpoints());
-    assertEquals(3, core.resumeVersion());
+    assertEquals(3, membership.resumeVersion());
   }
 
   @Test
-  void onlyDifferencesAreTold() {
+  void onlyDifferencesAreReported() {
     start("s0", "s1");
-    told(A, 41, true, up("s0"), up("s1"));
-    told(A, 42, false, up("s1"));
-    assertEquals("s0 s1", upEndpoints()); // take() has seen that nothing was told again
+    receive(SOURCE_A, 41, true, up("s0"), up("s1"));
+    receive(SOURCE_A, 42, false, up("s1"));
+    assertEquals("s0 s1", upEndpoints()); // apply() fails on an endpoint that is reported again
   }
 
   @Test
-  void downAtOnceUpAfterAMoment() {
+  void endpointGoesDownAtOnceAndComesUpWithADelay() {
     start("s0", "s1");
-    told(A, 41, false, down("s0"));
+    receive(SOURCE_A, 41, false, down("s0"));
     assertEquals("s1", upEndpoints());
-    told(A, 42, false, up("s0"));
+    receive(SOURCE_A, 42, false, up("s0"));
     assertEquals("s1", upEndpoints());
     advance(99);
     assertEquals("s1", upEndpoints());
@@ -126,331 +133,320 @@
   }
 
   @Test
-  void flapsWaitLongerEachTimeAndAreForgotten() {
+  void recoveryDelayGrowsWithEachFlapAndIsReset() {
     start("s0");
-    double[] waits = {100, 200, 400, 800, 1600, 1600};
-    long seq = 41;
-    for (double wait : waits) {
-      told(A, seq++, false, down("s0"));
-      told(A, seq++, false, up("s0"));
-      advance(wait - 1);
-      assertEquals("", upEndpoints(), "waits for " + wait);
+    double[] delaysMs = {100, 200, 400, 800, 1600, 1600};
+    long version = 41;
+    for (double delayMs : delaysMs) {
+      receive(SOURCE_A, version++, false, down("s0"));
+      receive(SOURCE_A, version++, false, up("s0"));
+      advance(delayMs - 1);
+      assertEquals("", upEndpoints(), "after " + delayMs);
       advance(2);
-      assertEquals("s0", upEndpoints(), "waits for " + wait);
+      assertEquals("s0", upEndpoints(), "after " + delayMs);
     }
     advance(LIMITS.flapWindowMs() + 1);
-    told(A, seq++, false, down("s0"));
-    told(A, seq, false, up("s0"));
+    receive(SOURCE_A, version++, false, down("s0"));
+    receive(SOURCE_A, version, false, up("s0"));
     advance(101);
     assertEquals("s0", upEndpoints());
   }
 
-  /**
-   * The second look answers with an older version than the watch: it may take down, and never up.
-   */
+  /** A poll answers with an older version than the watch. */
   @Test
-  void anOlderVersionTakesDownAndNeverUp() {
+  void olderVersionTakesDownAndNeverUp() {
     start("s0", "s1");
-    told(A, 45, false, up("s9"), down("s1"));
-    told(A, 43, true, up("s0"), up("s1"));
-    assertEquals("s0", upEndpoints()); // s9 in doubt, s1 as the newer one has it
-    told(A, 45, true, up("s0"), down("s1"), up("s9"));
+    receive(SOURCE_A, 45, false, up("s9"), down("s1"));
+    receive(SOURCE_A, 43, true, up("s0"), up("s1"));
+    assertEquals("s0", upEndpoints()); // s9 is contested, s1 is as the newer version has it
+    receive(SOURCE_A, 45, true, up("s0"), down("s1"), up("s9"));
     advance(101);
     assertEquals("s0 s9", upEndpoints());
   }
 
   @Test
-  void aDrainInAnOlderVersionIsHonoured() {
+  void drainInAnOlderVersionIsApplied() {
     start("s0", "s1");
-    told(A, 3, false, down("s0"));
+    receive(SOURCE_A, 3, false, down("s0"));
     assertEquals("s1", upEndpoints());
   }
 
-  /**
-   * One source is stuck, the other ahead and alive: the one ahead is right, and both are asked
-   * anew.
-   */
+  /** One connection is stuck, the other is ahead and alive: the latter is right. */
   @Test
-  void aSourceThatIsStuckIsLeftOutOfAccount() {
+  void reportsOfAStuckConnectionAreIgnored() {
     start("s0");
-    told(A, 45, false, up("s9"));
+    receive(SOURCE_A, 45, false, up("s9"));
     for (int i = 0; i < 25; i++) {
-      told(A, 43, true, up("s0"));
+      receive(SOURCE_A, 43, true, up("s0"));
       advance(50);
-      told(A, 45 + i, false, up("s0"));
+      receive(SOURCE_A, 45 + i, false, up("s0"));
       advance(50);
     }
     assertEquals("s0 s9", upEndpoints());
-    assertTrue(askAnew);
-    assertTrue(notes.stream().anyMatch(n -> n.startsWith("version conflict")), notes.toString());
+    assertTrue(mustResync);
+    assertTrue(
+        messages.stream().anyMatch(message -> message.startsWith("version conflict")),
+        messages.toString());
   }
 
-  /**
-   * All sources have gone back and stay: after a while the list asked anew counts, with what it has
-   * up.
-   */
+  /** All reports have gone back in version: the list of the resync counts. */
   @Test
-  void versionsThatGoBackForGoodAreTaken() {
+  void versionsThatGoBackForGoodAreAccepted() {
     start("s0", "s1");
-    for (int i = 0; i < 25 && !askAnew; i++) {
-      told(A, 3, true, up("s1"), up("s2"));
+    for (int i = 0; i < 25 && !mustResync; i++) {
+      receive(SOURCE_A, 3, true, up("s1"), up("s2"));
       advance(100);
     }
     assertEquals("s1", upEndpoints());
-    assertTrue(askAnew);
-    assertEquals(-1, core.resumeVersion());
-    told(A, 3, true, up("s1"), up("s2"));
+    assertTrue(mustResync);
+    assertEquals(-1, membership.resumeVersion());
+    receive(SOURCE_A, 3, true, up("s1"), up("s2"));
     assertEquals("s1 s2", upEndpoints());
-    told(A, 4, false, up("s3"));
+    receive(SOURCE_A, 4, false, up("s3"));
     assertEquals("s1 s2 s3", upEndpoints());
   }
 
   @Test
-  void aVersionBelowZeroTakesDownOnly() {
+  void negativeVersionOnlyTakesDown() {
     start("s0", "s1");
-    told(A, -5, true, down("s0"), up("s7"));
-    assertEquals("s1", upEndpoints()); // s1 is not in it: no version, no word on what it lacks
+    receive(SOURCE_A, -5, true, down("s0"), up("s7"));
+    assertEquals("s1", upEndpoints()); // s1 stays: a list without a version removes nothing
   }
 
   @Test
-  void anEmptyListIsHeldWhileServersAnswer() {
+  void emptyListIsQuarantinedWhileEndpointsRespond() {
     start("s0", "s1", "s2", "s3");
-    told(A, 41, true);
+    receive(SOURCE_A, 41, true);
     assertEquals("s0 s1 s2 s3", upEndpoints());
-    assertEquals(1, notes.size());
-    assertTrue(core.endpointsToProbe().containsAll(List.of("s0", "s1", "s2", "s3")));
-    for (int i = 0; i < 40; i++) { // s3 does not answer
+    assertEquals(1, messages.size());
+    assertTrue(membership.endpointsToProbe().containsAll(List.of("s0", "s1", "s2", "s3")));
+    for (int i = 0; i < 40; i++) { // s3 does not respond
       advance(100);
       for (String id : List.of("s0", "s1", "s2")) {
-        apply(core.responded(now, id));
+        apply(membership.responded(nowMs, id));
       }
     }
     assertEquals("s0 s1 s2", upEndpoints());
-    apply(core.connectFailed(now, "s2", true, 0));
-    apply(core.connectFailed(now, "s2", true, 0));
+    apply(membership.connectFailed(nowMs, "s2", true, 0));
+    apply(membership.connectFailed(nowMs, "s2", true, 0));
     assertEquals("s0 s1", upEndpoints());
     for (int i = 0; i < 270; i++) {
       advance(100);
-      apply(core.responded(now, "s0"));
-      apply(core.responded(now, "s1"));
+      apply(membership.responded(nowMs, "s0"));
+      apply(membership.responded(nowMs, "s1"));
     }
-    assertEquals("", upEndpoints()); // 30 s are over
-    assertTrue(core.endpointsToProbe().isEmpty());
+    assertEquals("", upEndpoints()); // the quarantine of 30 s is over
+    assertTrue(membership.endpointsToProbe().isEmpty());
   }
 
   @Test
-  void aListThatShrinksByHalfIsHeldAndThenBelieved() {
+  void listThatShrinksByHalfIsAppliedAfterTheQuarantine() {
     start("s0", "s1", "s2", "s3", "s4");
-    told(A, 41, true, up("s0"), up("s1"));
+    receive(SOURCE_A, 41, true, up("s0"), up("s1"));
     assertEquals("s0 s1 s2 s3 s4", upEndpoints());
     for (int i = 0; i < 21; i++) {
-      told(A, 41, true, up("s0"), up("s1"));
-      List.of("s2", "s3", "s4").forEach(id -> apply(core.responded(now, id)));
+      receive(SOURCE_A, 41, true, up("s0"), up("s1"));
+      List.of("s2", "s3", "s4").forEach(id -> apply(membership.responded(nowMs, id)));
       advance(100);
     }
     assertEquals("s0 s1", upEndpoints());
   }
 
-  /** The platform's page: what a whole list does not name is gone, also where it still answers. */
+  /** The platform's rule: what a complete list lacks is removed, also while it responds. */
   @Test
-  void onThePlatformAListThatShrinksIsBelievedAtOnceAndAnEmptyOneIsHeld() {
-    core = new Membership(MembershipLimits.platform(18_000), A);
+  void onThePlatformOnlyAnEmptyListIsQuarantined() {
+    membership = new Membership(MembershipLimits.platform(18_000), SOURCE_A);
     start("s0", "s1", "s2", "s3", "s4");
-    told(A, 41, true, up("s0"));
+    receive(SOURCE_A, 41, true, up("s0"));
     assertEquals("s0", upEndpoints());
-    told(A, 42, true);
+    receive(SOURCE_A, 42, true);
     assertEquals("s0", upEndpoints());
   }
 
   @Test
-  void aFleetThatIsReplacedIsNoShrinking() {
+  void listOfNewEndpointsOnlyIsNotQuarantined() {
     start("s0", "s1", "s2");
-    told(A, 41, true, up("t0"), up("t1"), up("t2"));
+    receive(SOURCE_A, 41, true, up("t0"), up("t1"), up("t2"));
     assertEquals("t0 t1 t2", upEndpoints());
   }
 
-  /** A drain that is told is honoured also of a server that is held. */
   @Test
-  void aHeldServerThatIsToldToDrainDoes() {
+  void quarantinedEndpointDrainsWhenToldTo() {
     start("s0", "s1", "s2");
-    told(A, 41, true);
-    told(A, 42, false, down("s1"));
+    receive(SOURCE_A, 41, true);
+    receive(SOURCE_A, 42, false, down("s1"));
     assertEquals("s0 s2", upEndpoints());
-    told(A, 43, false, gone("s2"));
+    receive(SOURCE_A, 43, false, removed("s2"));
     assertEquals("s0", upEndpoints());
   }
 
   @Test
-  void theOldPlaceCountsUntilTheNewOneTellsAndItsDrainsLonger() {
+  void retiredSourceCountsUntilTheNewOneReportsAndItsDrainsLonger() {
     start("s0", "s1", "s2");
-    core.switchSource(now, B);
+    membership.switchSource(nowMs, SOURCE_B);
     assertEquals("s0 s1 s2", upEndpoints());
-    told(A, 41, false, down("s0"));
+    receive(SOURCE_A, 41, false, down("s0"));
     assertEquals("s1 s2", upEndpoints());
-    told(B, 7, true, up("s0"), up("s1"), up("s2")); // older than what is known
+    receive(SOURCE_B, 7, true, up("s0"), up("s1"), up("s2")); // older than what source A reported
     assertEquals("s1 s2", upEndpoints());
-    told(A, 42, false, gone("s1"));
+    receive(SOURCE_A, 42, false, removed("s1"));
     assertEquals("s2", upEndpoints());
-    apply(core.sourceClosed(now, A));
+    apply(membership.sourceClosed(nowMs, SOURCE_A));
     advance(LIMITS.retiredSourceTtlMs() + 200);
-    assertEquals("s0 s1 s2", upEndpoints()); // nobody else speaks any more
+    assertEquals("s0 s1 s2", upEndpoints()); // the retired source counts no longer
   }
 
   @Test
-  void aDrainOfBeforeTheMoveStaysInForce() {
+  void drainReportedBeforeTheSwitchStaysInForce() {
     start("s0", "s1", "s2");
-    told(A, 41, false, down("s0"));
-    told(A, 42, false, gone("s1"));
-    core.switchSource(now, B);
-    told(B, 7, true, up("s0"), up("s1"), up("s2"));
+    receive(SOURCE_A, 41, false, down("s0"));
+    receive(SOURCE_A, 42, false, removed("s1"));
+    membership.switchSource(nowMs, SOURCE_B);
+    receive(SOURCE_B, 7, true, up("s0"), up("s1"), up("s2"));
     assertEquals("s2", upEndpoints());
-    told(B, 8, false, endpoint("s0", "s0:1", EndpointState.UP, now + 5)); // started since
+    receive(
+        SOURCE_B, 8, false, endpoint("s0", "s0:1", EndpointState.UP, nowMs + 5)); // started since
     advance(1000);
     assertEquals("s0 s2", upEndpoints());
   }
 
-  /**
-   * A drain told by the old place ends with it, to the moment: also of one that it had told as
-   * gone.
-   */
+  /** An endpoint that a retired source had removed came back later than the others. */
   @Test
-  void whatTheOldPlaceToldAsGoneIsBackWhenItsWordEnds() {
+  void removalByARetiredSourceEndsWithIt() {
     start("s0", "s1", "s2");
-    told(A, 41, false, gone("s1"));
-    core.switchSource(now, B);
-    told(B, 7, true, up("s0"), up("s1"), up("s2"));
+    receive(SOURCE_A, 41, false, removed("s1"));
+    membership.switchSource(nowMs, SOURCE_B);
+    receive(SOURCE_B, 7, true, up("s0"), up("s1"), up("s2"));
     assertEquals("s0 s2", upEndpoints());
-    apply(core.sourceClosed(now, A));
+    apply(membership.sourceClosed(nowMs, SOURCE_A));
     advance(LIMITS.retiredSourceTtlMs() + 101);
     assertEquals("s0 s1 s2", upEndpoints());
   }
 
   @Test
-  void aMoveToAndFroTakesEachAsNew() {
+  void sourceThatComesBackIntoUseStartsAnew() {
     start("s0", "s1");
-    core.switchSource(now, B);
-    core.switchSource(now, "a:1#3");
+    membership.switchSource(nowMs, SOURCE_B);
+    membership.switchSource(nowMs, "a:1#3");
     assertEquals("s0 s1", upEndpoints());
-    assertEquals(-1, core.resumeVersion());
-    told(B, 7, true, down("s0"), up("s1"));
+    assertEquals(-1, membership.resumeVersion());
+    receive(SOURCE_B, 7, true, down("s0"), up("s1"));
     assertEquals("s1", upEndpoints());
-    told("a:1#3", 2, true, up("s0"), up("s1"), up("s2"));
+    receive("a:1#3", 2, true, up("s0"), up("s1"), up("s2"));
     assertEquals("s1 s2", upEndpoints());
   }
 
   @Test
-  void aServerThatRefusesIsDownUntilItAcceptsAndIsColdThen() {
+  void endpointThatRefusesConnectsIsDownUntilItAcceptsAndThenWarmsUp() {
     start("s0", "s1");
-    apply(core.connectFailed(now, "s0", true, 1)); // others stand: it is crowded, not dead
-    apply(core.connectFailed(now, "s0", true, 1));
+    apply(
+        membership.connectFailed(
+            nowMs, "s0", true, 1)); // it has other connections: it is overloaded, not dead
+    apply(membership.connectFailed(nowMs, "s0", true, 1));
     assertEquals("s0 s1", upEndpoints());
-    apply(core.connectFailed(now, "s0", true, 0));
-    assertEquals("s0 s1", upEndpoints()); // one may be chance
-    apply(core.connectFailed(now, "s0", true, 0));
+    apply(membership.connectFailed(nowMs, "s0", true, 0));
+    assertEquals("s0 s1", upEndpoints()); // one refused connect is not enough
+    apply(membership.connectFailed(nowMs, "s0", true, 0));
     assertEquals("s1", upEndpoints());
-    assertEquals(List.of("s0"), List.copyOf(core.endpointsToProbe()));
+    assertEquals(List.of("s0"), List.copyOf(membership.endpointsToProbe()));
     advance(3000);
-    apply(core.connected(now, "s0"));
-    double back = now;
+    apply(membership.connected(nowMs, "s0"));
+    double restartedAtMs = nowMs;
     advance(101);
     assertEquals("s0 s1", upEndpoints());
-    assertEquals(back, view.get("s0").info().startedAtMs());
-    told(A, 41, false, endpoint("s0", "s0:1", EndpointState.UP, back - 30));
-    assertEquals(back, view.get("s0").info().startedAtMs());
-    assertTrue(core.endpointsToProbe().isEmpty());
+    assertEquals(restartedAtMs, view.get("s0").info().startedAtMs());
+    receive(SOURCE_A, 41, false, endpoint("s0", "s0:1", EndpointState.UP, restartedAtMs - 30));
+    assertEquals(restartedAtMs, view.get("s0").info().startedAtMs());
+    assertTrue(membership.endpointsToProbe().isEmpty());
   }
 
   @Test
-  void anAnswerBetweenRefusalsIsLife() {
+  void responseBetweenRefusedConnectsShowsItAlive() {
     start("s0");
-    apply(core.connectFailed(now, "s0", true, 0));
-    apply(core.responded(now, "s0"));
-    apply(core.connectFailed(now, "s0", true, 0));
+    apply(membership.connectFailed(nowMs, "s0", true, 0));
+    apply(membership.responded(nowMs, "s0"));
+    apply(membership.connectFailed(nowMs, "s0", true, 0));
     assertEquals("s0", upEndpoints());
   }
 
-  /**
-   * Another server at an address that has just become cold, and the same one after it was
-   * forgotten.
-   */
+  /** Another endpoint at the same address, and the same one after it was forgotten. */
   @Test
-  void anAddressStaysCold() {
+  void addressStaysWarmingUp() {
     start("s0");
-    told(A, 41, false, endpoint("s5", "x:1", EndpointState.UP, now - 100));
-    double born = now - 100;
-    told(A, 42, false, gone("s5"));
-    told(A, 43, false, endpoint("s6", "x:1", EndpointState.UP, 0));
-    assertEquals(born, view.get("s6").info().startedAtMs());
+    receive(SOURCE_A, 41, false, endpoint("s5", "x:1", EndpointState.UP, nowMs - 100));
+    double startedAtMs = nowMs - 100;
+    receive(SOURCE_A, 42, false, removed("s5"));
+    receive(SOURCE_A, 43, false, endpoint("s6", "x:1", EndpointState.UP, 0));
+    assertEquals(startedAtMs, view.get("s6").info().startedAtMs());
     advance(LIMITS.flapWindowMs() + 10);
-    told(A, 44, false, gone("s6"));
-    told(A, 45, false, endpoint("s5", "x:1", EndpointState.UP, 0));
-    assertEquals(born, view.get("s5").info().startedAtMs());
+    receive(SOURCE_A, 44, false, removed("s6"));
+    receive(SOURCE_A, 45, false, endpoint("s5", "x:1", EndpointState.UP, 0));
+    assertEquals(startedAtMs, view.get("s5").info().startedAtMs());
     advance(LIMITS.warmUpMs());
-    told(A, 46, false, endpoint("s7", "x:1", EndpointState.UP, 0));
+    receive(SOURCE_A, 46, false, endpoint("s7", "x:1", EndpointState.UP, 0));
     assertEquals(0, view.get("s7").info().startedAtMs());
   }
 
-  /** What is due in this moment must not be lost where the same list is known by its bytes. */
+  /** What was due in the same moment was lost where the list was known by its bytes. */
   @Test
-  void theSameListAgainLeavesWhatIsDueToBeTold() {
+  void unchangedListIsAppliedInFullWhileSomethingIsDue() {
     start("s0");
-    assertTrue(core.confirmUnchanged(now, A, 40));
-    told(A, 41, false, down("s0"));
-    told(A, 42, false, up("s0"));
-    now += LIMITS.recoveryDelayMs();
-    assertFalse(
-        core.confirmUnchanged(now, A, 42)); // s0 comes up in this moment: the list is told in full
-    told(A, 42, true, up("s0"));
+    assertTrue(membership.confirmUnchanged(nowMs, SOURCE_A, 40));
+    receive(SOURCE_A, 41, false, down("s0"));
+    receive(SOURCE_A, 42, false, up("s0"));
+    nowMs += LIMITS.recoveryDelayMs();
+    assertFalse(membership.confirmUnchanged(nowMs, SOURCE_A, 42)); // s0 comes up now
+    receive(SOURCE_A, 42, true, up("s0"));
     assertEquals("s0", upEndpoints());
-    assertTrue(core.confirmUnchanged(now, A, 42));
-    now += LIMITS.staleViewAfterMs() + 1;
-    apply(core.tick(now));
+    assertTrue(membership.confirmUnchanged(nowMs, SOURCE_A, 42));
+    nowMs += LIMITS.staleViewAfterMs() + 1;
+    apply(membership.tick(nowMs));
     assertFalse(
-        core.confirmUnchanged(now, A, 42)); // else the end of the old view would not be told
+        membership.confirmUnchanged(nowMs, SOURCE_A, 42)); // the end of staleness must be reported
   }
 
   @Test
-  void theSameServerAtAnotherAddressIsTold() {
+  void newAddressOfAnEndpointIsReported() {
     start("s0");
-    told(A, 41, false, endpoint("s0", "y:1", EndpointState.UP, 0));
+    receive(SOURCE_A, 41, false, endpoint("s0", "y:1", EndpointState.UP, 0));
     assertEquals("y:1", view.get("s0").address());
     assertEquals("s0", upEndpoints());
   }
 
   @Test
-  void aServerGoneThatStillAnswersIsToldOnce() {
+  void removedEndpointThatStillRespondsIsReportedOnce() {
     start("s0", "s1");
-    told(A, 41, false, gone("s0"));
-    apply(core.responded(now + 10, "s0"));
-    assertEquals(List.of(), notes); // what was out may end
+    receive(SOURCE_A, 41, false, removed("s0"));
+    apply(membership.responded(nowMs + 10, "s0"));
+    assertEquals(List.of(), messages); // responses to earlier requests may still come
     advance(1100);
-    apply(core.responded(now, "s0"));
-    apply(core.responded(now, "s0"));
-    assertEquals(List.of("endpoint s0 is listed as removed and still responds"), notes);
+    apply(membership.responded(nowMs, "s0"));
+    apply(membership.responded(nowMs, "s0"));
+    assertEquals(List.of("endpoint s0 is listed as removed and still responds"), messages);
   }
 
   @Test
-  void anOldViewIsToldOnceAndItsEnd() {
+  void staleViewIsReportedOnceAndSoIsItsEnd() {
     start("s0");
     advance(20_000);
-    assertEquals(1, notes.size(), notes.toString());
-    assertTrue(notes.get(0).startsWith("the endpoint list is stale"), notes.get(0));
-    assertEquals(20_000, core.stats(now).ageMs());
-    apply(core.sourceConfirmed(now, A));
-    assertEquals(2, notes.size());
+    assertEquals(1, messages.size(), messages.toString());
+    assertTrue(messages.get(0).startsWith("the endpoint list is stale"), messages.get(0));
+    assertEquals(20_000, membership.stats(nowMs).ageMs());
+    apply(membership.sourceConfirmed(nowMs, SOURCE_A));
+    assertEquals(2, messages.size());
     assertEquals("s0", upEndpoints());
   }
 
-  /** Ever new servers, as on a long day: nothing is kept of those that left. */
+  /** Memory grew with each endpoint that was ever listed. */
   @Test
-  void serversThatLeftAreForgotten() {
+  void removedEndpointsAreForgotten() {
     start("s0");
     for (int i = 0; i < 2000; i++) {
-      told(A, 41 + 2 * i, false, up("n" + i));
-      told(A, 42 + 2 * i, false, gone("n" + i));
+      receive(SOURCE_A, 41 + 2 * i, false, up("n" + i));
+      receive(SOURCE_A, 42 + 2 * i, false, removed("n" + i));
       advance(50);
     }
     advance(LIMITS.flapWindowMs() + LIMITS.warmUpMs() + 100);
-    assertEquals(1, core.trackedCount());
+    assertEquals(1, membership.trackedCount());
   }
 }
--- a/src/test/java/edgenode/net/discovery/ExponentialBackoffPolicyTest.java
+++ b/src/test/java/edgenode/net/discovery/ExponentialBackoffPolicyTest.java
@@ -6,51 +6,51 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * Waits between failed calls: bounded by the operators' term, and not the same for a whole fleet.
- */
+/** Delays between failed calls: bounded by the recovery limit, and spread over a fleet. */
 class ExponentialBackoffPolicyTest {
-  private static final double GIVEN_UP = 1000;
-  private static final double CONNECT = 1000;
+  private static final double CALL_TIMEOUT_MS = 1000;
+  private static final double CONNECT_TIMEOUT_MS = 1000;
 
-  /** For the answer (ms), and for timers that a busy machine fires late. */
-  private static final double ANSWER = 500;
+  /** For the response, and for timers that a busy machine fires late. */
+  private static final double RESPONSE_MS = 500;
 
   /**
-   * A call lost just before discovery can be reached, given up, the wait, and a connect that needs
-   * all its time.
+   * A call is lost just before discovery can be reached: its timeout, the delay, and a connect that
+   * needs all its time.
    */
   @Test
-  void theNextCallIsAnsweredWithinTheTerm() {
-    for (double first : new double[] {50, 200}) {
+  void nextCallIsAnsweredWithinTheRecoveryLimit() {
+    for (double initialDelayMs : new double[] {50, 200}) {
       for (int seed = 0; seed < 100; seed++) {
         ExponentialBackoffPolicy backoff =
-            new ExponentialBackoffPolicy(first, 1_700_000_000_000.0 + seed);
+            new ExponentialBackoffPolicy(initialDelayMs, 1_700_000_000_000.0 + seed);
         for (int i = 0; i < 20; i++) {
-          double wait = backoff.nextDelayMs();
-          assertTrue(wait >= first / 2, wait + " ms");
+          double delayMs = backoff.nextDelayMs();
+          assertTrue(delayMs >= initialDelayMs / 2, delayMs + " ms");
           assertTrue(
-              GIVEN_UP + wait + CONNECT + ANSWER < AgentSource.RECOVERY_LIMIT_MS, wait + " ms");
+              CALL_TIMEOUT_MS + delayMs + CONNECT_TIMEOUT_MS + RESPONSE_MS
+                  < AgentSource.RECOVERY_LIMIT_MS,
+              delayMs + " ms");
         }
         backoff.reset();
-        assertTrue(backoff.nextDelayMs() <= first);
+        assertTrue(backoff.nextDelayMs() <= initialDelayMs);
       }
     }
   }
 
   /** A hundred processes that started within a second, whose calls have failed alike. */
   @Test
-  void aFleetComesBackSpread() {
-    Set<Integer> at = new HashSet<>();
+  void delaysOfAFleetAreSpread() {
+    Set<Integer> tenthsOfASecond = new HashSet<>();
     for (int node = 0; node < 100; node++) {
       ExponentialBackoffPolicy backoff =
           new ExponentialBackoffPolicy(50, 1_700_000_000_000.0 + node * 9.7);
-      double wait = 0;
+      double delayMs = 0;
       for (int i = 0; i < 10; i++) {
-        wait = backoff.nextDelayMs();
+        delayMs = backoff.nextDelayMs();
       }
-      at.add((int) (wait / 100));
+      tenthsOfASecond.add((int) (delayMs / 100));
     }
-    assertTrue(at.size() >= 12, "of 15 tenths of a second: " + at);
+    assertTrue(tenthsOfASecond.size() >= 12, "of 15 tenths of a second: " + tenthsOfASecond);
   }
 }
