--- a/src/main/java/edgenode/net/resp/LongValueDecoder.java
+++ b/src/main/java/edgenode/net/resp/LongValueDecoder.java
@@ -10,31 +10,43 @@
 import io.netty.handler.codec.redis.LastBulkStringRedisContent;
 
 /**
- * Answers of app servers whose value is too long to be kept: an array of three whose first element
- * is a bulk string of more than {@link RespCodec#MAX_VALUE_BYTES} bytes comes as a {@link
- * ValueStart}, its {@link * Part}s as they are read, and then an array of the two elements behind
- * it. All else passes unchanged. Stands between the decoder and the aggregators.
+ * Passes on values that are too long to be buffered in an endpoint's response. Of an array of three
+ * whose first element is a bulk string of more than {@link RespCodec#MAX_VALUE_BYTES} it makes a
+ * {@link ValueStart}, {@link ValueChunk}s as they are read, and an array of the two other elements.
+ * All else passes unchanged. Stands between the decoder and the aggregators.
  */
 public final class LongValueDecoder extends ChannelInboundHandlerAdapter {
-  /** A value of so many bytes begins. */
+  /**
+   * A long value begins.
+   *
+   * @param lengthBytes of the whole value
+   */
   public record ValueStart(int lengthBytes) {
-    /** The bytes of the array's head and of the value's. */
+    /** Bytes on the wire of the array's header and of the value's. */
     int headerBytes() {
-      return 4 + Integer.toString(lengthBytes).length() + 3;
+      return ARRAY_HEADER_BYTES + Integer.toString(lengthBytes).length() + LINE_OVERHEAD_BYTES;
     }
   }
 
   /**
-   * Some bytes of the value, for the receiver to release; with the last ones their end of line has
-   * been read.
+   * Some bytes of the value.
+   *
+   * @param bytes for the receiver to release
+   * @param isLast whether the value, with its line end, has been read to its end
    */
   public record ValueChunk(ByteBuf bytes, boolean isLast) {}
 
-  /** The value, the figures on use, the load report. */
+  /** The value, the usage figures, the load report. */
   private static final int RESPONSE_ELEMENTS = 3;
 
   private static final int LINE_END_BYTES = 2;
 
+  /** Type byte and line end of a header. */
+  private static final int LINE_OVERHEAD_BYTES = 3;
+
+  /** An array's header with a one-digit number of elements, as in {@code *3\r\n}. */
+  private static final int ARRAY_HEADER_BYTES = 4;
+
   private final RespCodec.UndecodedByteCounter undecodedBytes;
   private final int maxValueBytes;
   private ArrayHeaderRedisMessage pendingHeader;
@@ -42,14 +54,14 @@
   private boolean isInsideValue;
 
   /**
-   * @param maxValueBytes bytes of a value; one that is said to be longer is malformed
+   * @param maxValueBytes limit of a value; one that is announced as longer is malformed
    */
   LongValueDecoder(RespCodec.UndecodedByteCounter undecodedBytes, int maxValueBytes) {
     this.undecodedBytes = undecodedBytes;
     this.maxValueBytes = maxValueBytes;
   }
 
-  /** A message has come whole: the next one begins. */
+  /** A message has been read to its end. */
   void messageDecoded() {
     isInsideMessage = false;
   }
@@ -59,22 +71,7 @@
     if (isInsideValue) {
       passValueChunk(ctx, (BulkStringRedisContent) msg);
     } else if (pendingHeader != null) {
-      ArrayHeaderRedisMessage header = pendingHeader;
-      pendingHeader = null;
-      isInsideMessage = true;
-      if (msg instanceof BulkStringHeaderRedisMessage bulk
-          && bulk.bulkStringLength() > RespCodec.MAX_VALUE_BYTES) {
-        if (bulk.bulkStringLength() > maxValueBytes) {
-          throw new CodecException("a value of more than " + maxValueBytes);
-        }
-        isInsideValue = true;
-        ValueStart start = new ValueStart(bulk.bulkStringLength());
-        undecodedBytes.consumed(start.headerBytes());
-        ctx.fireChannelRead(start);
-      } else {
-        ctx.fireChannelRead(header);
-        ctx.fireChannelRead(msg);
-      }
+      passFirstElement(ctx, msg);
     } else if (!isInsideMessage
         && msg instanceof ArrayHeaderRedisMessage header
         && header.length() == RESPONSE_ELEMENTS) {
@@ -85,6 +82,26 @@
     }
   }
 
+  /** The message is the first element of the array whose header was withheld. */
+  private void passFirstElement(ChannelHandlerContext ctx, Object msg) {
+    ArrayHeaderRedisMessage header = pendingHeader;
+    pendingHeader = null;
+    isInsideMessage = true;
+    if (!(msg instanceof BulkStringHeaderRedisMessage bulk)
+        || bulk.bulkStringLength() <= RespCodec.MAX_VALUE_BYTES) {
+      ctx.fireChannelRead(header);
+      ctx.fireChannelRead(msg);
+      return;
+    }
+    if (bulk.bulkStringLength() > maxValueBytes) {
+      throw new CodecException("a value of more than " + maxValueBytes);
+    }
+    isInsideValue = true;
+    ValueStart start = new ValueStart(bulk.bulkStringLength());
+    undecodedBytes.consumed(start.headerBytes());
+    ctx.fireChannelRead(start);
+  }
+
   private void passValueChunk(ChannelHandlerContext ctx, BulkStringRedisContent content) {
     boolean isLast = content instanceof LastBulkStringRedisContent;
     undecodedBytes.consumed(content.content().readableBytes() + (isLast ? LINE_END_BYTES : 0));
@@ -92,7 +109,7 @@
     ctx.fireChannelRead(new ValueChunk(content.content(), isLast));
     if (isLast) {
       ctx.fireChannelRead(new ArrayHeaderRedisMessage(RESPONSE_ELEMENTS - 1));
-      undecodedBytes.consumed(-4); // that head was not on the wire, and is counted with its message
+      undecodedBytes.consumed(-ARRAY_HEADER_BYTES); // this header was not on the wire
     }
   }
 }
--- a/src/main/java/edgenode/net/resp/RequestCommand.java
+++ b/src/main/java/edgenode/net/resp/RequestCommand.java
@@ -12,9 +12,15 @@
 import java.util.regex.Pattern;
 
 /**
- * A client's call as read: what the module is told of it, and its list of names and values round d.
+ * A client's request as parsed from its command.
  *
- * @param idempotencyKey the idempotency key, or null where it has none
+ * @param remainingMs how long the client still waits
+ * @param units what the request takes of its customer's quota
+ * @param nodeSpread over how many nodes the customer's requests are spread
+ * @param firstNode index of the first of these nodes
+ * @param idempotencyKey or null where the request has none
+ * @param fieldsBeforeRemaining text of the field list before the value of the remaining time
+ * @param fieldsAfterRemaining text of the field list after it
  */
 public record RequestCommand(
     String customer,
@@ -30,130 +36,111 @@
     String fieldsBeforeRemaining,
     String fieldsAfterRemaining) {
 
+  // Positions of the command's arguments; the body is optional.
+  private static final int NAME_INDEX = 0;
   private static final int CUSTOMER_INDEX = 1;
   private static final int REQUEST_ID_INDEX = 2;
   private static final int FIELD_LIST_INDEX = 3;
   private static final int BODY_INDEX = 4;
 
+  private static final int MAX_REQUEST_ID_CHARS = 64;
+  private static final long MIN_FORWARDED_REMAINING_MS = 1;
+
   /** 16 hex digits, below 2^33. */
   private static final Pattern CUSTOMER_FORMAT = Pattern.compile("0{7}[01][0-9a-f]{8}");
 
   /**
-   * Java's own reading takes NaN, 1e30 and 0x1p3 too: units of any of them would go off a quota.
-   */
-  private static final Pattern INTEGER_FORMAT = Pattern.compile("[0-9]{1,9}");
-
-  private static final Pattern DURATION_FORMAT = Pattern.compile("[0-9]{1,9}(\\.[0-9]{1,9})?");
-
-  /**
-   * Throws IllegalArgumentException with what is wrong; sets and units are held against the
-   * settings.
+   * Parses a client's command.
+   *
+   * @param settings bounds of units and nodes, and the request classes
+   * @throws IllegalArgumentException whose message says what is wrong
    */
   public static RequestCommand parse(ArrayRedisMessage command, PolicySettings settings) {
-    List<RedisMessage> elements = command.children();
-    if (elements.size() <= FIELD_LIST_INDEX || elements.size() > BODY_INDEX + 1) {
-      throw new IllegalArgumentException("wrong number of arguments");
-    }
-    for (RedisMessage element : elements) {
-      if (!(element instanceof FullBulkStringRedisMessage bulkString) || bulkString.isNull()) {
-        throw new IllegalArgumentException("bulk strings expected");
-      }
-    }
-    String customer = RespCodec.textOf(elements.get(CUSTOMER_INDEX));
-    String requestId = RespCodec.textOf(elements.get(REQUEST_ID_INDEX));
+    List<RedisMessage> arguments = command.children();
+    requireBulkStrings(arguments);
+    String customer = RespCodec.textOf(arguments.get(CUSTOMER_INDEX));
+    String requestId = RespCodec.textOf(arguments.get(REQUEST_ID_INDEX));
     if (!CUSTOMER_FORMAT.matcher(customer).matches()
         || requestId.isEmpty()
-        || requestId.length() > 64) {
+        || requestId.length() > MAX_REQUEST_ID_CHARS) {
       throw new IllegalArgumentException("customer or id is malformed");
     }
-    String fieldList = RespCodec.textOf(elements.get(FIELD_LIST_INDEX));
-    String className = null;
-    String planName = null;
-    double remainingMs = Double.NaN;
-    int units = 1;
-    int nodeSpread = 1;
-    int firstNode = 0;
-    int remainingFrom = -1;
-    int remainingTo = -1;
-    boolean isClientRetry = false;
-    String idempotencyKey = null;
-    for (int from = 0; from < fieldList.length(); ) {
-      int comma = fieldList.indexOf(',', from);
-      int to = comma < 0 ? fieldList.length() : comma;
-      int equalsAt = fieldList.indexOf('=', from);
-      if (equalsAt < 0 || equalsAt >= to) {
-        throw new IllegalArgumentException("name=value expected");
-      }
-      String value = fieldList.substring(equalsAt + 1, to);
-      switch (fieldList.substring(from, equalsAt)) {
-        case "c" -> className = value;
-        case "t" -> planName = value;
-        case "d" -> {
-          remainingMs = Double.parseDouble(requireFormat(DURATION_FORMAT, value));
-          remainingFrom = equalsAt + 1;
-          remainingTo = to;
-        }
-        case "units" -> units = Integer.parseInt(requireFormat(INTEGER_FORMAT, value));
-        case "spread" -> nodeSpread = Integer.parseInt(requireFormat(INTEGER_FORMAT, value));
-        case "first" -> firstNode = Integer.parseInt(requireFormat(INTEGER_FORMAT, value));
-        case "k" -> idempotencyKey = value.isEmpty() ? null : value;
-        case "r" -> isClientRetry = value.equals("1");
-        default -> {} // passed on as it is
-      }
-      from = to + 1;
+    RequestFieldList fields =
+        RequestFieldList.parse(RespCodec.textOf(arguments.get(FIELD_LIST_INDEX)));
+    requireInRange(fields, settings);
+    requireMatchingClass(RespCodec.textOf(arguments.get(NAME_INDEX)), fields, settings);
+    return new RequestCommand(
+        customer,
+        requestId,
+        fields.className,
+        fields.planName,
+        fields.remainingMs,
+        fields.units,
+        fields.nodeSpread,
+        fields.firstNode,
+        fields.isClientRetry,
+        fields.idempotencyKey,
+        fields.textBeforeRemaining,
+        fields.textAfterRemaining);
+  }
+
+  private static void requireBulkStrings(List<RedisMessage> arguments) {
+    if (arguments.size() <= FIELD_LIST_INDEX || arguments.size() > BODY_INDEX + 1) {
+      throw new IllegalArgumentException("wrong number of arguments");
     }
-    if (className == null || planName == null || remainingFrom < 0) {
-      throw new IllegalArgumentException("c, t and d are needed");
+    for (RedisMessage argument : arguments) {
+      if (!RespCodec.isBulkString(argument)) {
+        throw new IllegalArgumentException("bulk strings expected");
+      }
     }
-    if (units < 1
-        || units > settings.maxRequestUnits()
-        || nodeSpread < 1
-        || nodeSpread > settings.nodeCount()
-        || firstNode >= settings.nodeCount()) {
+  }
+
+  private static void requireInRange(RequestFieldList fields, PolicySettings settings) {
+    if (fields.units < 1
+        || fields.units > settings.maxRequestUnits()
+        || fields.nodeSpread < 1
+        || fields.nodeSpread > settings.nodeCount()
+        || fields.firstNode >= settings.nodeCount()) {
       throw new IllegalArgumentException("units or set out of range");
     }
-    boolean isGet = RespCodec.textOf(elements.get(0)).endsWith("GET");
+  }
+
+  /** A class that the settings do not have is not checked here. */
+  private static void requireMatchingClass(
+      String commandName, RequestFieldList fields, PolicySettings settings) {
+    boolean isGet = commandName.endsWith("GET");
     for (RequestClass requestClass : settings.requestClasses()) {
-      if (requestClass.name().equals(className)
+      if (requestClass.name().equals(fields.className)
           && (isGet != (requestClass.idempotency() == Idempotency.IDEMPOTENT)
-              || requestClass.idempotency() == Idempotency.KEYED && idempotencyKey == null)) {
+              || requestClass.idempotency() == Idempotency.KEYED
+                  && fields.idempotencyKey == null)) {
         throw new IllegalArgumentException("not the command of this class, or no k");
       }
     }
-    return new RequestCommand(
-        customer,
-        requestId,
-        className,
-        planName,
-        remainingMs,
-        units,
-        nodeSpread,
-        firstNode,
-        isClientRetry,
-        idempotencyKey,
-        fieldList.substring(0, remainingFrom),
-        fieldList.substring(remainingTo));
-  }
-
-  private static String requireFormat(Pattern format, String value) {
-    if (!format.matcher(value).matches()) {
-      throw new IllegalArgumentException("a number is malformed");
-    }
-    return value;
   }
 
-  /** The command as it goes on: unchanged, but d tells what is left. */
+  /**
+   * The command to send to an endpoint: as the client sent it, but with the time that remains now.
+   *
+   * @param command the client's command, whose arguments are shared and not released
+   * @param remainingMs how long the client still waits; at least 1 is sent
+   * @return a new message for the caller to release
+   */
   public ArrayRedisMessage forwardedCommand(
       ArrayRedisMessage command, double remainingMs, ByteBufAllocator alloc) {
-    List<RedisMessage> elements = new ArrayList<>(command.children().size());
+    List<RedisMessage> arguments = new ArrayList<>(command.children().size());
     for (int i = 0; i < command.children().size(); i++) {
-      elements.add(
+      arguments.add(
           i == FIELD_LIST_INDEX
-              ? RespCodec.bulkString(
-                  alloc,
-                  fieldsBeforeRemaining + Math.max(1, (long) remainingMs) + fieldsAfterRemaining)
+              ? RespCodec.bulkString(alloc, fieldsWithRemaining(remainingMs))
               : ((FullBulkStringRedisMessage) command.children().get(i)).retainedDuplicate());
     }
-    return new ArrayRedisMessage(elements);
+    return new ArrayRedisMessage(arguments);
+  }
+
+  private String fieldsWithRemaining(double remainingMs) {
+    return fieldsBeforeRemaining
+        + Math.max(MIN_FORWARDED_REMAINING_MS, (long) remainingMs)
+        + fieldsAfterRemaining;
   }
 }
--- a/src/main/java/edgenode/net/resp/RespCodec.java
+++ b/src/main/java/edgenode/net/resp/RespCodec.java
@@ -10,6 +10,7 @@
 import io.netty.handler.codec.redis.AbstractStringRedisMessage;
 import io.netty.handler.codec.redis.ArrayRedisMessage;
 import io.netty.handler.codec.redis.BulkStringHeaderRedisMessage;
+import io.netty.handler.codec.redis.FixedRedisMessagePool;
 import io.netty.handler.codec.redis.FullBulkStringRedisMessage;
 import io.netty.handler.codec.redis.IntegerRedisMessage;
 import io.netty.handler.codec.redis.RedisArrayAggregator;
@@ -21,32 +22,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** RESP2 on a channel: the library's codec, held within this protocol's bounds. */
+/** RESP2 on a channel: Netty's codec within this protocol's bounds, and helpers for messages. */
 public final class RespCodec {
-  /**
-   * The most of one value that is kept; the lists of names and values and inline answers are far
-   * shorter.
-   */
+  /** Longest value that is buffered. */
   public static final int MAX_VALUE_BYTES = 64 * 1024;
 
-  /** The most that a value holds which is passed on as it comes. */
+  /** Longest value that is passed on in chunks. */
   public static final int MAX_LONG_VALUE_BYTES = 4 << 20;
 
   private static final int MAX_LINE_BYTES = 4096;
   private static final int MAX_ARRAY_DEPTH = 4;
 
+  /** Length of a null array or null bulk string, as in {@code $-1\r\n}. */
+  private static final int NULL_BYTES = 5;
+
+  /** Type byte and line end of a line. */
+  private static final int LINE_OVERHEAD_BYTES = 3;
+
+  /** Type byte and two line ends of a bulk string. */
+  private static final int BULK_STRING_OVERHEAD_BYTES = 5;
+
   private RespCodec() {}
 
   /**
-   * Adds the codec: whole messages in, messages out; the largest array told bounds what is kept of
-   * one.
+   * Adds the codec to a pipeline, which then reads and writes complete {@link RedisMessage}s. A
+   * message outside the bounds raises a {@link CodecException}.
+   *
+   * @param maxElements of an array; bounds what is buffered of one message
+   * @return counts the bytes that are not decoded yet
    */
   public static UndecodedByteCounter addCodec(ChannelPipeline pipeline, int maxElements) {
     UndecodedByteCounter counter = new UndecodedByteCounter();
     pipeline.addLast(
         counter,
-        new RedisDecoder(
-            MAX_LINE_BYTES, io.netty.handler.codec.redis.FixedRedisMessagePool.INSTANCE),
+        new RedisDecoder(MAX_LINE_BYTES, FixedRedisMessagePool.INSTANCE),
         new LengthLimiter(),
         new RedisBulkStringAggregator(),
         new RedisArrayAggregator(maxElements, MAX_ARRAY_DEPTH),
@@ -54,7 +63,10 @@
     return counter;
   }
 
-  /** As {@link #addCodec}, for answers of app servers: long values come in parts. */
+  /**
+   * Adds the codec for endpoints' responses: as {@link #addCodec}, but long values come in chunks,
+   * see {@link LongValueDecoder}.
+   */
   public static UndecodedByteCounter addResponseCodec(ChannelPipeline pipeline, int maxElements) {
     UndecodedByteCounter counter = addCodec(pipeline, maxElements);
     counter.longValueDecoder = new LongValueDecoder(counter, MAX_LONG_VALUE_BYTES);
@@ -62,12 +74,15 @@
     return counter;
   }
 
-  /** Counts what comes in before it is decoded, as the decoder hides half a message. */
+  /**
+   * Counts the bytes that have come and belong to no complete message yet. Netty's decoder does not
+   * say whether it holds a part of a message.
+   */
   public static final class UndecodedByteCounter extends ChannelInboundHandlerAdapter {
     private long pendingBytes;
     private LongValueDecoder longValueDecoder;
 
-    /** Bytes that have come and belong to no whole message yet. */
+    /** The number of these bytes. */
     public long pendingBytes() {
       return pendingBytes;
     }
@@ -79,8 +94,8 @@
     }
 
     /**
-     * A whole message has come: to be told as it arrives, before the next is read. One in another
-     * than the shortest form leaves a difference for good.
+     * A complete message has been read; to be called before the next one is read. A message that
+     * was not sent in its shortest form leaves the count wrong for good.
      */
     public void messageDecoded(RedisMessage message) {
       pendingBytes -= encodedLength(message);
@@ -89,30 +104,30 @@
       }
     }
 
-    /** So many bytes of a message have been passed on before it is whole. */
+    /** Bytes of a message were passed on before it was complete. */
     void consumed(int bytes) {
       pendingBytes -= bytes;
     }
   }
 
-  /** The bytes of a message in its shortest form. */
+  /** Bytes of a message in its shortest form. */
   private static long encodedLength(RedisMessage message) {
     if (message instanceof ArrayRedisMessage array) {
       return array.isNull()
-          ? 5
+          ? NULL_BYTES
           : digits(array.children().size())
-              + 3
+              + LINE_OVERHEAD_BYTES
               + array.children().stream().mapToLong(RespCodec::encodedLength).sum();
     }
     if (message instanceof FullBulkStringRedisMessage bulk) {
       int size = bulk.isNull() ? -1 : bulk.content().readableBytes();
-      return size < 0 ? 5 : digits(size) + 5 + size;
+      return size < 0 ? NULL_BYTES : digits(size) + BULK_STRING_OVERHEAD_BYTES + size;
     }
     if (message instanceof AbstractStringRedisMessage line) { // simple strings and errors
-      return ByteBufUtil.utf8Bytes(line.content()) + 3;
+      return ByteBufUtil.utf8Bytes(line.content()) + LINE_OVERHEAD_BYTES;
     }
     return message instanceof IntegerRedisMessage number
-        ? Long.toString(number.value()).length() + 3
+        ? Long.toString(number.value()).length() + LINE_OVERHEAD_BYTES
         : 0;
   }
 
@@ -120,7 +135,7 @@
     return Integer.toString(size).length();
   }
 
-  /** Guards against headers that announce gigabytes: the library's own bound is 512 MB a value. */
+  /** Guards against headers that announce huge values: Netty's own bound is 512 MB a value. */
   private static final class LengthLimiter extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
@@ -132,10 +147,12 @@
     }
   }
 
+  /** A new bulk string, for the caller to release. */
   public static FullBulkStringRedisMessage bulkString(ByteBufAllocator alloc, String text) {
     return new FullBulkStringRedisMessage(ByteBufUtil.writeUtf8(alloc, text));
   }
 
+  /** A new command, an array of bulk strings, for the caller to release. */
   public static ArrayRedisMessage command(ByteBufAllocator alloc, String... arguments) {
     List<RedisMessage> elements = new ArrayList<>(arguments.length);
     for (String argument : arguments) {
@@ -144,13 +161,14 @@
     return new ArrayRedisMessage(elements);
   }
 
-  /** The text of a bulk string, or null where the message is none. */
+  /** The text of a bulk string; null where the message is null or of another type. */
   public static String textOf(RedisMessage message) {
     return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull()
         ? bulk.content().toString(StandardCharsets.UTF_8)
         : null;
   }
 
+  /** Whether the message is a bulk string that is not null. */
   public static boolean isBulkString(RedisMessage message) {
     return message instanceof FullBulkStringRedisMessage bulk && !bulk.isNull();
   }
--- a/src/test/java/edgenode/net/resp/LongValueDecoderTest.java
+++ b/src/test/java/edgenode/net/resp/LongValueDecoderTest.java
@@ -21,8 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Answers that come in pieces cut at any point: long values in parts, the others whole, and each
- * byte counted.
+ * Responses whose bytes arrive in two parts, cut anywhere: long values, others, and byte counts.
  */
 class LongValueDecoderTest {
   private static final int LONG_VALUE_BYTES = RespCodec.MAX_VALUE_BYTES + 10;
@@ -32,7 +31,7 @@
       RespCodec.addResponseCodec(channel.pipeline(), 16);
   private final StringBuilder value = new StringBuilder();
 
-  /** As a connection does: each message is told as whole before the next one is read. */
+  /** As a connection does, reports each message as decoded before the next one is read. */
   @BeforeEach
   void addMessageReader() {
     channel
@@ -49,7 +48,7 @@
             });
   }
 
-  /** What came, long values put together. */
+  /** All that was decoded, with the chunks of long values put together. */
   private List<String> read() {
     List<String> all = new ArrayList<>();
     for (Object o = channel.readInbound(); o != null; o = channel.readInbound()) {
@@ -80,9 +79,7 @@
   private static String value(int length) {
     StringBuilder text = new StringBuilder();
     while (text.length() < length) {
-      text.append("*3\r\n$")
-          .append(text.length())
-          .append("\r\n"); // what looks like a message is none
+      text.append("*3\r\n$").append(text.length()).append("\r\n"); // bytes that look like a message
     }
     text.setLength(length);
     return text.toString();
@@ -93,8 +90,8 @@
   }
 
   /**
-   * A long answer, a short one, an error and a long one, cut in two at every place where anything
-   * begins or ends.
+   * A long value, a short one, an error and a long value, cut in two at every place where an
+   * element begins or ends.
    */
   @Test
   void responsesDecodeTheSameWhereverTheBytesAreCut() {
@@ -154,7 +151,7 @@
             channel.writeInbound(bytes("*3\r\n$" + (RespCodec.MAX_LONG_VALUE_BYTES + 1) + "\r\n")));
   }
 
-  /** Only the first of three is a value; a long one elsewhere is as malformed as ever. */
+  /** Guards the limit of what is buffered: only the first element may be long. */
   @Test
   void aLongValueOutsideTheFirstElementIsMalformed() {
     assertThrows(
