--- a/src/main/java/edgenode/cli/SimhostCommand.java
+++ b/src/main/java/edgenode/cli/SimhostCommand.java
@@ -1,5 +1,6 @@
 package edgenode.cli;
 
+import edgenode.simhost.MalformedInputException;
 import edgenode.simhost.SimulatorWire;
 import java.io.BufferedReader;
 import java.io.FileDescriptor;
@@ -25,7 +26,7 @@
     PrintStream output = new PrintStream(new FileOutputStream(FileDescriptor.out), false);
     try {
       new SimulatorWire().run(input, output);
-    } catch (SimulatorWire.MalformedInputException malformed) {
+    } catch (MalformedInputException malformed) {
       System.err.println(malformed.getMessage());
       System.exit(1);
     }
--- a/src/test/java/edgenode/simhost/SimulatorWireTest.java
+++ b/src/test/java/edgenode/simhost/SimulatorWireTest.java
@@ -27,7 +27,7 @@
   }
 
   private static String error(String input) {
-    return assertThrows(SimulatorWire.MalformedInputException.class, () -> run(input)).getMessage();
+    return assertThrows(MalformedInputException.class, () -> run(input)).getMessage();
   }
 
   @Test
--- a/src/test/java/edgenode/simhost/WireDigest.java
+++ b/src/test/java/edgenode/simhost/WireDigest.java
@@ -73,7 +73,7 @@
     return digest.lines + " " + HexFormat.of().formatHex(digest.sha256.digest());
   }
 
-  /** The wire's input, made a turn at a time out of the replies to the turns before. */
+  /** The wire's input, made turn by turn from the replies to the turns before. */
   private final class Lines extends BufferedReader {
     Lines() {
       super(Reader.nullReader());
@@ -270,6 +270,12 @@
                 + "\tcontract.cold_share=0.2\tcontract.warm_after=3000\tcontract.overload_factor=2"
                 + "\tcontract.overload_for=2000\trequest_classes.count="
                 + CLASSES.length);
+    appendClasses(up);
+    appendPlans(up);
+    return up.toString();
+  }
+
+  private static void appendClasses(StringBuilder up) {
     for (int i = 0; i < CLASSES.length; i++) {
       String at = "\trequest_classes." + i + ".";
       up.append(at)
@@ -293,6 +299,9 @@
           .append("stream=")
           .append(i == CLASSES.length - 1);
     }
+  }
+
+  private static void appendPlans(StringBuilder up) {
     up.append("\ttariffs.count=").append(PLANS.length);
     double[][] plans = {
       {20, 20, 0, 0, 0}, {0, 0, 3, 0, 0}, {400, 400, 0, 0, 0}, {60, 60, 0, 20, 40}
@@ -322,6 +331,5 @@
           .append(at)
           .append("price=1");
     }
-    return up.toString();
   }
 }
