--- a/src/main/java/edgenode/cli/CheckSettingsCommand.java
+++ b/src/main/java/edgenode/cli/CheckSettingsCommand.java
@@ -1,5 +1,6 @@
 package edgenode.cli;
 
+import edgenode.config.InvalidSettingsException;
 import edgenode.config.OperatorSettings;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -30,7 +31,7 @@
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     try {
       return OperatorSettings.read(Path.of(file), warmUpMs);
-    } catch (OperatorSettings.InvalidSettingsException rejected) {
+    } catch (InvalidSettingsException rejected) {
       rejected.faults().forEach(System.err::println);
     } catch (IOException | InvalidPathException e) {
       System.err.println(file + ": cannot be read: " + e.getMessage());
--- a/src/main/java/edgenode/config/ConfigFileWatcher.java
+++ b/src/main/java/edgenode/config/ConfigFileWatcher.java
@@ -9,29 +9,26 @@
 import java.util.function.Consumer;
 
 /**
- * The configuration's file, read again while the edge node runs: at SIGHUP, when discovery refuses
- * everything, and where SIGHUP cannot be had by looking at it. What is read is judged by its
- * content alone: a file may be replaced by rename, rewritten in place, missing for a moment or half
- * written, and its times may be those of another. Nothing here runs on the event loop: reading
- * blocks.
+ * Reads the configuration file again while the node runs: at SIGHUP, after faults that a changed
+ * file would explain, and by polling where SIGHUP cannot be had. Nothing here runs on the event
+ * loop, as reading blocks; the methods may be called from any thread.
  *
- * <p>A look reads the whole file ({@link #POLL_INTERVAL_MS} apart, a few KB from memory: some 30
- * µs), so that no clock, inode or notice of the system needs to be trusted. Content counts once two
- * looks in a row have found it alike, as a writer in place passes through halves that may parse.
+ * <p>Changes are recognised by content alone: a file may be replaced by rename, rewritten in place,
+ * missing for a moment or partly written, and its timestamps may be another file's. Polled content
+ * counts once two polls in a row have found it, as a file that is rewritten in place may parse at
+ * any length. A poll reads a few KB from the page cache, in some 30 µs.
  */
 public final class ConfigFileWatcher {
-  /** Between two looks (ms): new content counts within twice that. The platform leaves 1.5 s. */
+  /** New content counts within twice this; the platform allows 1.5 s. */
   static final long POLL_INTERVAL_MS = 200;
 
-  /** A file longer than this (bytes) is no configuration. */
+  /** A longer file is ignored. */
   static final int MAX_FILE_BYTES = 64 << 20;
 
-  /** A file that is missing for so long (ms) is told, once. */
+  /** A file that is missing for this long is reported, once. */
   private static final long MISSING_REPORT_MS = 2000;
 
-  /**
-   * Between two reads that were asked for by trouble (ms), doubled while they bring nothing new.
-   */
+  /** Time between two reads after faults, doubled while they find nothing new. */
   private static final long FAULT_READ_BACKOFF_MS = 500;
 
   private static final long MAX_FAULT_READ_BACKOFF_MS = 8000;
@@ -41,10 +38,10 @@
   private final Consumer<NodeConfig> listener;
   private final Consumer<String> log;
 
-  /** What was judged last, good or bad; null before the first look. */
+  /** The content that was processed last, valid or not; null before the first. */
   private byte[] processed;
 
-  /** What the last look found, where that has not been judged yet. */
+  /** The content of the last poll where it has not been processed yet, else null. */
   private byte[] pending;
 
   private long missingMs;
@@ -53,10 +50,12 @@
   private Thread watchThread;
 
   /**
-   * @param environment the variables of the start; EDGE_CONFIG names the file
-   * @param listener hears each configuration that was read and understood, on the thread that read
-   *     it and in the order of the reads
-   * @param log hears what the operators should know, a line each
+   * Creates a watcher that has read nothing yet.
+   *
+   * @param environment the variables of the node's start; EDGE_CONFIG names the file
+   * @param listener receives each valid configuration, on the thread that read it and in the order
+   *     of the reads
+   * @param log receives a line for the operators each
    */
   public ConfigFileWatcher(
       Map<String, String> environment, Consumer<NodeConfig> listener, Consumer<String> log) {
@@ -66,22 +65,19 @@
     this.log = log;
   }
 
-  /**
-   * Reads and judges the file as it is now, as at a signal. What cannot be understood changes
-   * nothing.
-   */
+  /** Reads the file now, as at a signal. A file that is missing or invalid changes nothing. */
   public synchronized void reload() {
     byte[] found = readFile();
     if (found == null) {
-      log.accept("configuration: " + path + " cannot be read; what was read before stays");
+      log.accept("configuration: " + path + " cannot be read; the previous one stays in force");
       return;
     }
     process(found);
   }
 
   /**
-   * Something that the file names has gone wrong: perhaps it names another by now and nobody said
-   * so. Reads it on a thread of its own, rarer while it brings nothing new. Returns at once.
+   * Something that the file names does not work: the file may have changed without a signal. Reads
+   * it on another thread, with backoff while it has not changed. Returns at once.
    */
   public synchronized void reloadAfterFault() {
     long nowMs = System.nanoTime() / 1_000_000;
@@ -107,7 +103,7 @@
         });
   }
 
-  /** Looks at the file from now on, until the process ends or {@link #stop}. */
+  /** Polls the file on another thread, until the process ends or {@link #stop}. */
   public synchronized void watch() {
     if (watchThread == null) {
       watchThread =
@@ -126,14 +122,14 @@
     }
   }
 
-  /** Ends the looks. */
+  /** Stops polling. */
   public synchronized void stop() {
     if (watchThread != null) {
       watchThread.interrupt();
     }
   }
 
-  /** One look. */
+  /** Polls once. */
   synchronized void poll() {
     byte[] found = readFile();
     if (found == null) {
@@ -145,7 +141,7 @@
                 + path
                 + " cannot be read for "
                 + MISSING_REPORT_MS
-                + " ms; what was read before stays");
+                + " ms; the previous one stays in force");
       }
       return;
     }
@@ -166,7 +162,7 @@
     try {
       config = NodeConfig.reload(found, environment);
     } catch (IOException | RuntimeException e) {
-      log.accept("configuration: not taken, what was read before stays: " + e.getMessage());
+      log.accept("configuration: rejected, the previous one stays in force: " + e.getMessage());
       return;
     }
     listener.accept(config);
--- a/src/main/java/edgenode/config/JsonValue.java
+++ b/src/main/java/edgenode/config/JsonValue.java
@@ -10,24 +10,36 @@
 import java.util.Map;
 
 /**
- * A JSON value: the library's parser, without its data binding, whose classes cost a tenth of a
- * start. What is absent, null or of another kind reads as the fallback. A value is a map, a list,
- * or text here.
+ * A JSON value that is an object, an array or a text; numbers and booleans are texts. What is
+ * absent, null or of another type reads as the default. Parsed by Jackson's streaming parser: the
+ * classes of its data binding would cost a tenth of a start. Immutable.
  */
 public final class JsonValue {
   private static final JsonFactory FACTORY = new JsonFactory();
   private static final int MAX_DEPTH = 32;
   private static final JsonValue ABSENT = new JsonValue(null);
+
+  /** A map, a list, a string or null. */
   private final Object value;
 
   private JsonValue(Object value) {
     this.value = value;
   }
 
+  /**
+   * Parses a document; an empty one is null.
+   *
+   * @throws IOException where the text is no JSON or nested too deep
+   */
   public static JsonValue parse(byte[] text) throws IOException {
     return parseDocument(FACTORY.createParser(text));
   }
 
+  /**
+   * Parses a document; an empty one is null.
+   *
+   * @throws IOException where the text is no JSON or nested too deep
+   */
   public static JsonValue parse(String text) throws IOException {
     return parseDocument(FACTORY.createParser(text));
   }
@@ -44,20 +56,20 @@
     }
     switch (parser.currentToken()) {
       case START_OBJECT -> {
-        Map<String, JsonValue> all = new LinkedHashMap<>();
+        Map<String, JsonValue> members = new LinkedHashMap<>();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
           String name = parser.currentName();
           parser.nextToken();
-          all.put(name, parseValue(parser, depth + 1));
+          members.put(name, parseValue(parser, depth + 1));
         }
-        return new JsonValue(all);
+        return new JsonValue(members);
       }
       case START_ARRAY -> {
-        List<JsonValue> all = new ArrayList<>();
+        List<JsonValue> elements = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-          all.add(parseValue(parser, depth + 1));
+          elements.add(parseValue(parser, depth + 1));
         }
-        return new JsonValue(all);
+        return new JsonValue(elements);
       }
       case VALUE_NULL -> {
         return ABSENT;
@@ -68,40 +80,49 @@
     }
   }
 
+  /** An object's members in their order; empty for another value. */
   @SuppressWarnings("unchecked")
   public Map<String, JsonValue> members() {
     return value instanceof Map ? (Map<String, JsonValue>) value : Map.of();
   }
 
+  /** An array's elements; empty for another value. */
   @SuppressWarnings("unchecked")
   public List<JsonValue> elements() {
     return value instanceof List ? (List<JsonValue>) value : List.of();
   }
 
+  /** A member; null as a JSON value where it is absent. */
   public JsonValue get(String name) {
     return members().getOrDefault(name, ABSENT);
   }
 
+  /** Whether it is null or absent. */
   public boolean isNull() {
     return value == null;
   }
 
+  /** Whether it is an object. */
   public boolean isObject() {
     return value instanceof Map;
   }
 
+  /** Whether it is an array. */
   public boolean isArray() {
     return value instanceof List;
   }
 
+  /** Its text, also of a number or boolean; the default for another value. */
   public String textOr(String defaultValue) {
     return value instanceof String text ? text : defaultValue;
   }
 
+  /** Whether it is {@code true}, also as a text. */
   public boolean isTrue() {
     return "true".equals(value);
   }
 
+  /** Its number, also from a text; the default for another value. */
   public double numberOr(double defaultValue) {
     try {
       return value instanceof String text ? Double.parseDouble(text) : defaultValue;
--- a/src/main/java/edgenode/config/NodeConfig.java
+++ b/src/main/java/edgenode/config/NodeConfig.java
@@ -13,10 +13,14 @@
 import java.util.StringJoiner;
 
 /**
- * What this edge node is told at its start. The times are milliseconds; admin, counter and known
- * are null where nothing names them.
+ * The platform's configuration of this node, as it was at one reading of its file.
  *
- * @param adminAddress where operators call, or null
+ * @param listenAddress where clients connect
+ * @param adminAddress where operators connect, or null
+ * @param counterAddress of the shared counter, or null where there is none
+ * @param maxSockets limit of open connections
+ * @param initialEndpoints the endpoint list as it was known when the file was written, or null
+ * @param keepAliveMs time after which endpoints close idle connections
  */
 public record NodeConfig(
     String name,
@@ -31,17 +35,21 @@
     double keepAliveMs,
     double connectTimeoutMs) {
 
-  /** Where the settings say nothing of connections. */
   private static final double DEFAULT_KEEP_ALIVE_MS = 15_000;
 
   private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
   private static final int DEFAULT_MAX_SOCKETS = 1024;
   private static final int MAX_PORT = 65_535;
 
-  /** So much of a bad address is told. */
+  /** What an error message quotes of a malformed address. */
   private static final int MAX_QUOTED_CHARS = 64;
 
-  /** Reads the file that EDGE_CONFIG names; the other variables win over it. */
+  /**
+   * Reads the file that EDGE_CONFIG names; the other environment variables take precedence over it.
+   *
+   * @throws IOException where the file cannot be read or is no JSON
+   * @throws IllegalArgumentException which names what is missing or malformed
+   */
   public static NodeConfig fromEnvironment(Map<String, String> environment) throws IOException {
     String file = environment.get("EDGE_CONFIG");
     if (file == null || file.isEmpty()) {
@@ -51,8 +59,11 @@
   }
 
   /**
-   * The file as it is now, for a running edge node: the variables are those of its start, but
-   * discovery's.
+   * Parses the file's content for a running node. The environment is that of its start, but the
+   * address of the discovery service comes from the file: it may have moved.
+   *
+   * @throws IOException where the content is no JSON
+   * @throws IllegalArgumentException which names what is missing or malformed
    */
   public static NodeConfig reload(byte[] file, Map<String, String> environment) throws IOException {
     Map<String, String> variables = new HashMap<>(environment);
@@ -60,11 +71,16 @@
     return parse(JsonValue.parse(file), variables);
   }
 
+  /**
+   * The configuration of a parsed file.
+   *
+   * @throws IllegalArgumentException which names what is missing or malformed
+   */
   public static NodeConfig parse(JsonValue root, Map<String, String> environment) {
-    Map<String, String> keys = new HashMap<>();
-    flatten("", root.get("settings"), keys);
-    double keepAliveMs = PolicySettingsReader.number(keys, "limits.keepalive");
-    double connectTimeoutMs = PolicySettingsReader.number(keys, "limits.connect_timeout");
+    Map<String, String> valuesByKey = new HashMap<>();
+    flatten("", root.get("settings"), valuesByKey);
+    double keepAliveMs = PolicySettingsReader.number(valuesByKey, "limits.keepalive");
+    double connectTimeoutMs = PolicySettingsReader.number(valuesByKey, "limits.connect_timeout");
     String counter = root.get("counter").textOr("");
     String admin = environment.getOrDefault("EDGE_ADMIN_ADDR", root.get("admin_addr").textOr(""));
     return new NodeConfig(
@@ -73,10 +89,10 @@
         admin.isEmpty() ? null : parseAddress(admin),
         parseAddress(required(environment, "EDGE_DISCOVERY", root, "discovery")),
         counter.isEmpty() ? null : parseAddress(counter),
-        seed(root.get("seed").textOr("0")),
+        parseSeed(root.get("seed").textOr("0")),
         (int) root.get("limits").get("sockets").numberOr(DEFAULT_MAX_SOCKETS),
         root.get("known").isNull() ? null : root.get("known"),
-        PolicySettingsReader.read(keys),
+        PolicySettingsReader.read(valuesByKey),
         keepAliveMs > 0 ? keepAliveMs : DEFAULT_KEEP_ALIVE_MS,
         connectTimeoutMs > 0 ? connectTimeoutMs : DEFAULT_CONNECT_TIMEOUT_MS);
   }
@@ -90,7 +106,8 @@
     return value;
   }
 
-  private static long seed(String hex) {
+  /** A seed that is no hexadecimal number is hashed. */
+  private static long parseSeed(String hex) {
     try {
       return Long.parseUnsignedLong(hex, 16);
     } catch (NumberFormatException e) {
@@ -99,7 +116,7 @@
   }
 
   /**
-   * Addresses are numbers: there is no DNS, and a name would be looked up where nothing may block.
+   * Parses an address. Only numeric ones: looking up a name would block.
    *
    * @throws IllegalArgumentException where it is not {@code address:port} with a numeric address
    */
@@ -113,35 +130,32 @@
         return new InetSocketAddress(InetAddress.getByAddress(address), port);
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      // told below
+      // reported below
     }
-    throw new IllegalArgumentException(
-        "address:port expected, found '"
-            + (text.length() > MAX_QUOTED_CHARS
-                ? text.substring(0, MAX_QUOTED_CHARS) + "..."
-                : text)
-            + "'");
+    boolean isLong = text.length() > MAX_QUOTED_CHARS;
+    String quoted = isLong ? text.substring(0, MAX_QUOTED_CHARS) + "..." : text;
+    throw new IllegalArgumentException("address:port expected, found '" + quoted + "'");
   }
 
   /**
-   * The settings as the simulator's wire writes them: a path a value, lists of plain values by
-   * commas.
+   * Lists all settings below a path in the form of {@link PolicySettingsReader}: a value for each
+   * path, lists of plain values separated by commas, other lists with their length and indexes.
    */
-  private static void flatten(String path, JsonValue node, Map<String, String> keys) {
+  private static void flatten(String path, JsonValue node, Map<String, String> valuesByKey) {
     String prefix = path.isEmpty() ? "" : path + ".";
     if (node.isObject()) {
-      node.members().forEach((name, value) -> flatten(prefix + name, value, keys));
+      node.members().forEach((name, value) -> flatten(prefix + name, value, valuesByKey));
     } else if (node.elements().stream().anyMatch(v -> v.isObject() || v.isArray())) {
-      keys.put(prefix + "count", Integer.toString(node.elements().size()));
+      valuesByKey.put(prefix + "count", Integer.toString(node.elements().size()));
       for (int index = 0; index < node.elements().size(); index++) {
-        flatten(prefix + index, node.elements().get(index), keys);
+        flatten(prefix + index, node.elements().get(index), valuesByKey);
       }
     } else if (node.isArray()) {
       StringJoiner values = new StringJoiner(",");
       node.elements().forEach(v -> values.add(v.textOr("")));
-      keys.put(path, values.toString());
+      valuesByKey.put(path, values.toString());
     } else if (!node.isNull()) {
-      keys.put(path, node.textOr(""));
+      valuesByKey.put(path, node.textOr(""));
     }
   }
 }
--- a/src/main/java/edgenode/config/PolicySettingsReader.java
+++ b/src/main/java/edgenode/config/PolicySettingsReader.java
@@ -13,11 +13,12 @@
 import java.util.Map;
 
 /**
- * The settings by path, as both hosts are told them: the simulator's wire and the real edge node's
- * file.
+ * Reads the policy's settings, given as a value for each path. Both the simulator's wire and the
+ * node's configuration file end up in this form, whose names are mapped to the terms of the code
+ * here and nowhere else.
  */
 public final class PolicySettingsReader {
-  /** A setting that is missing or cannot be understood. */
+  /** A setting is missing or malformed; the message names it. */
   public static final class InvalidSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final String field;
@@ -29,7 +30,7 @@
       this.problem = problem;
     }
 
-    /** What is wrong with it, without its path. */
+    /** What is wrong, without the setting's path. */
     public String problem() {
       return problem;
     }
@@ -47,90 +48,113 @@
   }
 
   /**
-   * A list of objects has its length under {@code .count}; a key that is not known here is skipped.
+   * Reads all settings. A list of objects has its length under {@code .count}; unknown keys are
+   * skipped, absent numbers are 0.
+   *
+   * @param valuesByKey a value for each path, such as {@code limits.keepalive}
+   * @throws InvalidSettingException at the first setting that is missing or malformed
    */
   public static PolicySettings read(Map<String, String> valuesByKey) {
-    PolicySettingsReader reader = new PolicySettingsReader(valuesByKey);
+    return new PolicySettingsReader(valuesByKey).readAll();
+  }
+
+  private PolicySettings readAll() {
     List<RequestClass> classes = new ArrayList<>();
-    for (int i = 0; i < reader.numberOrZero("request_classes.count"); i++) {
-      String prefix = "request_classes." + i + ".";
-      Idempotency idempotency =
-          switch (reader.text(prefix + "effect")) {
-            case "read_like" -> Idempotency.IDEMPOTENT;
-            case "idempotency_key" -> Idempotency.KEYED;
-            case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new InvalidSettingException(prefix + "effect", "unknown effect");
-          };
-      IdempotencyGroup group =
-          switch (reader.textOr(prefix + "group", "cell")) {
-            case "all" -> IdempotencyGroup.ALL;
-            case "zone" -> IdempotencyGroup.ZONE;
-            default -> IdempotencyGroup.CELL;
-          };
-      classes.add(
-          new RequestClass(
-              reader.text(prefix + "name"),
-              idempotency,
-              group,
-              reader.numberOrZero(prefix + "aim"),
-              reader.numberOrZero(prefix + "hard_limit"),
-              reader.numberOrZero(prefix + "worth"),
-              reader.numberOrZero(prefix + "late_share"),
-              reader.numberOrZero(prefix + "repeat_window"),
-              reader.isTrue(prefix + "stream")));
+    for (int i = 0; i < numberOrZero("request_classes.count"); i++) {
+      classes.add(requestClass("request_classes." + i + "."));
     }
     List<QuotaPlan> plans = new ArrayList<>();
-    for (int i = 0; i < reader.numberOrZero("tariffs.count"); i++) {
-      String prefix = "tariffs." + i + ".";
-      plans.add(
-          new QuotaPlan(
-              reader.text(prefix + "name"),
-              reader.numberOrZero(prefix + "per_second"),
-              reader.numberOrZero(prefix + "depth"),
-              (int) reader.numberOrZero(prefix + "open"),
-              reader.numberOrZero(prefix + "price"),
-              reader.numberOrZero(prefix + "extra_worth"),
-              reader.numberOrZero(prefix + "over_cost"),
-              reader.numberOrZero(prefix + "hard_rate"),
-              reader.numberOrZero(prefix + "ceiling_burst"),
-              reader.numberOrZero(prefix + "cap_slack")));
+    for (int i = 0; i < numberOrZero("tariffs.count"); i++) {
+      plans.add(plan("tariffs." + i + "."));
     }
-    String fields = reader.textOr("feedback.fields", "");
+    String loadReportFields = textOr("feedback.fields", "");
     return new PolicySettings(
-        (int) reader.numberOrZero("rank"),
-        Math.max(1, (int) reader.numberOrZero("group_size")),
-        reader.textOr("my_zone", ""),
-        reader.numberOrZero("tick"),
-        reader.textOr("discovery", "pushed").equals("on_request"),
-        reader.isTrue("family_info.trued_up"),
-        Math.max(1, (int) reader.numberOrZero("family_info.most_units")),
-        fields.isEmpty() ? List.of() : List.of(fields.split(",")),
+        (int) numberOrZero("rank"),
+        Math.max(1, (int) numberOrZero("group_size")),
+        textOr("my_zone", ""),
+        numberOrZero("tick"),
+        textOr("discovery", "pushed").equals("on_request"),
+        isTrue("family_info.trued_up"),
+        Math.max(1, (int) numberOrZero("family_info.most_units")),
+        loadReportFields.isEmpty() ? List.of() : List.of(loadReportFields.split(",")),
         classes,
         plans,
-        new Capabilities(
-            reader.isTrue("limits.probing"),
-            reader.isTrue("limits.cancelling"),
-            reader.isTrue("limits.parallel_tries"),
-            reader.isTrue("limits.retry_after"),
-            reader.isTrue("limits.peers"),
-            reader.isTrue("family_info.shared_counter"),
-            Math.max(1, (int) reader.numberOrZero("limits.send_cap")),
-            reader.numberOrZero("limits.max_retry_after"),
-            reader.numberOrZero("family_info.count_limit"),
-            reader.numberOrZero("limits.keepalive")),
-        new RuleLimits(
-            reader.numberOrZero("contract.grace_to_answer"),
-            reader.numberOrZero("contract.drain_grace"),
-            reader.numberOrZero("contract.cold_share"),
-            reader.numberOrZero("contract.warm_after"),
-            reader.numberOrZero("contract.overload_factor"),
-            reader.numberOrZero("contract.overload_for")),
-        new Prices(
-            reader.numberOrZero("prices.waste"),
-            reader.numberOrZero("prices.probe"),
-            reader.numberOrZero("family_info.counter_price"),
-            reader.numberOrZero("prices.cross_zone"),
-            reader.numberOrZero("prices.late_fail")));
+        capabilities(),
+        rules(),
+        prices());
+  }
+
+  private RequestClass requestClass(String prefix) {
+    Idempotency idempotency =
+        switch (text(prefix + "effect")) {
+          case "read_like" -> Idempotency.IDEMPOTENT;
+          case "idempotency_key" -> Idempotency.KEYED;
+          case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
+          default -> throw new InvalidSettingException(prefix + "effect", "unknown effect");
+        };
+    IdempotencyGroup group =
+        switch (textOr(prefix + "group", "cell")) {
+          case "all" -> IdempotencyGroup.ALL;
+          case "zone" -> IdempotencyGroup.ZONE;
+          default -> IdempotencyGroup.CELL;
+        };
+    return new RequestClass(
+        text(prefix + "name"),
+        idempotency,
+        group,
+        numberOrZero(prefix + "aim"),
+        numberOrZero(prefix + "hard_limit"),
+        numberOrZero(prefix + "worth"),
+        numberOrZero(prefix + "late_share"),
+        numberOrZero(prefix + "repeat_window"),
+        isTrue(prefix + "stream"));
+  }
+
+  private QuotaPlan plan(String prefix) {
+    return new QuotaPlan(
+        text(prefix + "name"),
+        numberOrZero(prefix + "per_second"),
+        numberOrZero(prefix + "depth"),
+        (int) numberOrZero(prefix + "open"),
+        numberOrZero(prefix + "price"),
+        numberOrZero(prefix + "extra_worth"),
+        numberOrZero(prefix + "over_cost"),
+        numberOrZero(prefix + "hard_rate"),
+        numberOrZero(prefix + "ceiling_burst"),
+        numberOrZero(prefix + "cap_slack"));
+  }
+
+  private Capabilities capabilities() {
+    return new Capabilities(
+        isTrue("limits.probing"),
+        isTrue("limits.cancelling"),
+        isTrue("limits.parallel_tries"),
+        isTrue("limits.retry_after"),
+        isTrue("limits.peers"),
+        isTrue("family_info.shared_counter"),
+        Math.max(1, (int) numberOrZero("limits.send_cap")),
+        numberOrZero("limits.max_retry_after"),
+        numberOrZero("family_info.count_limit"),
+        numberOrZero("limits.keepalive"));
+  }
+
+  private RuleLimits rules() {
+    return new RuleLimits(
+        numberOrZero("contract.grace_to_answer"),
+        numberOrZero("contract.drain_grace"),
+        numberOrZero("contract.cold_share"),
+        numberOrZero("contract.warm_after"),
+        numberOrZero("contract.overload_factor"),
+        numberOrZero("contract.overload_for"));
+  }
+
+  private Prices prices() {
+    return new Prices(
+        numberOrZero("prices.waste"),
+        numberOrZero("prices.probe"),
+        numberOrZero("family_info.counter_price"),
+        numberOrZero("prices.cross_zone"),
+        numberOrZero("prices.late_fail"));
   }
 
   private String textOr(String key, String defaultValue) {
@@ -149,7 +173,11 @@
     return number(valuesByKey, key);
   }
 
-  /** An absent number is 0. */
+  /**
+   * One number; 0 where it is absent.
+   *
+   * @throws InvalidSettingException where it is no finite number
+   */
   public static double number(Map<String, String> valuesByKey, String key) {
     String value = valuesByKey.get(key);
     if (value == null || value.equals("-")) {
@@ -161,7 +189,7 @@
         return parsed;
       }
     } catch (NumberFormatException e) {
-      // told below, with the field
+      // reported below, as an infinite number is
     }
     throw new InvalidSettingException(key, "number expected, found '" + value + "'");
   }
--- a/src/main/java/edgenode/config/TomlReader.java
+++ b/src/main/java/edgenode/config/TomlReader.java
@@ -8,32 +8,46 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.Consumer;
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
+import org.tomlj.TomlInvalidTypeException;
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
 /**
- * Reads keys of a TOML file by their dotted names, each with its type, range and default, and
- * collects what is wrong with any of them: file, line, key, what was found and what is allowed. A
- * key that nobody has read is unknown.
+ * Reads the keys of a TOML file by their dotted names, each with its type, range and default. A
+ * fault does not end the reading: the default is returned, and the fault is collected with file,
+ * line, key, what was found and what is allowed. Keys that were never read are unknown, which is a
+ * fault too.
  */
 public final class TomlReader {
+  /** Unknown keys within this edit distance of a known one get it as a suggestion. */
+  private static final int MAX_SUGGESTION_DISTANCE = 2;
+
   private final String file;
   private final TomlTable toml;
 
-  /** Of a table in an array: its name and number, before each key. */
+  /** Stands before each key in messages: name and index of a table in an array, else empty. */
   private final String prefix;
 
   private final List<TomlReader> nestedReaders = new ArrayList<>();
   private final Set<String> readKeys = new HashSet<>();
   private final List<String> faults = new ArrayList<>();
 
+  /**
+   * @throws IOException where the file cannot be read
+   */
   TomlReader(Path path) throws IOException {
     this(path.toString(), Files.readString(path));
   }
 
+  /**
+   * Parses a text; syntax errors are among the faults.
+   *
+   * @param file name of the file in messages
+   */
   public TomlReader(String file, String text) {
     this.file = file;
     TomlParseResult parsed = Toml.parse(text);
@@ -41,7 +55,8 @@
     prefix = "";
     parsed
         .errors()
-        .forEach(e -> faults.add(file + ":" + e.position().line() + ": " + e.getMessage()));
+        .forEach(
+            error -> faults.add(file + ":" + error.position().line() + ": " + error.getMessage()));
   }
 
   private TomlReader(String file, TomlTable table, String prefix) {
@@ -51,10 +66,10 @@
   }
 
   /**
-   * The tables of an array, in order; none where it is absent. What is wrong in them is among this
-   * reader's faults.
+   * The tables of an array, in order; none where it is absent. Their faults are among this reader's
+   * faults.
    *
-   * @param maxCount how many there may be
+   * @param maxCount most tables that are allowed
    */
   public List<TomlReader> tables(String key, int maxCount) {
     Object value = get(key);
@@ -78,11 +93,17 @@
     return readers;
   }
 
-  /** Whether the file has the table or key at all. */
+  /** Whether the file has the table or key. */
   public boolean contains(String key) {
     return toml.contains(key);
   }
 
+  /**
+   * A text that is not blank.
+   *
+   * @param defaultValue returned where the key is absent or faulty; may be null
+   * @param allowed says in messages what is allowed
+   */
   public String text(String key, String defaultValue, String allowed) {
     Object value = get(key);
     if (value == null) {
@@ -95,6 +116,7 @@
     return defaultValue;
   }
 
+  /** A whole number from {@code min} to {@code max}, both included. */
   public long integer(String key, long defaultValue, long min, long max) {
     Object value = get(key);
     if (value == null) {
@@ -107,7 +129,7 @@
     return defaultValue;
   }
 
-  /** A number, with or without a fraction. */
+  /** A number from {@code min} to {@code max}, both included, with or without a fraction. */
   public double number(String key, double defaultValue, double min, double max) {
     Object value = get(key);
     if (value == null) {
@@ -122,6 +144,7 @@
     return defaultValue;
   }
 
+  /** True or false. */
   public boolean bool(String key, boolean defaultValue) {
     Object value = get(key);
     if (value == null) {
@@ -134,6 +157,7 @@
     return defaultValue;
   }
 
+  /** One of the allowed texts. */
   public String choice(String key, String defaultValue, List<String> allowed) {
     Object value = get(key);
     if (value == null) {
@@ -146,6 +170,7 @@
     return defaultValue;
   }
 
+  /** A number from 0 to 1. */
   double fraction(String key, double defaultValue) {
     Object value = get(key);
     if (value == null) {
@@ -159,13 +184,13 @@
   }
 
   /**
-   * A list of texts, each of which the check takes or throws {@link IllegalArgumentException} for.
+   * A list of texts that is not empty.
+   *
+   * @param allowed says in messages what is allowed
+   * @param check throws {@link IllegalArgumentException} for a text that is not allowed
    */
   List<String> textList(
-      String key,
-      List<String> defaultValue,
-      String allowed,
-      java.util.function.Consumer<String> check) {
+      String key, List<String> defaultValue, String allowed, Consumer<String> check) {
     Object value = get(key);
     if (value == null) {
       return defaultValue;
@@ -187,26 +212,21 @@
     return defaultValue;
   }
 
-  /** Where a key cannot be as it is beside others. */
+  /** Adds a fault: the key's value does not go with other keys or with the system. */
   public void contradiction(String key, String problem) {
-    TomlPosition position = toml.inputPositionOf(key);
-    faults.add(
-        file
-            + ":"
-            + (position == null ? "" : position.line() + ":")
-            + " "
-            + prefix
-            + key
-            + ": "
-            + problem);
+    faults.add(place(toml.inputPositionOf(key), key) + ": " + problem);
+  }
+
+  /** File, line where there is one, and key. */
+  private String place(TomlPosition position, String key) {
+    return file + ":" + (position == null ? "" : position.line() + ":") + " " + prefix + key;
   }
 
   private Object get(String key) {
     readKeys.add(key);
     try {
       return toml.get(key);
-    } catch (IllegalArgumentException
-        | org.tomlj.TomlInvalidTypeException e) { // its parent is no table
+    } catch (IllegalArgumentException | TomlInvalidTypeException e) { // its parent is no table
       contradiction(key.substring(0, key.lastIndexOf('.')), "a table expected");
       return null;
     }
@@ -222,55 +242,44 @@
 
   private void faultAt(
       TomlPosition position, String key, Object found, String allowed, List<String> collected) {
-    String description =
-        found instanceof TomlTable
-            ? "a table"
-            : found instanceof TomlArray
-                ? "an array"
-                : found instanceof String text ? "'" + text + "'" : String.valueOf(found);
-    collected.add(
-        file
-            + ":"
-            + (position == null ? "" : position.line() + ":")
-            + " "
-            + prefix
-            + key
-            + ": found "
-            + description
-            + ", allowed is "
-            + allowed);
+    collected.add(place(position, key) + ": found " + describe(found) + ", allowed is " + allowed);
   }
 
-  /** All that is wrong, with the keys that nobody knows; empty where nothing is. */
+  private static String describe(Object found) {
+    if (found instanceof TomlTable) {
+      return "a table";
+    }
+    if (found instanceof TomlArray) {
+      return "an array";
+    }
+    return found instanceof String text ? "'" + text + "'" : String.valueOf(found);
+  }
+
+  /** All faults, unknown keys included; empty where there are none. */
   public List<String> faults() {
     List<String> all = new ArrayList<>(faults);
     nestedReaders.forEach(table -> all.addAll(table.faults()));
     for (String key : new TreeSet<>(toml.dottedKeySet())) {
-      if (readKeys.stream().anyMatch(k -> k.startsWith(key + "."))) {
+      if (readKeys.stream().anyMatch(readKey -> readKey.startsWith(key + "."))) {
         faultAt(toml.inputPositionOf(key), key, toml.get(key), "a table", all);
       } else if (!readKeys.contains(key)) {
-        TomlPosition position = toml.inputPositionOf(key);
-        String suggestion =
-            readKeys.stream()
-                .filter(k -> editDistance(k, key) <= 2)
-                .sorted()
-                .findFirst()
-                .orElse(null);
-        all.add(
-            file
-                + ":"
-                + (position == null ? "" : position.line() + ":")
-                + " "
-                + prefix
-                + key
-                + ": unknown key"
-                + (suggestion == null ? "" : ", '" + suggestion + "' perhaps"));
+        all.add(place(toml.inputPositionOf(key), key) + ": unknown key" + suggestion(key));
       }
     }
     return all;
   }
 
-  /** Levenshtein's distance, for a hint. */
+  private String suggestion(String unknownKey) {
+    String similar =
+        readKeys.stream()
+            .filter(readKey -> editDistance(readKey, unknownKey) <= MAX_SUGGESTION_DISTANCE)
+            .sorted()
+            .findFirst()
+            .orElse(null);
+    return similar == null ? "" : ", '" + similar + "' perhaps";
+  }
+
+  /** Levenshtein's distance, with one row of the table. */
   private static int editDistance(String first, String second) {
     int[] row = new int[second.length() + 1];
     for (int j = 0; j <= second.length(); j++) {
--- a/src/test/java/edgenode/config/ConfigFileWatcherTest.java
+++ b/src/test/java/edgenode/config/ConfigFileWatcherTest.java
@@ -10,6 +10,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.attribute.FileTime;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
@@ -19,9 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The file of the configuration as writers leave it; the looks are made by hand, so no test waits.
- */
+/** Reloads of a configuration file that is replaced or rewritten; polls are made by hand. */
 class ConfigFileWatcherTest {
   @TempDir Path folder;
   private Path path;
@@ -39,7 +38,7 @@
   }
 
   @BeforeEach
-  void watcher() throws IOException {
+  void createWatcher() throws IOException {
     path = Files.writeString(folder.resolve("config.json"), configWithDiscoveryPort(1001));
     watcher = new ConfigFileWatcher(Map.of("EDGE_CONFIG", path.toString()), loaded::add, log::add);
     poll(2);
@@ -72,23 +71,23 @@
     FileTime before = Files.getLastModifiedTime(path);
     Path other =
         Files.writeString(
-            folder.resolve("other"), configWithDiscoveryPort(1002)); // of the same size, too
+            folder.resolve("other"), configWithDiscoveryPort(1002)); // with the same size, too
     Files.setLastModifiedTime(other, before);
     Files.move(other, path, StandardCopyOption.ATOMIC_MOVE);
     poll(2);
     assertLoadedWithPort(1002);
-    Files.writeString(path, configWithDiscoveryPort(1003)); // in place
+    Files.writeString(path, configWithDiscoveryPort(1003)); // rewritten in place
     Files.setLastModifiedTime(path, before);
     poll(2);
     assertLoadedWithPort(1003);
   }
 
-  /** A writer in place is seen at every length that the file has meanwhile, none of them twice. */
+  /** A file that is being rewritten in place has another length at each poll. */
   @Test
   void aPartlyWrittenFileIsNotLoaded() throws IOException {
     byte[] whole = configWithDiscoveryPort(1002).getBytes(StandardCharsets.US_ASCII);
     for (int n = 0; n < whole.length; n++) {
-      Files.write(path, java.util.Arrays.copyOf(whole, n));
+      Files.write(path, Arrays.copyOf(whole, n));
       poll(1);
     }
     assertNothingLoaded();
@@ -98,32 +97,26 @@
     assertEquals(List.of(), log);
   }
 
-  /**
-   * Also one that stays half written is not taken, is told once, and is none the worse for its
-   * second half.
-   */
+  /** A file that stays partly written is rejected and reported once; its rest makes it valid. */
   @Test
-  void halfAFileChangesNothingAtEveryLength() throws IOException {
+  void aFileThatStaysPartlyWrittenIsRejectedAtEveryLength() throws IOException {
     byte[] whole = configWithDiscoveryPort(1002).getBytes(StandardCharsets.US_ASCII);
     for (int n = 0; n < whole.length; n++) {
-      Files.write(path, java.util.Arrays.copyOf(whole, n));
+      Files.write(path, Arrays.copyOf(whole, n));
       log.clear();
       poll(3);
       assertNothingLoaded();
       assertEquals(1, log.size(), "at " + n + ": " + log);
-      assertTrue(log.get(0).startsWith("configuration: not taken"), log.get(0));
+      assertTrue(log.get(0).startsWith("configuration: rejected"), log.get(0));
     }
     Files.write(path, whole);
     poll(2);
     assertLoadedWithPort(1002);
   }
 
-  /**
-   * New bytes over the old ones: read before the end they may parse, with one address new and one
-   * old.
-   */
+  /** A file that is being overwritten may parse with one address new and another old. */
   @Test
-  void aMixOfOldAndNewIsNotTakenWhileItChanges() throws IOException {
+  void aMixOfOldAndNewContentIsNotLoadedWhileItChanges() throws IOException {
     String mixed = configWithDiscoveryPort(1002).replace("\"rank\":0", "\"rank\":1");
     Files.writeString(path, configWithDiscoveryPort(1002));
     poll(1);
@@ -135,16 +128,16 @@
   }
 
   @Test
-  void aFileThatIsMissingChangesNothingAndIsToldOnce() throws IOException {
+  void aMissingFileChangesNothingAndIsReportedOnce() throws IOException {
     Files.delete(path);
     poll(3);
-    assertEquals(List.of(), log); // a moment is no news
+    assertEquals(List.of(), log); // a short absence is not reported
     poll(50);
     assertEquals(1, log.size());
     assertNothingLoaded();
     Files.writeString(path, configWithDiscoveryPort(1001));
     poll(2);
-    assertNothingLoaded(); // back as it was
+    assertNothingLoaded(); // the content is as before
     Files.writeString(path, configWithDiscoveryPort(1002));
     poll(2);
     assertLoadedWithPort(1002);
@@ -158,7 +151,7 @@
     assertNothingLoaded();
     assertEquals(
         List.of(
-            "configuration: not taken, what was read before stays: request_classes.0.aim: "
+            "configuration: rejected, the previous one stays in force: request_classes.0.aim: "
                 + "number expected, found 'soon'"),
         log);
   }
@@ -172,7 +165,7 @@
     assertEquals(1, log.size());
   }
 
-  /** The thread of its own: whoever replaces the file needs no signal. */
+  /** Without a signal. */
   @Test
   void theWatchThreadLoadsAReplacedFile() throws Exception {
     watcher.watch();
@@ -182,7 +175,7 @@
     assertEquals(1002, config == null ? 0 : config.discoveryAddress().getPort());
   }
 
-  /** Trouble that does not end must not have the file read for ever at the same pace. */
+  /** A fault that lasts must not cause reads at an undiminished rate. */
   @Test
   void reloadsAfterFaultsBackOff() throws Exception {
     Files.writeString(path, configWithDiscoveryPort(1002));
--- a/src/test/java/edgenode/config/OperatorSettingsTest.java
+++ b/src/test/java/edgenode/config/OperatorSettingsTest.java
@@ -13,20 +13,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * The operators' settings: all faults together, each with file, line, key, what was found and what
- * is allowed.
- */
+/** The operators' settings: defaults, and all faults of a file reported together. */
 class OperatorSettingsTest {
   @TempDir Path folder;
 
-  private static OperatorSettings read(String text)
-      throws OperatorSettings.InvalidSettingsException {
+  private static OperatorSettings read(String text) throws InvalidSettingsException {
     return OperatorSettings.parse(new TomlReader("f.toml", text), 18_000);
   }
 
   private static List<String> faultsOf(String text) {
-    return assertThrows(OperatorSettings.InvalidSettingsException.class, () -> read(text)).faults();
+    return assertThrows(InvalidSettingsException.class, () -> read(text)).faults();
   }
 
   @Test
@@ -40,7 +36,7 @@
     assertEquals(64, read("subset.servers = 64").subsetMinEndpoints());
   }
 
-  /** The documented sample is good as it is, and with every key on. */
+  /** The documented sample is valid as it is, and with every key enabled. */
   @Test
   void theSampleFileIsValid() throws Exception {
     String sample = Files.readString(Path.of("deploy/edge.toml"));
@@ -54,7 +50,7 @@
             .replaceAll("/var/lib/", folder + "/");
     String withIdempotency = enabled.replace("enabled = false", "enabled = true");
     assertEquals(folder.resolve("nickelstand"), read(withIdempotency).storeFolder());
-    enabled = enabled.replaceAll("(?m)^folder = .*", ""); // it is for what is off here
+    enabled = enabled.replaceAll("(?m)^folder = .*", ""); // needs repeats.enabled
     OperatorSettings all = read(enabled);
     assertEquals(MembershipLimits.defaults(18_000), all.membershipLimits());
     assertEquals(
@@ -64,7 +60,7 @@
         new OperatorSettings.DnsSrvSettings(
             "_resp._tcp.enrol.example", List.of("127.0.0.1:53"), 1000, 30_000),
         all.dnsSrv());
-    assertNull(all.idempotencyBounds()); // the sample has all off
+    assertNull(all.idempotencyBounds()); // the sample enables nothing
     assertEquals(IdempotencyLimits.DEFAULT, read(withIdempotency).idempotencyBounds());
   }
 
