--- a/src/main/java/edgenode/eventloop/Clock.java
+++ b/src/main/java/edgenode/eventloop/Clock.java
@@ -1,12 +1,13 @@
 package edgenode.eventloop;
 
-/** Unix time in ms, with fractions, that never goes back. */
+/** A clock that never goes back. */
 public interface Clock {
+  /** Unix time in ms, with fractions. */
   double nowMs();
 
   /**
-   * One monotonic clock, set once to Unix time: so it needs no translation between machines, and
-   * does not jump.
+   * A new monotonic clock, set to Unix time once: it does not jump, and the times of several
+   * machines can be compared.
    */
   static Clock system() {
     return new MonotonicClock();
@@ -14,6 +15,8 @@
 
   /** {@link System#nanoTime} from an origin in Unix time. */
   final class MonotonicClock implements Clock {
+    private static final double NANOS_PER_MS = 1e6;
+
     private final long startedNanos = System.nanoTime();
     private final double startedMs = System.currentTimeMillis();
 
@@ -21,7 +24,7 @@
 
     @Override
     public double nowMs() {
-      return startedMs + (System.nanoTime() - startedNanos) / 1e6;
+      return startedMs + (System.nanoTime() - startedNanos) / NANOS_PER_MS;
     }
   }
 }
--- a/src/main/java/edgenode/eventloop/EdgeEventLoop.java
+++ b/src/main/java/edgenode/eventloop/EdgeEventLoop.java
@@ -5,41 +5,44 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * The event loop as those that live on it see it: one thread, one clock, and no exception that ends
- * it.
+ * One thread with its clock, timers and connections. An exception in a task is logged and ends that
+ * task only. All methods but {@link #execute} are to be called on the loop's thread.
  */
 public interface EdgeEventLoop {
-  /** The clock: Unix time in ms that never goes back. */
+  /** Unix time in ms, with fractions, that never goes back. */
   double nowMs();
 
   /**
-   * For how long (ms) what is handled now may have waited for the loop: bytes that have just been
-   * read, or a timer. 0 on a loop that is never busy, as in virtual time.
+   * Estimate of how long the event that is handled now, bytes that were read or a timer, has waited
+   * for the loop. 0 on a loop that is never busy, as in virtual time.
    */
   double queueingDelayMs();
 
-  /** Runs on the loop after a delay (ms); what it throws is logged and ends there. */
+  /**
+   * Runs a task on the loop after a delay.
+   *
+   * @return cancels the task
+   */
   Future<?> schedule(double delayMs, Runnable task);
 
-  /** Runs on the loop once what runs now has returned; may be called from any thread. */
+  /** Runs a task on the loop after the current one has returned; may be called on any thread. */
   void execute(Runnable task);
 
+  /** Netty's event loop, with one thread. */
   EventLoopGroup group();
 
   /** The kinds of channel that this loop serves. */
   Transport transport();
 
-  /**
-   * Something was written on this channel: it is flushed with all others when the round has ended.
-   */
+  /** Has what was written on the channel flushed together with all others, after this task. */
   void flushLater(Channel channel);
 
-  /** Writes out what this round's events have left on connections. */
+  /** Flushes the channels of {@link #flushLater}. */
   void flushPending();
 
-  /** An unexpected failure, for the log; so many at most. */
+  /** Logs an unexpected failure in one line; the log may be limited in length. */
   void logFailure(String where, Throwable cause);
 
-  /** A line for the log. */
+  /** Logs a line; the log may be limited in length. */
   void logLine(String line);
 }
--- a/src/main/java/edgenode/eventloop/NettyEdgeEventLoop.java
+++ b/src/main/java/edgenode/eventloop/NettyEdgeEventLoop.java
@@ -9,24 +9,29 @@
 import java.util.function.Consumer;
 
 /**
- * The loop on one of Netty's event loops. Clock, event loop and log come from outside, so that a
- * rehearsal may give its own. Timers run by the event loop's ticker: it and the clock must go
- * alike.
+ * An {@link EdgeEventLoop} on one of Netty's event loops. Clock, event loop and log are arguments,
+ * as a simulation has its own. Netty's ticker, which drives the timers, and the clock must advance
+ * together.
  */
 public final class NettyEdgeEventLoop implements EdgeEventLoop {
-  /** The log tells so many lines; a flood would only cost. */
+  /** Later lines are dropped: a flood of them would cost CPU and disk. */
   private static final int MAX_LOG_LINES = 200;
 
+  private static final double NANOS_PER_MS = 1e6;
+
   private final EventLoopGroup group;
   private final Transport transport;
   private final Clock clock;
   private final Consumer<String> log;
   private final Set<Channel> unflushedChannels = new LinkedHashSet<>();
-  private final QueueingDelayEstimator delay = new QueueingDelayEstimator();
+  private final QueueingDelayEstimator queueingDelay = new QueueingDelayEstimator();
   private int loggedLines;
 
   /**
-   * @param group one event loop: nothing here is safe for two threads
+   * Creates a loop on the given parts.
+   *
+   * @param group one event loop with one thread
+   * @param log receives each line, on the loop's thread
    */
   public NettyEdgeEventLoop(
       EventLoopGroup group, Transport transport, Clock clock, Consumer<String> log) {
@@ -36,7 +41,7 @@
     this.log = log;
   }
 
-  /** A thread and sockets of this machine, its clock, and the standard error. */
+  /** A new loop with a thread of its own, sockets, the system's clock and standard error as log. */
   public static NettyEdgeEventLoop create() {
     return new NettyEdgeEventLoop(
         Transport.newEventLoopGroup(), Transport.SOCKETS, Clock.system(), System.err::println);
@@ -49,17 +54,17 @@
 
   @Override
   public double queueingDelayMs() {
-    return delay.estimateMs(clock.nowMs());
+    return queueingDelay.estimateMs(clock.nowMs());
   }
 
   @Override
   public Future<?> schedule(double delayMs, Runnable task) {
-    long nanos = Math.max(0, Math.round(delayMs * 1e6));
-    double dueMs = clock.nowMs() + nanos / 1e6;
+    long nanos = Math.max(0, Math.round(delayMs * NANOS_PER_MS));
+    double dueMs = clock.nowMs() + nanos / NANOS_PER_MS;
     return group.schedule(
         () -> {
           double nowMs = clock.nowMs();
-          delay.sample(nowMs, nowMs - dueMs);
+          queueingDelay.sample(nowMs, nowMs - dueMs);
           runGuarded(task);
         },
         nanos,
--- a/src/main/java/edgenode/eventloop/QueueingDelayEstimator.java
+++ b/src/main/java/edgenode/eventloop/QueueingDelayEstimator.java
@@ -1,18 +1,15 @@
 package edgenode.eventloop;
 
 /**
- * How long events wait for a busy event loop, estimated by how late its timers run. A decaying
- * maximum: one late timer raises the estimate at once, and without further ones it halves every
- * {@link #HALF_LIFE_MS}. No I/O and no clock of its own; a sample costs a comparison and one power.
+ * Estimates how long events wait for a busy event loop, from how late its timers run. A decaying
+ * maximum: a late timer raises the estimate at once, and without another one it halves every {@link
+ * #HALF_LIFE_MS}. A sample costs a comparison and one power.
  *
- * <p>The system does not tell when bytes came that have only now been read: a timer that fell due
- * in the same pass of the loop waited for the same work, and its delay is known.
+ * <p>The system does not say when bytes arrived that are read now. A timer that was due in the same
+ * pass of the loop has waited for the same work, and its delay is known.
  */
 final class QueueingDelayEstimator {
-  /**
-   * In ms: a start or a burst keeps a loop busy for some hundreds of ms, with short passes in
-   * between.
-   */
+  /** A start or a burst keeps a loop busy for some 100 ms, with short passes in between. */
   static final double HALF_LIFE_MS = 500;
 
   private double peakMs;
@@ -21,8 +18,7 @@
   /**
    * A timer has run.
    *
-   * @param nowMs the time (ms)
-   * @param delayMs by how much it was late (ms); less than 0 counts as in time
+   * @param delayMs by how much it was late; less than 0 counts as in time
    */
   void sample(double nowMs, double delayMs) {
     if (delayMs >= estimateMs(nowMs)) {
@@ -31,7 +27,7 @@
     }
   }
 
-  /** For how long (ms) what is handled at this time may have waited; 0 before the first sample. */
+  /** How long an event that is handled now may have waited; 0 before the first late timer. */
   double estimateMs(double nowMs) {
     return peakMs == 0 ? 0 : peakMs * Math.pow(0.5, Math.max(0, nowMs - peakAtMs) / HALF_LIFE_MS);
   }
--- a/src/main/java/edgenode/eventloop/ReusePortProgram.java
+++ b/src/main/java/edgenode/eventloop/ReusePortProgram.java
@@ -7,20 +7,20 @@
 import java.nio.ByteOrder;
 
 /**
- * Linux deals new connections among the sockets that share an address by a hash, unless a program
- * chooses one by its place (socket(7), SO_ATTACH_REUSEPORT_CBPF). Places are given in the order of
- * listening, and the last one takes the place of one that closes: so the process that has been
- * there longer stands at 0 and the one beside it at 1. A place that nobody has leaves the choice to
- * the hash.
+ * Selects the socket that gets all new connections of a shared address. Linux distributes them
+ * among the sockets by a hash, unless a BPF program returns a socket's index (socket(7),
+ * SO_ATTACH_REUSEPORT_CBPF). Indexes are given in the order of listening, and the last socket takes
+ * the index of one that closes: of two processes the older one has 0 and the newer one 1. An index
+ * without a socket leaves the choice to the hash.
  */
 final class ReusePortProgram {
   private static final int SOL_SOCKET = 1;
   private static final int SO_ATTACH_REUSEPORT_CBPF = 51;
 
-  /** struct sock_fprog on 64 bits: an unsigned short, six bytes of nothing, a pointer. */
+  /** struct sock_fprog on 64 bits: an unsigned short, six bytes of padding, a pointer. */
   private static final int PROGRAM_BYTES = 16;
 
-  /** struct sock_filter: code, two jumps, a number. */
+  /** struct sock_filter: opcode, two jump offsets, an operand. */
   private static final int INSTRUCTION_BYTES = 8;
 
   private static final int POINTER_OFFSET = 8;
@@ -29,6 +29,7 @@
   /** BPF_RET | BPF_K. */
   private static final short RETURN_OPCODE = 0x06;
 
+  private static final short PROGRAM_LENGTH = 1;
   private static final int SECOND_SOCKET = 1;
   private static final RawUnixChannelOption ATTACH_OPTION =
       new RawUnixChannelOption(
@@ -37,18 +38,20 @@
   private ReusePortProgram() {}
 
   /**
-   * The second of the sockets gets all that is new; false where the system does not take the
-   * program.
+   * Has the second socket get all new connections.
+   *
+   * @param listener any of the sockets
+   * @return false where the system rejects the program
    */
   static boolean selectSecondSocket(Channel listener) {
     ByteBuffer instruction =
         ByteBuffer.allocateDirect(INSTRUCTION_BYTES).order(ByteOrder.nativeOrder());
     instruction.putShort(0, RETURN_OPCODE).putInt(OPERAND_OFFSET, SECOND_SOCKET);
     ByteBuffer program = ByteBuffer.allocateDirect(PROGRAM_BYTES).order(ByteOrder.nativeOrder());
-    program.putShort(0, (short) 1).putLong(POINTER_OFFSET, Buffer.memoryAddress(instruction));
+    program.putShort(0, PROGRAM_LENGTH).putLong(POINTER_OFFSET, Buffer.memoryAddress(instruction));
     try {
       return listener.config().setOption(ATTACH_OPTION, program);
-    } catch (RuntimeException refused) { // Netty hands on the system's error so
+    } catch (RuntimeException rejected) { // how Netty reports the system's error
       return false;
     }
   }
--- a/src/test/java/edgenode/eventloop/AcceptTest.java
+++ b/src/test/java/edgenode/eventloop/AcceptTest.java
@@ -16,15 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Connections that come while the loop is busy. */
+/** Connections that arrive while the event loop is busy. */
 @Timeout(30)
 class AcceptTest {
   private static final int CLIENT_COUNT = 8;
 
-  /**
-   * With one accepted in each pass of the loop the last of a burst waited for as many passes as
-   * there were.
-   */
+  /** With one accept in each pass of the loop, the last of a burst waited for as many passes. */
   @Test
   void allPendingConnectionsAreAcceptedInOnePassOfTheLoop() throws Exception {
     EventLoopGroup group = Transport.newEventLoopGroup();
@@ -41,7 +38,7 @@
 
                     @Override
                     protected void initChannel(Channel channel) {
-                      if (++accepted == 1) { // tasks run once all that was ready has been handled
+                      if (++accepted == 1) { // tasks run after all ready channels
                         channel.eventLoop().execute(() -> inFirstPass.complete(accepted));
                       }
                     }
@@ -60,7 +57,8 @@
       for (int i = 0; i < CLIENT_COUNT; i++) {
         InetSocketAddress at = (InetSocketAddress) listener.localAddress();
         clients.add(
-            new Socket(at.getAddress(), at.getPort())); // the system takes it in; the loop is busy
+            new Socket(
+                at.getAddress(), at.getPort())); // the system accepts it while the loop is busy
       }
       busy.countDown();
       assertEquals(CLIENT_COUNT, inFirstPass.get(10, TimeUnit.SECONDS));
--- a/src/test/java/edgenode/eventloop/QueueingDelayEstimatorProperties.java
+++ b/src/test/java/edgenode/eventloop/QueueingDelayEstimatorProperties.java
@@ -8,10 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/**
- * The estimate beside a plain model that keeps every sample: the greatest of them, each decayed by
- * its age.
- */
+/** The estimate against a model that keeps all samples and takes the greatest, decayed by age. */
 class QueueingDelayEstimatorProperties {
   private record Sample(double atMs, double delayMs) {
     double decayedMs(double nowMs) {
