--- a/src/main/java/edgenode/drain/DrainController.java
+++ b/src/main/java/edgenode/drain/DrainController.java
@@ -1,75 +1,80 @@
 package edgenode.drain;
 
 /**
- * Whether this edge node takes clients, and how far it has sent them away. A pure core: time (ms)
- * is an argument and never goes back; whoever carries it out asks {@link #phase} and comes again at
- * {@link #nextPhaseChangeMs}.
+ * Decides whether this node takes clients, and in which phase of draining it is. No I/O and no
+ * clock: times (ms) are arguments and never go back. Whoever carries a phase out asks {@link
+ * #phase} and comes again at {@link #nextPhaseChangeMs}. Not thread-safe.
  *
- * <p>The front that deals out clients asks ten times a second and stops 0.2 s after a no; until
- * then a connection that is ended comes straight back. So the no comes first, the ends once the
- * front can have acted on it, and near the end of the time no connection may bring further
- * requests.
+ * <p>The client-side load balancer asks ten times a second whether the node is ready, and stops
+ * sending clients 0.2 s after a no; until then a closed connection comes straight back. So the node
+ * first reports that it is not ready, closes connections once the load balancer can have reacted,
+ * and finally accepts no further requests on the connections that are left.
  */
 public final class DrainController {
-  /** How far clients are sent away. */
+  /** A phase of draining. */
   public enum Phase {
-    /** They are welcome. */
+    /** Clients are welcome. */
     ACCEPTING,
-    /** The front is told no; connections go on as ever. */
+    /** The node reports that it is not ready; connections go on. */
     NOT_READY,
-    /** Each connection ends after its last answer, and at once where none is owed. */
+    /** Each connection is closed after its last response, idle ones at once. */
     CLOSING_CONNECTIONS,
-    /** As before, and a connection with requests open brings no further ones. */
+    /** As before, and no further requests are read from connections with requests open. */
     READING_STOPPED
   }
 
   /**
-   * From the first no to the first ends (ms): a question each 100 ms, 200 ms to act, and half as
-   * much for delays.
+   * From the first "not ready" to closing connections (ms): 100 ms until the load balancer asks,
+   * 200 ms until it acts, and half as much again for delays.
    */
   public static final double NOT_READY_MS = 450;
 
   /**
-   * From the no to the cut (ms). Operators hold that 4 s after it no connection has a request
-   * younger than 2 s: with the cut at 1.9 s the youngest one is older by then.
+   * From the first "not ready" until reading stops (ms). Operators require that 4 s after it no
+   * connection has a request younger than 2 s.
    */
   public static final double STOP_READING_AFTER_MS = 1900;
 
-  private double drainingSinceMs = Double.NaN;
+  private boolean isDraining;
+
+  /** Valid while draining. */
+  private double drainingSinceMs;
+
   private boolean isShuttingDown;
 
-  /** Clients are to be sent away. One that is on its way already keeps its time. */
+  /** Begins to drain; a drain under way keeps its times. */
   public void startDrain(double nowMs) {
-    if (Double.isNaN(drainingSinceMs)) {
+    if (!isDraining) {
+      isDraining = true;
       drainingSinceMs = nowMs;
     }
   }
 
   /**
-   * Clients are welcome again.
+   * Takes clients again.
    *
-   * @return false where the process ends: that cannot be taken back
+   * @return false where the process is shutting down, which cannot be undone
    */
   public boolean cancelDrain() {
     if (isShuttingDown) {
       return false;
     }
-    drainingSinceMs = Double.NaN;
+    isDraining = false;
     return true;
   }
 
   /**
-   * The process ends once all that was taken is answered. There is no cut: what comes until then is
-   * answered.
+   * Begins to drain for the end of the process, once every accepted request is answered. Reading
+   * does not stop in this case: what comes until then is answered.
    */
   public void startShutdown(double nowMs) {
     startDrain(nowMs);
     isShuttingDown = true;
   }
 
-  /** Whether whoever asks is told to send clients here. */
+  /** Whether the node reports that it is ready. */
   public boolean isAccepting() {
-    return Double.isNaN(drainingSinceMs);
+    return !isDraining;
   }
 
   /** Whether the process is about to end. */
@@ -77,8 +82,9 @@
     return isShuttingDown;
   }
 
+  /** The phase at a time (ms). */
   public Phase phase(double nowMs) {
-    if (Double.isNaN(drainingSinceMs)) {
+    if (!isDraining) {
       return Phase.ACCEPTING;
     }
     double drainingForMs = nowMs - drainingSinceMs;
@@ -90,7 +96,7 @@
         : Phase.READING_STOPPED;
   }
 
-  /** When the phase changes by itself (ms), or infinity. */
+  /** When the phase changes without a call (ms), or infinity for never. */
   public double nextPhaseChangeMs(double nowMs) {
     return switch (phase(nowMs)) {
       case NOT_READY -> drainingSinceMs + NOT_READY_MS;
--- a/src/main/java/edgenode/ledger/RequestLedger.java
+++ b/src/main/java/edgenode/ledger/RequestLedger.java
@@ -8,116 +8,129 @@
 import java.util.TreeMap;
 
 /**
- * What became of the requests of this process, by class: each one that is taken has one end, and
- * until then it is open. So at every moment taken = served + refused + failed + abandoned + open. A
- * pure core.
+ * Counts what became of the requests of this process, by class. Each accepted request has one
+ * outcome and is open until then, so at every moment accepted = served + rejected + failed +
+ * abandoned + open. No I/O, not thread-safe.
  *
- * <p>Where it is told to, it keeps the same figures for each campus. Campuses beyond a bound share
- * one account, which also takes over those that have asked nothing for longest: the sums over all
- * accounts are those of the classes at every moment. A request costs O(log n) then, else O(1).
+ * <p>On request it also counts for each customer. Customers beyond a bound share one account, which
+ * takes over the accounts of those idle for longest: at every moment the sums over all accounts are
+ * the counts of the classes. A request then costs O(log n) in the number of accounts, else O(1).
  */
 public final class RequestLedger {
-  /** The ways in which a request ends. */
+  /** How a request ends. */
   public enum RequestOutcome {
     /** The client has the value. */
     SERVED,
-    /** The client was told that trying again is harmless. */
+    /** The client was told that nothing ran and it may try again. */
     REJECTED,
-    /** The client was told anything else, or its answer broke off. */
+    /** The client was told anything else, or its response broke off. */
     FAILED,
-    /** The client went away before it had an answer. */
+    /** The client disconnected before it had a response. */
     ABANDONED
   }
 
-  /** The figures of one class; all counts from the start of the process. */
+  // Indexes in the counts of one class.
+  private static final int ACCEPTED = 0;
+  private static final int OPEN = 1;
+  private static final int ATTEMPTS = 2;
+  private static final int FIRST_OUTCOME = 3;
+  private static final int COUNTS_PER_CLASS = FIRST_OUTCOME + RequestOutcome.values().length;
+
+  /** Of the accounts idle for longest, how many are looked at for one without open requests. */
+  private static final int MAX_FOLD_CANDIDATES = 8;
+
+  /** The counts of one class, of all customers or of one, since the start of the process. */
   public static final class ClassCounters {
     private final String className;
 
-    /** The class's row, where this one is a campus's; else null. */
+    /** The counters of the class, where these are of a customer; else null. */
     private final ClassCounters classTotal;
 
     /**
-     * Which row has taken over this one's figures: an attempt may be written after its request has
-     * ended.
+     * The counters that took these over, or null. An attempt may be sent after its request has
+     * ended, and its customer's account be folded by then.
      */
     private ClassCounters successor;
 
-    /**
-     * The figures of all rows of an account, so that an audit reads them in one go; this row's are
-     * at a place.
-     */
-    private final long[] values;
+    /** The counts of all classes of an account: one array, so that an audit reads them in a row. */
+    private final long[] counts;
 
     private final int baseIndex;
 
-    private ClassCounters(String name, ClassCounters whole, long[] f, int at) {
-      this.className = name;
-      this.classTotal = whole;
-      this.values = f;
-      this.baseIndex = at;
+    private ClassCounters(
+        String className, ClassCounters classTotal, long[] counts, int baseIndex) {
+      this.className = className;
+      this.classTotal = classTotal;
+      this.counts = counts;
+      this.baseIndex = baseIndex;
     }
 
-    /** The class, as the settings name it. */
+    /** The name of the class in the settings; empty for all classes that they do not name. */
     public String className() {
       return className;
     }
 
-    /** A request is taken; it is open until its {@link #ended}. */
+    /** A request is accepted; it is open until {@link #requestEnded}. */
     public void requestAccepted() {
       if (successor != null) {
         successor.requestAccepted();
         return;
       }
-      values[baseIndex + ACCEPTED_INDEX]++;
-      values[baseIndex + OPEN_INDEX]++;
+      counts[baseIndex + ACCEPTED]++;
+      counts[baseIndex + OPEN]++;
       if (classTotal != null) {
         classTotal.requestAccepted();
       }
     }
 
     /** An open request has ended. */
-    public void requestEnded(RequestOutcome how) {
+    public void requestEnded(RequestOutcome outcome) {
       if (successor != null) {
-        successor.requestEnded(how);
+        successor.requestEnded(outcome);
         return;
       }
-      values[baseIndex + FIRST_OUTCOME_INDEX + how.ordinal()]++;
-      values[baseIndex + OPEN_INDEX]--;
+      counts[baseIndex + FIRST_OUTCOME + outcome.ordinal()]++;
+      counts[baseIndex + OPEN]--;
       if (classTotal != null) {
-        classTotal.requestEnded(how);
+        classTotal.requestEnded(outcome);
       }
     }
 
-    /** An attempt was written whole to a server. */
+    /** An attempt was written completely to an endpoint. */
     public void attemptSent() {
       if (successor != null) {
         successor.attemptSent();
         return;
       }
-      values[baseIndex + ATTEMPTS_INDEX]++;
+      counts[baseIndex + ATTEMPTS]++;
       if (classTotal != null) {
         classTotal.attemptSent();
       }
     }
 
+    /** Requests accepted. */
     public long acceptedCount() {
-      return values[baseIndex + ACCEPTED_INDEX];
+      return counts[baseIndex + ACCEPTED];
     }
 
+    /** Requests accepted and not ended yet. */
     public long openCount() {
-      return values[baseIndex + OPEN_INDEX];
+      return counts[baseIndex + OPEN];
     }
 
+    /** Attempts sent. */
     public long attemptCount() {
-      return values[baseIndex + ATTEMPTS_INDEX];
+      return counts[baseIndex + ATTEMPTS];
     }
 
-    public long outcomeCount(RequestOutcome how) {
-      return values[baseIndex + FIRST_OUTCOME_INDEX + how.ordinal()];
+    /** Requests that ended in this way. */
+    public long outcomeCount(RequestOutcome outcome) {
+      return counts[baseIndex + FIRST_OUTCOME + outcome.ordinal()];
     }
 
+    /** What does not add up, in the terms of the telemetry, or null. */
     private String describeImbalance() {
-      if (isBalanced(values, baseIndex)) {
+      if (isBalanced(counts, baseIndex)) {
         return null;
       }
       return className
@@ -136,94 +149,97 @@
     }
   }
 
-  private static final int ACCEPTED_INDEX = 0;
-  private static final int OPEN_INDEX = 1;
-  private static final int ATTEMPTS_INDEX = 2;
-  private static final int FIRST_OUTCOME_INDEX = 3;
-  private static final int VALUES_PER_CLASS = FIRST_OUTCOME_INDEX + RequestOutcome.values().length;
-
-  private static boolean isBalanced(long[] f, int at) {
-    long sum = f[at + OPEN_INDEX];
-    for (int i = at + FIRST_OUTCOME_INDEX; i < at + VALUES_PER_CLASS; i++) {
-      sum += f[i];
+  private static boolean isBalanced(long[] counts, int baseIndex) {
+    long sum = counts[baseIndex + OPEN];
+    for (int i = baseIndex + FIRST_OUTCOME; i < baseIndex + COUNTS_PER_CLASS; i++) {
+      sum += counts[i];
     }
-    return sum == f[at + ACCEPTED_INDEX] && f[at + OPEN_INDEX] >= 0;
+    return sum == counts[baseIndex + ACCEPTED] && counts[baseIndex + OPEN] >= 0;
   }
 
-  /** What one campus asked, by class; the last row is of classes that nobody knows. */
+  /** The requests of one customer, by class. */
   public static final class CustomerAccount {
     private final String customer;
-    private final long[] values;
+    private final long[] counts;
     private final List<ClassCounters> classCounters = new ArrayList<>();
 
-    private CustomerAccount(String campus, RequestLedger ledger) {
-      this.customer = campus;
-      values = new long[ledger.values.length];
-      for (ClassCounters row : ledger.allCounters) {
-        classCounters.add(new ClassCounters(row.className, row, values, row.baseIndex));
+    private CustomerAccount(String customer, RequestLedger ledger) {
+      this.customer = customer;
+      counts = new long[ledger.counts.length];
+      for (ClassCounters total : ledger.allCounters) {
+        classCounters.add(new ClassCounters(total.className, total, counts, total.baseIndex));
       }
     }
 
+    /** The customer's name; empty for the account of all that have none of their own. */
     public String customer() {
       return customer;
     }
 
-    /** In the order of the settings, and that of unknown classes behind. */
+    /** In the order of the settings; last the classes that they do not name. */
     public List<ClassCounters> classCounters() {
       return classCounters;
     }
 
     private long openCount() {
       long sum = 0;
-      for (int at = OPEN_INDEX; at < values.length; at += VALUES_PER_CLASS) {
-        sum += values[at];
+      for (int i = OPEN; i < counts.length; i += COUNTS_PER_CLASS) {
+        sum += counts[i];
       }
       return sum;
     }
   }
 
-  /** So many of those that have asked nothing for longest are looked at for one to fold. */
-  private static final int MAX_FOLD_CANDIDATES = 8;
-
   private final List<ClassCounters> classCounters = new ArrayList<>();
   private final ClassCounters unknownClassCounters;
-  private final long[] values;
+
+  /** The counters of all classes, unknown ones last, and the array that holds their counts. */
   private final List<ClassCounters> allCounters = new ArrayList<>();
+
+  private final long[] counts;
+
+  /** How many accounts there may be; 0 where customers are not counted apart. */
   private final int maxCustomers;
+
   private final TreeMap<String, CustomerAccount> accounts = new TreeMap<>();
 
-  /** The one that has asked nothing for longest first. */
+  /** The account idle for longest first. */
   private final Set<CustomerAccount> accountsByLastUse = new LinkedHashSet<>();
 
   private final CustomerAccount otherCustomers;
 
   /**
-   * @param classes the classes that the settings name, in their order
+   * A ledger by class only.
+   *
+   * @param classNames the classes that the settings name, in their order
    */
-  public RequestLedger(List<String> classes) {
-    this(classes, 0);
+  public RequestLedger(List<String> classNames) {
+    this(classNames, 0);
   }
 
   /**
-   * @param campuses of how many campuses the figures are kept apart; 0: of none
+   * A ledger by class and customer.
+   *
+   * @param classNames the classes that the settings name, in their order
+   * @param maxCustomers for how many customers to count apart; 0 for none
    */
-  public RequestLedger(List<String> classes, int campuses) {
-    values = new long[(classes.size() + 1) * VALUES_PER_CLASS];
-    for (String name : classes) {
+  public RequestLedger(List<String> classNames, int maxCustomers) {
+    counts = new long[(classNames.size() + 1) * COUNTS_PER_CLASS];
+    for (String className : classNames) {
       classCounters.add(
-          new ClassCounters(name, null, values, classCounters.size() * VALUES_PER_CLASS));
+          new ClassCounters(className, null, counts, classCounters.size() * COUNTS_PER_CLASS));
     }
     unknownClassCounters =
-        new ClassCounters("", null, values, classCounters.size() * VALUES_PER_CLASS);
+        new ClassCounters("", null, counts, classCounters.size() * COUNTS_PER_CLASS);
     allCounters.addAll(classCounters);
     allCounters.add(unknownClassCounters);
-    maxCustomers = campuses;
+    this.maxCustomers = maxCustomers;
     otherCustomers = new CustomerAccount("", this);
   }
 
   /**
-   * The row of a class; those that the settings do not name share one, as clients make up names
-   * without end.
+   * The counters of a class. Classes that the settings do not name share one, as clients can make
+   * up any number of them.
    */
   public ClassCounters countersFor(String className) {
     return allCounters.get(classIndex(className));
@@ -238,7 +254,10 @@
     return classCounters.size();
   }
 
-  /** The row in which a request of this campus is counted, and with it in its class's. */
+  /**
+   * The counters for a request of this customer; they count in those of the class too. The customer
+   * counts as used now.
+   */
   public ClassCounters countersFor(String className, String customer) {
     return maxCustomers == 0
         ? countersFor(className)
@@ -248,7 +267,7 @@
   private CustomerAccount accountFor(String customer) {
     CustomerAccount account = accounts.get(customer);
     if (account == null) {
-      if (accounts.size() >= maxCustomers && !foldOldestIdle()) {
+      if (accounts.size() >= maxCustomers && !foldIdleAccount()) {
         return otherCustomers;
       }
       account = new CustomerAccount(customer, this);
@@ -260,39 +279,49 @@
     return account;
   }
 
-  /** One with open requests stays: they end in its rows. */
-  private boolean foldOldestIdle() {
-    Iterator<CustomerAccount> it = accountsByLastUse.iterator();
-    for (int i = 0; i < MAX_FOLD_CANDIDATES && it.hasNext(); i++) {
-      CustomerAccount account = it.next();
+  /**
+   * Moves the counts of an idle account to the shared one. An account with open requests stays, as
+   * they end in its counters.
+   *
+   * @return whether there is room for another account
+   */
+  private boolean foldIdleAccount() {
+    Iterator<CustomerAccount> candidates = accountsByLastUse.iterator();
+    for (int i = 0; i < MAX_FOLD_CANDIDATES && candidates.hasNext(); i++) {
+      CustomerAccount account = candidates.next();
       if (account.openCount() == 0) {
-        it.remove();
+        candidates.remove();
         accounts.remove(account.customer);
-        for (int k = 0; k < values.length; k++) {
-          otherCustomers.values[k] += account.values[k];
-        }
-        for (int r = 0; r < account.classCounters.size(); r++) {
-          account.classCounters.get(r).successor = otherCustomers.classCounters.get(r);
-        }
+        fold(account);
         return true;
       }
     }
     return false;
   }
 
-  /** Whether the figures are kept by campus. */
+  private void fold(CustomerAccount account) {
+    for (int i = 0; i < counts.length; i++) {
+      otherCustomers.counts[i] += account.counts[i];
+    }
+    for (int i = 0; i < account.classCounters.size(); i++) {
+      account.classCounters.get(i).successor = otherCustomers.classCounters.get(i);
+    }
+  }
+
+  /** Whether customers are counted apart. */
   public boolean tracksCustomers() {
     return maxCustomers > 0;
   }
 
   /**
-   * Accounts in the order of the campuses' names.
+   * Accounts in the order of the customers' names.
    *
-   * @param after the first ones' names are behind this; "" for the first of all
+   * @param afterCustomer the name before the first; empty to begin with the first of all
+   * @param limit accounts at most
    */
-  public List<CustomerAccount> accounts(String after, int limit) {
+  public List<CustomerAccount> accounts(String afterCustomer, int limit) {
     List<CustomerAccount> page = new ArrayList<>();
-    for (CustomerAccount account : accounts.tailMap(after, false).values()) {
+    for (CustomerAccount account : accounts.tailMap(afterCustomer, false).values()) {
       if (page.size() >= limit) {
         break;
       }
@@ -301,111 +330,112 @@
     return page;
   }
 
-  /** All campuses together that have no account of their own. */
+  /** The shared account of all customers that have none of their own. */
   public CustomerAccount otherCustomers() {
     return otherCustomers;
   }
 
-  /** The classes that the settings name, in their order. */
+  /** The counters of the classes that the settings name, in their order. */
   public List<ClassCounters> classCounters() {
     return classCounters;
   }
 
-  /** What was asked of classes that nobody knows. */
+  /** The counters of all classes that the settings do not name. */
   public ClassCounters unknownClassCounters() {
     return unknownClassCounters;
   }
 
-  /** Requests that are taken and have not ended. */
+  /** Requests of all classes that are accepted and not ended yet. */
   public long openCount() {
     long sum = 0;
-    for (ClassCounters row : allCounters) {
-      sum += row.openCount();
+    for (ClassCounters counters : allCounters) {
+      sum += counters.openCount();
     }
     return sum;
   }
 
-  /** Attempts written whole to servers, for requests of all classes. */
+  /** Attempts sent for requests of all classes. */
   public long attemptCount() {
     long sum = 0;
-    for (ClassCounters row : allCounters) {
-      sum += row.attemptCount();
+    for (ClassCounters counters : allCounters) {
+      sum += counters.attemptCount();
     }
     return sum;
   }
 
   /**
-   * Holds the figures against themselves, against the table of requests and against what clients
-   * are owed.
+   * Checks the counts against each other, the request table and the client connections.
    *
-   * @param inTable how many requests that have not ended the table has
-   * @param owed how many answers the connections of clients wait for
-   * @return what does not add up, a line each; empty where all does
+   * @param tableCount requests in the table that have not ended
+   * @param owedResponses responses that client connections wait for
+   * @return what does not add up, a line each; empty where everything does
    */
-  public List<String> audit(long inTable, long owed) {
-    List<String> wrong = new ArrayList<>();
-    for (ClassCounters row : classCounters) {
-      if (row.describeImbalance() != null) {
-        wrong.add(row.describeImbalance());
+  public List<String> audit(long tableCount, long owedResponses) {
+    List<String> findings = new ArrayList<>();
+    for (ClassCounters counters : classCounters) {
+      String finding = counters.describeImbalance();
+      if (finding != null) {
+        findings.add(finding);
       }
     }
-    if (unknownClassCounters.describeImbalance() != null) {
-      wrong.add("(unknown class)" + unknownClassCounters.describeImbalance());
+    String unknownFinding = unknownClassCounters.describeImbalance();
+    if (unknownFinding != null) {
+      findings.add("(unknown class)" + unknownFinding);
     }
-    if (openCount() != inTable) {
-      wrong.add("table: open by the ledger " + openCount() + ", in the table " + inTable);
+    if (openCount() != tableCount) {
+      findings.add("table: open by the ledger " + openCount() + ", in the table " + tableCount);
     }
-    if (openCount() != owed) {
-      wrong.add("clients: open by the ledger " + openCount() + ", owed on connections " + owed);
+    if (openCount() != owedResponses) {
+      findings.add(
+          "clients: open by the ledger " + openCount() + ", owed on connections " + owedResponses);
     }
-    return wrong;
+    return findings;
   }
 
   /**
-   * Holds the campuses' figures against themselves and their sums against the classes'; reads every
-   * account.
+   * Checks the counts of all accounts, and their sums against the classes. O(n) in the number of
+   * accounts.
    *
-   * @return what does not add up, a line each; empty where all does
+   * @return what does not add up, a line each; empty where everything does
    */
   public List<String> auditCustomers() {
-    List<String> wrong = new ArrayList<>();
-    long[] left = values.clone();
-    subtractAccount(left, otherCustomers, wrong);
+    List<String> findings = new ArrayList<>();
+    long[] remainders = counts.clone();
+    subtractAccount(remainders, otherCustomers, findings);
     for (CustomerAccount account : accounts.values()) {
-      subtractAccount(left, account, wrong);
+      subtractAccount(remainders, account, findings);
     }
-    for (ClassCounters row : allCounters) {
-      boolean none = true;
-      for (int i = row.baseIndex; i < row.baseIndex + VALUES_PER_CLASS; i++) {
-        none &= left[i] == 0;
+    for (ClassCounters counters : allCounters) {
+      int base = counters.baseIndex;
+      boolean isBalanced = true;
+      for (int i = base; i < base + COUNTS_PER_CLASS; i++) {
+        isBalanced &= remainders[i] == 0;
       }
-      if (!none) {
-        wrong.add(
+      if (!isBalanced) {
+        findings.add(
             "campuses: of class '"
-                + row.className
+                + counters.className
                 + "' their sums leave taken "
-                + left[row.baseIndex + ACCEPTED_INDEX]
+                + remainders[base + ACCEPTED]
                 + ", open "
-                + left[row.baseIndex + OPEN_INDEX]
+                + remainders[base + OPEN]
                 + ", attempts "
-                + left[row.baseIndex + ATTEMPTS_INDEX]
+                + remainders[base + ATTEMPTS]
                 + " unaccounted for");
       }
     }
-    return wrong;
+    return findings;
   }
 
-  private static void subtractAccount(long[] left, CustomerAccount account, List<String> wrong) {
-    for (int at = 0; at < left.length; at += VALUES_PER_CLASS) {
-      if (!isBalanced(account.values, at)) {
-        wrong.add(
-            "campus "
-                + account.customer
-                + ", "
-                + account.classCounters.get(at / VALUES_PER_CLASS).describeImbalance());
+  private static void subtractAccount(
+      long[] remainders, CustomerAccount account, List<String> findings) {
+    for (int base = 0; base < remainders.length; base += COUNTS_PER_CLASS) {
+      if (!isBalanced(account.counts, base)) {
+        ClassCounters counters = account.classCounters.get(base / COUNTS_PER_CLASS);
+        findings.add("campus " + account.customer + ", " + counters.describeImbalance());
       }
-      for (int i = at; i < at + VALUES_PER_CLASS; i++) {
-        left[i] -= account.values[i];
+      for (int i = base; i < base + COUNTS_PER_CLASS; i++) {
+        remainders[i] -= account.counts[i];
       }
     }
   }
