--- a/src/main/java/edgenode/admin/AdminHttpServer.java
+++ b/src/main/java/edgenode/admin/AdminHttpServer.java
@@ -8,6 +8,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpDecoderConfig;
@@ -21,6 +22,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.handler.codec.http.QueryStringDecoder;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
@@ -31,34 +33,30 @@
 import java.util.function.Supplier;
 
 /**
- * Where operators call: HTTP/1.1 (RFC 9112), one call a connection, 2xx for yes and 4xx or 5xx for
- * no. Callers that do not finish their call hold a place for a while and keep nobody waiting: at
- * the bound the oldest of them goes.
+ * Serves the operators' calls over HTTP/1.1 (RFC 9112), one call a connection; 2xx means done, 4xx
+ * and 5xx not done. Connections without a complete call are closed after a time-out, and at the
+ * limit of connections the oldest of them is. Runs on the event loop thread.
  */
 public final class AdminHttpServer {
   private static final int MAX_REQUEST_LINE_BYTES = 1024;
   private static final int MAX_HEADER_BYTES = 8192;
   private static final int MAX_CHUNK_BYTES = 4096;
 
-  /** A call has no use for a body; one of up to so many bytes is read over. */
+  /** No call needs a body; one of up to this length is ignored. */
   private static final int MAX_BODY_BYTES = 64 << 10;
 
-  /**
-   * A queue that a burst of callers fills makes the next one try again after a second: too late.
-   */
+  /** Where a burst fills the queue, the kernel of a caller tries again only after a second. */
   private static final int ACCEPT_BACKLOG = 1024;
 
-  /**
-   * Campuses in one answer, where nothing is asked, and at most: a page is some 300 bytes for each.
-   */
+  /** Customers in a response where the call names no limit; each takes some 300 bytes. */
   private static final int DEFAULT_PAGE_CUSTOMERS = 100;
 
   private static final int MAX_PAGE_CUSTOMERS = 1000;
 
-  /** A caller that has not made a whole call after this (ms) is ended. */
+  /** Time for a complete call (ms). */
   private static final long CALL_TIMEOUT_MS = 10_000;
 
-  /** Our side has ended: so long (ms) the caller may take to end its own. */
+  /** Time for the caller to close its side after the response (ms). */
   private static final long CLOSE_GRACE_MS = 500;
 
   private final EdgeEventLoop eventLoop;
@@ -68,15 +66,17 @@
   private Channel serverChannel;
 
   /**
-   * @param most connections that are held at once
+   * A server that is not bound yet.
+   *
+   * @param maxConnections connections open at a time
    */
-  public AdminHttpServer(EdgeEventLoop loop, AdminOperations operations, int most) {
-    this.eventLoop = loop;
+  public AdminHttpServer(EdgeEventLoop eventLoop, AdminOperations operations, int maxConnections) {
+    this.eventLoop = eventLoop;
     this.operations = operations;
-    this.maxConnections = most;
+    this.maxConnections = maxConnections;
   }
 
-  /** Binds; the future fails where the address cannot be had. */
+  /** Binds to an address; the future fails where that is not possible. */
   public ChannelFuture bind(InetSocketAddress address) {
     ChannelFuture bound =
         eventLoop
@@ -86,21 +86,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    closeOldestAtLimit();
-                    connections.add(channel);
-                    channel.closeFuture().addListener(f -> connections.remove(channel));
-                    channel
-                        .pipeline()
-                        .addLast(
-                            new HttpServerCodec(
-                                new HttpDecoderConfig()
-                                    .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
-                                    .setMaxHeaderSize(MAX_HEADER_BYTES)
-                                    .setMaxChunkSize(MAX_CHUNK_BYTES)),
-                            new AdminCallHandler());
-                    channel
-                        .eventLoop()
-                        .schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                    initConnection(channel);
                   }
                 })
             .bind(eventLoop.transport().toSocketAddress(address));
@@ -108,16 +94,29 @@
     return bound;
   }
 
+  private void initConnection(Channel channel) {
+    closeOldestAtLimit();
+    connections.add(channel);
+    channel.closeFuture().addListener(closed -> connections.remove(channel));
+    HttpDecoderConfig limits =
+        new HttpDecoderConfig()
+            .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEADER_BYTES)
+            .setMaxChunkSize(MAX_CHUNK_BYTES);
+    channel.pipeline().addLast(new HttpServerCodec(limits), new AdminCallHandler());
+    channel.eventLoop().schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+  }
+
   private void closeOldestAtLimit() {
-    Iterator<Channel> oldest = connections.iterator();
-    while (connections.size() >= maxConnections && oldest.hasNext()) {
-      Channel goes = oldest.next();
-      oldest.remove();
-      goes.close();
+    Iterator<Channel> oldestFirst = connections.iterator();
+    while (connections.size() >= maxConnections && oldestFirst.hasNext()) {
+      Channel oldest = oldestFirst.next();
+      oldestFirst.remove();
+      oldest.close();
     }
   }
 
-  /** No further calls; those that came are answered. */
+  /** Accepts no further connections; calls under way are answered. */
   public void close() {
     if (serverChannel != null) {
       serverChannel.close();
@@ -129,7 +128,7 @@
     private long bodyBytes;
     private boolean isAnswered;
 
-    /** The method that this call has, where it was made with another. */
+    /** The method that the call needs, where it was made with another; else null. */
     private HttpMethod allowedMethod;
 
     @Override
@@ -159,19 +158,7 @@
       String uri = request.uri();
       int query = uri.indexOf('?');
       switch (query < 0 ? uri : uri.substring(0, query)) {
-        case "/api/ready" ->
-            requireMethod(
-                ctx,
-                HttpMethod.GET,
-                () -> {
-                  String not = operations.notReadyReason();
-                  answer(
-                      ctx,
-                      not == null ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                      not == null
-                          ? "{\"ready\":true}"
-                          : "{\"ready\":false,\"why\":\"" + not + "\"}");
-                });
+        case "/api/ready" -> requireMethod(ctx, HttpMethod.GET, () -> answerReadiness(ctx));
         case "/api/telemetry" ->
             requireMethod(
                 ctx,
@@ -186,28 +173,45 @@
       }
     }
 
-    private void answerCustomers(ChannelHandlerContext ctx) {
-      Map<String, List<String>> asked = new QueryStringDecoder(request.uri()).parameters();
-      int limit = DEFAULT_PAGE_CUSTOMERS;
-      try {
-        limit =
-            Integer.parseInt(
-                asked
-                    .getOrDefault("limit", List.of(Integer.toString(DEFAULT_PAGE_CUSTOMERS)))
-                    .get(0));
-      } catch (NumberFormatException e) {
-        limit = 0;
+    private void answerReadiness(ChannelHandlerContext ctx) {
+      String reason = operations.notReadyReason();
+      if (reason == null) {
+        answer(ctx, HttpResponseStatus.OK, "{\"ready\":true}");
+      } else {
+        answer(
+            ctx,
+            HttpResponseStatus.SERVICE_UNAVAILABLE,
+            "{\"ready\":false,\"why\":\"" + reason + "\"}");
       }
+    }
+
+    private void answerCustomers(ChannelHandlerContext ctx) {
+      Map<String, List<String>> parameters = new QueryStringDecoder(request.uri()).parameters();
+      int limit = pageLimit(parameters.get("limit"));
       if (limit < 1 || limit > MAX_PAGE_CUSTOMERS) {
         answer(ctx, HttpResponseStatus.BAD_REQUEST, errorJson("limit: 1 to " + MAX_PAGE_CUSTOMERS));
         return;
       }
       String page =
-          operations.customersJson(asked.getOrDefault("after", List.of("")).get(0), limit);
-      answer(
-          ctx,
-          page == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK,
-          page == null ? errorJson("figures.campuses is 0 in the settings") : page);
+          operations.customersJson(parameters.getOrDefault("after", List.of("")).get(0), limit);
+      if (page == null) {
+        answer(
+            ctx, HttpResponseStatus.NOT_FOUND, errorJson("figures.campuses is 0 in the settings"));
+      } else {
+        answer(ctx, HttpResponseStatus.OK, page);
+      }
+    }
+
+    /** The limit that the call names, the default where it names none, 0 where it is no number. */
+    private static int pageLimit(List<String> values) {
+      if (values == null) {
+        return DEFAULT_PAGE_CUSTOMERS;
+      }
+      try {
+        return Integer.parseInt(values.get(0));
+      } catch (NumberFormatException e) {
+        return 0;
+      }
     }
 
     private void requireMethod(ChannelHandlerContext ctx, HttpMethod method, Runnable call) {
@@ -221,10 +225,11 @@
 
     private void answerCommand(ChannelHandlerContext ctx, Supplier<String> command) {
       String refusal = command.get();
-      answer(
-          ctx,
-          refusal == null ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT,
-          refusal == null ? "{\"done\":true}" : errorJson(refusal));
+      if (refusal == null) {
+        answer(ctx, HttpResponseStatus.OK, "{\"done\":true}");
+      } else {
+        answer(ctx, HttpResponseStatus.CONFLICT, errorJson(refusal));
+      }
     }
 
     private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String text) {
@@ -240,19 +245,17 @@
       if (allowedMethod != null) {
         response.headers().set(HttpHeaderNames.ALLOW, allowedMethod.name());
       }
-      connections.remove(ctx.channel()); // it has been served: no stalled caller, and soon gone
+      connections.remove(ctx.channel()); // answered: it does not count at the limit any more
       ctx.writeAndFlush(response)
-          .addListener(
-              (ChannelFutureListener)
-                  f -> {
-                    if (f.channel() instanceof io.netty.channel.socket.DuplexChannel duplex) {
-                      duplex.shutdownOutput(); // a close at once with bytes unread would reset what
-                      // is written
-                    }
-                    f.channel()
-                        .eventLoop()
-                        .schedule(() -> f.channel().close(), CLOSE_GRACE_MS, TimeUnit.MILLISECONDS);
-                  });
+          .addListener((ChannelFutureListener) written -> closeGracefully(written.channel()));
+    }
+
+    /** Closes our side first: closing at once with bytes unread would reset the connection. */
+    private static void closeGracefully(Channel channel) {
+      if (channel instanceof DuplexChannel duplex) {
+        duplex.shutdownOutput();
+      }
+      channel.eventLoop().schedule(() -> channel.close(), CLOSE_GRACE_MS, TimeUnit.MILLISECONDS);
     }
 
     private static String errorJson(String message) {
@@ -261,8 +264,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      if (!(cause instanceof java.io.IOException)) {
-        eventLoop.logFailure("operators' call", cause);
+      if (!(cause instanceof IOException)) {
+        eventLoop.logFailure("admin call", cause);
       }
       ctx.close();
     }
--- a/src/main/java/edgenode/admin/AdminOperations.java
+++ b/src/main/java/edgenode/admin/AdminOperations.java
@@ -1,25 +1,25 @@
 package edgenode.admin;
 
-/** What operators may ask of an edge node and tell it; called on the loop, must not block. */
+/** What operators may ask of an edge node. Called on the event loop; no call may block. */
 public interface AdminOperations {
-  /** Null where it takes clients; else why not, in a word or two. */
+  /** Why the node takes no clients, in a word or two, or null where it does. */
   String notReadyReason();
 
-  /** The figures, as one JSON object. */
+  /** The telemetry, one JSON object. */
   String telemetryJson();
 
   /**
-   * The figures of campuses, as one JSON object.
+   * A page of the customers' counts, one JSON object.
    *
-   * @param afterCustomer the campus behind which to begin, or ""
-   * @param limit campuses at most
-   * @return null where none are kept
+   * @param afterCustomer the name before the first; empty to begin with the first of all
+   * @param limit customers at most
+   * @return null where customers are not counted apart
    */
   String customersJson(String afterCustomer, int limit);
 
-  /** Clients are to be sent away; null, or why not. */
+  /** Begins to drain; returns null, or why that is not possible. */
   String startDrain();
 
-  /** Clients are welcome again; null, or why not. */
+  /** Takes clients again; returns null, or why that is not possible. */
   String cancelDrain();
 }
--- a/src/test/java/edgenode/drain/DrainControllerProperties.java
+++ b/src/test/java/edgenode/drain/DrainControllerProperties.java
@@ -8,63 +8,61 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/**
- * Calls in any order, against the plain reading: the last word counts, and time runs from the first
- * no.
- */
+/** Calls in any order, against a plain model: the last call counts, times run from the first. */
 class DrainControllerProperties {
   @Property(tries = 300, seed = "1")
-  void theLastWordCountsAndStepsComeInTheirOrder(@ForAll long seed) {
+  void theLastCallCountsAndPhasesComeInOrder(@ForAll long seed) {
     Random random = new Random(seed);
     DrainController drain = new DrainController();
-    double now = 1000;
-    Double no = null;
-    boolean ending = false;
+    double nowMs = 1000;
+    Double notReadySinceMs = null;
+    boolean isShuttingDown = false;
     for (int i = 0; i < 60; i++) {
       switch (random.nextInt(8)) {
         case 0, 1 -> {
-          drain.startDrain(now);
-          no = no == null ? (Double) now : no;
+          drain.startDrain(nowMs);
+          notReadySinceMs = notReadySinceMs == null ? (Double) nowMs : notReadySinceMs;
         }
         case 2 -> {
-          assertEquals(!ending, drain.cancelDrain());
-          no = ending ? no : null;
+          assertEquals(!isShuttingDown, drain.cancelDrain());
+          notReadySinceMs = isShuttingDown ? notReadySinceMs : null;
         }
         case 3 -> {
           if (random.nextInt(6) == 0) {
-            drain.startShutdown(now);
-            ending = true;
-            no = no == null ? (Double) now : no;
+            drain.startShutdown(nowMs);
+            isShuttingDown = true;
+            notReadySinceMs = notReadySinceMs == null ? (Double) nowMs : notReadySinceMs;
           }
         }
         default ->
-            now +=
+            nowMs +=
                 random.nextInt(4) == 0
-                    ? Math.max(0, Math.min(1e6, drain.nextPhaseChangeMs(now)) - now)
+                    ? Math.max(0, Math.min(1e6, drain.nextPhaseChangeMs(nowMs)) - nowMs)
                     : random.nextInt(700);
       }
-      assertEquals(no == null, drain.isAccepting());
-      assertEquals(ending, drain.isShuttingDown());
-      assertEquals(plain(no, ending, now), drain.phase(now));
-      double next = drain.nextPhaseChangeMs(now);
-      if (next < Double.POSITIVE_INFINITY) {
-        assertTrue(next > now);
-        assertEquals(drain.phase(now), drain.phase(Math.nextDown(next)));
-        assertFalse(drain.phase(now) == drain.phase(next));
+      assertEquals(notReadySinceMs == null, drain.isAccepting());
+      assertEquals(isShuttingDown, drain.isShuttingDown());
+      assertEquals(expectedPhase(notReadySinceMs, isShuttingDown, nowMs), drain.phase(nowMs));
+      double nextMs = drain.nextPhaseChangeMs(nowMs);
+      if (nextMs < Double.POSITIVE_INFINITY) {
+        assertTrue(nextMs > nowMs);
+        assertEquals(drain.phase(nowMs), drain.phase(Math.nextDown(nextMs)));
+        assertFalse(drain.phase(nowMs) == drain.phase(nextMs));
       } else {
-        assertEquals(drain.phase(now), drain.phase(now + 1e9));
+        assertEquals(drain.phase(nowMs), drain.phase(nowMs + 1e9));
       }
     }
   }
 
-  private static DrainController.Phase plain(Double no, boolean ending, double now) {
-    if (no == null) {
+  private static DrainController.Phase expectedPhase(
+      Double notReadySinceMs, boolean isShuttingDown, double nowMs) {
+    if (notReadySinceMs == null) {
       return DrainController.Phase.ACCEPTING;
     }
-    if (now < no + 450) {
+    if (nowMs < notReadySinceMs + 450) {
       return DrainController.Phase.NOT_READY;
     }
-    return !ending && now >= no + 1900
+    return !isShuttingDown && nowMs >= notReadySinceMs + 1900
         ? DrainController.Phase.READING_STOPPED
         : DrainController.Phase.CLOSING_CONNECTIONS;
   }
