--- a/src/main/java/edgenode/drain/DrainController.java
+++ b/src/main/java/edgenode/drain/DrainController.java
@@ -3,12 +3,12 @@
 /**
  * Decides whether this node takes clients, and in which phase of draining it is. No I/O and no
  * clock: times (ms) are arguments and never go back. Whoever carries a phase out asks {@link
- * #phase} and comes again at {@link #nextPhaseChangeMs}. Not thread-safe.
+ * #phase} and calls again at {@link #nextPhaseChangeMs}. Not thread-safe.
  *
  * <p>The client-side load balancer asks ten times a second whether the node is ready, and stops
  * sending clients 0.2 s after a no; until then a closed connection comes straight back. So the node
  * first reports that it is not ready, closes connections once the load balancer can have reacted,
- * and finally accepts no further requests on the connections that are left.
+ * and finally reads no further requests from the remaining connections.
  */
 public final class DrainController {
   /** A phase of draining. */
--- a/src/main/java/edgenode/idempotency/IdempotencyIndex.java
+++ b/src/main/java/edgenode/idempotency/IdempotencyIndex.java
@@ -35,7 +35,7 @@
     RESPONSE_EVICTED,
     /** Its key belongs to a different request: it must not run. */
     KEY_CONFLICT,
-    /** A limit is reached: nothing ran, and the client may try again. */
+    /** A limit is reached: nothing ran, and the client may retry. */
     REJECTED,
     /** A limit is reached: it is forwarded like one without a key; its end is not reported. */
     UNTRACKED
@@ -45,7 +45,7 @@
    * The answer to a registration.
    *
    * @param response the cached response where REPLAYED, else null
-   * @param retryAfterMs when to try again where REJECTED (ms from now), else 0
+   * @param retryAfterMs when to retry where REJECTED (ms from now), else 0
    */
   public record LookupResult<A>(Decision decision, A response, double retryAfterMs) {}
 
@@ -55,7 +55,7 @@
    * @param entries keys remembered
    * @param inFlight of them, those whose first request has not ended
    * @param responseBytes bytes of cached responses
-   * @param evicted completed keys that made room before their time
+   * @param evicted completed keys that were evicted for new ones before they expired
    */
   public record IdempotencyMetrics(
       int entries,
@@ -90,7 +90,7 @@
     }
   }
 
-  /** A client that is told to wait is told at least this (ms). */
+  /** The least wait that a rejected client is given (ms). */
   private static final double MIN_RETRY_AFTER_MS = 1;
 
   private final IdempotencyLimits limits;
--- a/src/main/java/edgenode/ledger/RequestLedger.java
+++ b/src/main/java/edgenode/ledger/RequestLedger.java
@@ -12,7 +12,7 @@
  * outcome and is open until then, so at every moment accepted = served + rejected + failed +
  * abandoned + open. No I/O, not thread-safe.
  *
- * <p>On request it also counts for each customer. Customers beyond a bound share one account, which
+ * <p>Optionally it also counts for each customer. Customers beyond a bound share one account, which
  * takes over the accounts of those idle for longest: at every moment the sums over all accounts are
  * the counts of the classes. A request then costs O(log n) in the number of accounts, else O(1).
  */
@@ -21,9 +21,9 @@
   public enum RequestOutcome {
     /** The client has the value. */
     SERVED,
-    /** The client was told that nothing ran and it may try again. */
+    /** The client got a response that says that nothing ran and it may retry. */
     REJECTED,
-    /** The client was told anything else, or its response broke off. */
+    /** The client got any other response, or its response broke off. */
     FAILED,
     /** The client disconnected before it had a response. */
     ABANDONED
--- a/src/main/java/edgenode/store/Compaction.java
+++ b/src/main/java/edgenode/store/Compaction.java
@@ -22,7 +22,7 @@
   private final List<Segment> inputs;
   private final Segment output;
 
-  /** Whether no older segment is left before the inputs. */
+  /** Whether there is no older segment before the inputs. */
   private final boolean includesOldest;
 
   private final VersionIndex index;
--- a/src/main/java/edgenode/store/Segment.java
+++ b/src/main/java/edgenode/store/Segment.java
@@ -80,7 +80,7 @@
   /**
    * The bytes that remain if this segment is compacted.
    *
-   * @param isOldest whether no older segment is left: then its tombstones go as well
+   * @param isOldest whether there is no older segment: then its tombstones are dropped as well
    */
   long bytesAfterCompaction(boolean isOldest) {
     return liveBytes - (isOldest ? tombstoneBytes : 0);
--- a/src/main/java/edgenode/store/SegmentLog.java
+++ b/src/main/java/edgenode/store/SegmentLog.java
@@ -98,7 +98,7 @@
     return bytes;
   }
 
-  /** Forgets frames that a failed write has left in the buffer. */
+  /** Discards what is in the buffer. */
   void clearBuffer() {
     writeBuffer.clear();
   }
@@ -167,7 +167,7 @@
 
   /**
    * Ends the log with an empty frame. It says that all before was durable, so that later damage at
-   * the end is told from a torn write.
+   * the end is distinguished from a torn write.
    */
   void appendCloseMarker(long timeMs) throws StorageIoException {
     clearBuffer();
--- a/src/main/java/edgenode/store/StoreMaintenance.java
+++ b/src/main/java/edgenode/store/StoreMaintenance.java
@@ -10,7 +10,7 @@
  * only.
  */
 final class StoreMaintenance {
-  /** Of a segment's size, the share to be written before compaction is considered again. */
+  /** How often compaction is considered while a segment's size is written. */
   private static final int CHECKS_PER_SEGMENT = 8;
 
   private final StoreDirectory directory;
@@ -127,7 +127,7 @@
 
   /**
    * Puts the output in the place of the inputs and deletes these. First the log is synced: records
-   * that replace those left out must be durable before these go.
+   * that supersede the dropped ones must be durable before the inputs are deleted.
    */
   private void replaceInputs() throws StorageIoException {
     log.sync();
--- a/src/main/java/edgenode/store/StoreRecovery.java
+++ b/src/main/java/edgenode/store/StoreRecovery.java
@@ -9,8 +9,8 @@
 
 /**
  * Opens the segments that the manifest names and loads their keys into the index. A torn end of the
- * last segment is cut off, files that a crash left over are deleted; damage is an error that names
- * file and offset, and changes nothing.
+ * last segment is cut off, files that an interrupted compaction left are deleted; damage is an
+ * error that names file and offset, and changes nothing.
  */
 final class StoreRecovery {
   private final StoreDirectory directory;
--- a/src/test/java/edgenode/store/CrashRecoveryTest.java
+++ b/src/test/java/edgenode/store/CrashRecoveryTest.java
@@ -236,7 +236,7 @@
   void givenAFileTruncatedAtAnyByteTheStoreHoldsAPrefixOrIsDamaged() throws Exception {
     List<Map<String, String>> states = new ArrayList<>();
     FaultInjectingDirectory intact = storeWithHistory(false, states);
-    String last =
+    String activeSegment =
         intact.fileNames().stream()
             .filter(n -> n.endsWith(".seg"))
             .max(String::compareTo)
@@ -248,7 +248,7 @@
         FaultInjectingDirectory cut = intact.copy();
         cut.putFile(name, Arrays.copyOf(all, length));
         String verdict = verdict(cut, states);
-        if (!name.equals(last) && !name.endsWith(".hint")) {
+        if (!name.equals(activeSegment) && !name.endsWith(".hint")) {
           assertEquals("damaged", verdict, name + " at " + length);
         }
         seen[verdict.equals("damaged") ? 0 : 1]++;
@@ -289,11 +289,11 @@
     FaultInjectingDirectory torn = directory.copy();
     byte[] all = torn.fileBytes(Segment.fileName(1));
     torn.putFile(Segment.fileName(1), Arrays.copyOf(all, all.length - 3));
-    StoreEngine again = new StoreEngine(torn, SMALL, 1, () -> 8);
-    assertEquals(2, again.metrics().keyCount());
+    StoreEngine reopened = new StoreEngine(torn, SMALL, 1, () -> 8);
+    assertEquals(2, reopened.metrics().keyCount());
     assertTrue(
-        again.metrics().messages().get(0).contains("cut off at offset "),
-        again.metrics().messages().toString());
+        reopened.metrics().messages().get(0).contains("cut off at offset "),
+        reopened.metrics().messages().toString());
     all = directory.fileBytes(Segment.fileName(1));
     all[SegmentFormat.SEGMENT_HEADER_BYTES + 40] ^= 1;
     StoreException error =
--- a/src/test/java/edgenode/store/KeyValueStoreTest.java
+++ b/src/test/java/edgenode/store/KeyValueStoreTest.java
@@ -98,15 +98,16 @@
         child.destroyForcibly(); // SIGKILL, while it writes
       }
       child.waitFor();
-      try (KeyValueStore again = KeyValueStore.open(store, SMALL)) {
-        for (var e : lastDurable.entrySet()) {
-          int there =
+      try (KeyValueStore reopened = KeyValueStore.open(store, SMALL)) {
+        for (Map.Entry<String, Integer> entry : lastDurable.entrySet()) {
+          int found =
               Integer.parseInt(
-                  new String(again.get("s", bytes(e.getKey())).value(), StandardCharsets.UTF_8));
-          assertTrue(there >= e.getValue(), e + " was durable, " + there + " is there");
+                  new String(
+                      reopened.get("s", bytes(entry.getKey())).value(), StandardCharsets.UTF_8));
+          assertTrue(found >= entry.getValue(), entry + " was durable, " + found + " was found");
           assertArrayEquals(
-              again.get("s", bytes(e.getKey())).value(),
-              again.get("s", bytes(e.getKey() + "'")).value(),
+              reopened.get("s", bytes(entry.getKey())).value(),
+              reopened.get("s", bytes(entry.getKey() + "'")).value(),
               "half a batch");
           durableCount++;
         }
@@ -130,9 +131,9 @@
     assertEquals(
         StoreException.Reason.CLOSED,
         reason(store.write(new WriteBatch(), KeyValueStore.Durability.SYNC)));
-    try (KeyValueStore again = KeyValueStore.open(tempDirectory, SMALL)) {
-      assertEquals("v", new String(again.get("s", bytes("k")).value(), StandardCharsets.UTF_8));
-      assertTrue(again.recoveryMessages().isEmpty(), again.recoveryMessages().toString());
+    try (KeyValueStore reopened = KeyValueStore.open(tempDirectory, SMALL)) {
+      assertEquals("v", new String(reopened.get("s", bytes("k")).value(), StandardCharsets.UTF_8));
+      assertTrue(reopened.recoveryMessages().isEmpty(), reopened.recoveryMessages().toString());
     }
     assertThrows(
         StoreException.class, () -> new WriteBatch().put("s", new byte[1025], new byte[0]));
