--- a/src/main/java/edgenode/benchmark/Wires.java
+++ b/src/main/java/edgenode/benchmark/Wires.java
@@ -11,6 +11,8 @@
 import edgenode.net.discovery.EndpointListJson;
 import edgenode.net.discovery.MembershipService;
 import edgenode.net.downstream.ClientListener;
+import edgenode.net.downstream.RequestHandler;
+import edgenode.net.downstream.ResponseSlot;
 import edgenode.net.resp.RespCodec;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.PolicySettings;
@@ -416,10 +418,9 @@
   // ---- clients' front on loopback ----
 
   /** Takes nothing: only PINGs come. */
-  private static final class Refusing implements ClientListener.RequestHandler {
+  private static final class Refusing implements RequestHandler {
     @Override
-    public String requestReceived(
-        ClientListener.ResponseSlot slot, ArrayRedisMessage command, boolean crowded) {
+    public String requestReceived(ResponseSlot slot, ArrayRedisMessage command, boolean crowded) {
       return "not here";
     }
   }
--- a/src/main/java/edgenode/cli/ServeCommand.java
+++ b/src/main/java/edgenode/cli/ServeCommand.java
@@ -7,6 +7,7 @@
 import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.node.EdgeNode;
 import edgenode.node.JitWarmUp;
+import edgenode.node.PolicyFactory;
 import edgenode.node.StartLog;
 import edgenode.policy.PolicyEngine;
 import io.netty.util.internal.logging.InternalLoggerFactory;
@@ -99,7 +100,7 @@
     }
   }
 
-  private static EdgeNode.PolicyFactory policyFactory(OperatorSettings settings) {
+  private static PolicyFactory policyFactory(OperatorSettings settings) {
     if (settings == null) {
       return PolicyEngine::new;
     }
--- /dev/null
+++ b/src/main/java/edgenode/net/downstream/ClientConnection.java
@@ -0,0 +1,360 @@
+package edgenode.net.downstream;
+
+import edgenode.eventloop.EdgeEventLoop;
+import edgenode.net.resp.RespCodec;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.socket.DuplexChannel;
+import io.netty.handler.codec.CodecException;
+import io.netty.handler.codec.redis.ArrayRedisMessage;
+import io.netty.handler.codec.redis.ErrorRedisMessage;
+import io.netty.handler.codec.redis.RedisMessage;
+import io.netty.handler.codec.redis.SimpleStringRedisMessage;
+import io.netty.util.ReferenceCountUtil;
+import io.netty.util.concurrent.Future;
+import java.io.IOException;
+import java.util.concurrent.TimeUnit;
+
+/** One client's connection: reads its commands, and closes it. On the event loop only. */
+final class ClientConnection extends ChannelInboundHandlerAdapter {
+  /**
+   * With more unanswered commands on one connection, further requests are rejected. They are read
+   * nevertheless: unread ones would age, and hide the end of the connection.
+   */
+  private static final int MAX_PIPELINED_REQUESTS = 256;
+
+  /** With more unanswered commands, the connection gets an error and is closed. */
+  private static final int MAX_UNANSWERED_COMMANDS = 4096;
+
+  /** Time (ms) for the client to close its side after we have closed ours. */
+  private static final int LINGER_MS = 200;
+
+  /** While reading is off, interval (ms) at which it is checked whether the client disconnected. */
+  private static final double DISCONNECT_CHECK_INTERVAL_MS = 50;
+
+  /** After our end, a client that reads nothing for this time (ms) is disconnected. */
+  private static final int SLOW_READER_TIMEOUT_MS = 2000;
+
+  /** In place of a time: no command is waited for. */
+  private static final double NOT_WAITING = Double.MAX_VALUE;
+
+  private static final int MAX_COMMAND_ELEMENTS = 16;
+
+  private final ClientListener listener;
+  private final EdgeEventLoop loop;
+  private final Channel channel;
+  private final ResponseQueue responses;
+  private final double acceptedAtMs;
+  private final RespCodec.UndecodedByteCounter decoder;
+
+  /** Since when a complete command is waited for (ms), or {@link #NOT_WAITING}. */
+  private double waitingSinceMs;
+
+  private boolean hasReceivedCommand;
+
+  /** Commands that are read from now on are dropped. */
+  private boolean ignoresInput;
+
+  /** Our side is closed, or will be after the last response. */
+  private boolean isOutputEnding;
+
+  /** The client has closed its side. */
+  private boolean hasClientDisconnected;
+
+  private boolean isDisconnectCheckScheduled;
+
+  /** Adds itself and the codec to the channel's pipeline. */
+  ClientConnection(ClientListener listener, EdgeEventLoop loop, Channel channel) {
+    this.listener = listener;
+    this.loop = loop;
+    this.channel = channel;
+    responses = new ResponseQueue(loop, channel);
+    acceptedAtMs = loop.nowMs();
+    waitingSinceMs = acceptedAtMs;
+    decoder = RespCodec.addCodec(channel.pipeline(), MAX_COMMAND_ELEMENTS);
+    channel.pipeline().addLast(this);
+  }
+
+  double acceptedAtMs() {
+    return acceptedAtMs;
+  }
+
+  /** Whether no command is unanswered and none is partially read. */
+  boolean isBetweenRequests() {
+    return responses.isEmpty() && decoder.pendingBytes() == 0;
+  }
+
+  /** Whether a complete command is due since before this time (ms). */
+  boolean isCommandOverdue(double sinceLimitMs) {
+    return !ignoresInput && responses.isEmpty() && waitingSinceMs < sinceLimitMs;
+  }
+
+  int openRequestCount() {
+    return responses.openRequestCount();
+  }
+
+  long unwrittenBytes() {
+    return responses.unwrittenBytes();
+  }
+
+  boolean isNextToWrite(ResponseSlot slot) {
+    return responses.first() == slot;
+  }
+
+  // ---- reading ----
+
+  @Override
+  public void channelRead(ChannelHandlerContext ctx, Object message) {
+    // Dropped commands were not accepted: the client sends them again on another connection. A read
+    // while reading is off comes with the end of the client's side.
+    if (ignoresInput || !channel.config().isAutoRead() && checkClientDisconnected()) {
+      ReferenceCountUtil.release(message);
+      return;
+    }
+    decoder.messageDecoded((RedisMessage) message);
+    hasReceivedCommand = true;
+    waitingSinceMs = NOT_WAITING;
+    listener.evictionOrder().commandReceived(this, loop.nowMs());
+    try {
+      messageReceived((RedisMessage) message);
+    } finally {
+      ReferenceCountUtil.release(message);
+    }
+    updateReading();
+  }
+
+  private void messageReceived(RedisMessage message) {
+    if (responses.size() >= MAX_UNANSWERED_COMMANDS) {
+      rejectInput("too many commands unanswered");
+      return;
+    }
+    ResponseSlot slot = new ResponseSlot(this);
+    responses.add(slot);
+    if (message instanceof ArrayRedisMessage command
+        && command != ArrayRedisMessage.NULL_INSTANCE
+        && !command.children().isEmpty()) {
+      dispatch(slot, command);
+    } else {
+      slot.respond(new ErrorRedisMessage("ERR a command expected"));
+    }
+  }
+
+  private void dispatch(ResponseSlot slot, ArrayRedisMessage command) {
+    String verb = RespCodec.textOf(command.children().get(0));
+    if ("CALL.GET".equals(verb) || "CALL.POST".equals(verb)) {
+      boolean isOverPipelineLimit = responses.size() > MAX_PIPELINED_REQUESTS;
+      String error = listener.requestHandler().requestReceived(slot, command, isOverPipelineLimit);
+      if (error != null) {
+        slot.respond(new ErrorRedisMessage("ERR " + error));
+      }
+    } else if ("PING".equalsIgnoreCase(verb)) {
+      slot.respond(
+          listener.isAcceptingClients()
+              ? new SimpleStringRedisMessage("PONG")
+              : new ErrorRedisMessage("ERR draining"));
+    } else {
+      slot.respond(new ErrorRedisMessage("ERR unknown command"));
+    }
+  }
+
+  @Override
+  public void channelReadComplete(ChannelHandlerContext ctx) {
+    if (decoder.pendingBytes() == 0) {
+      waitingSinceMs = hasReceivedCommand ? NOT_WAITING : waitingSinceMs;
+    } else {
+      listener.evictionOrder().partialCommandReceived(this, loop.nowMs());
+      if (waitingSinceMs == NOT_WAITING) {
+        waitingSinceMs = loop.nowMs();
+      }
+    }
+    loop.flushPending();
+  }
+
+  /**
+   * Reading is off while the client does not read its responses, with requests open in the last
+   * phase of draining, and at the end.
+   */
+  void updateReading() {
+    boolean isReading =
+        !ignoresInput
+            && !(listener.isReadingStopped() && !responses.isEmpty())
+            && channel.isWritable();
+    if (channel.config().isAutoRead() != isReading && !hasClientDisconnected) {
+      channel.config().setAutoRead(isReading);
+      if (!isReading && !isDisconnectCheckScheduled) {
+        isDisconnectCheckScheduled = true;
+        loop.schedule(DISCONNECT_CHECK_INTERVAL_MS, this::checkForDisconnect);
+      }
+    }
+  }
+
+  /** The end of a connection is behind what is unread: without this check it would be seen late. */
+  private void checkForDisconnect() {
+    isDisconnectCheckScheduled = channel.isActive() && !channel.config().isAutoRead();
+    if (isDisconnectCheckScheduled && !checkClientDisconnected()) {
+      loop.schedule(DISCONNECT_CHECK_INTERVAL_MS, this::checkForDisconnect);
+    }
+  }
+
+  /**
+   * Whether the client has closed its side, by what the kernel says now. If so the connection is
+   * closed, and commands that were read together with the end are dropped.
+   */
+  boolean checkClientDisconnected() {
+    if (!hasClientDisconnected
+        && (!channel.isActive() || loop.transport().isClosedByPeer(channel))) {
+      hasClientDisconnected = true;
+      ignoresInput = true;
+      channel.close();
+    }
+    return hasClientDisconnected;
+  }
+
+  /**
+   * For how long (ms) what is read now may have been unread. The first command of a new connection
+   * may have arrived before that was accepted, one iteration of the event loop earlier.
+   */
+  double unreadDelayMs() {
+    double delayMs = loop.queueingDelayMs();
+    double ageMs = loop.nowMs() - acceptedAtMs;
+    return ageMs <= delayMs ? ageMs + delayMs : delayMs;
+  }
+
+  /**
+   * Where the next command begins is unknown. Open requests of the connection fail at once, so that
+   * the error behind them is not late; nothing more is read.
+   */
+  void rejectInput(String reason) {
+    if (!ignoresInput) {
+      ignoresInput = true;
+      ResponseSlot last = new ResponseSlot(this);
+      responses.add(last);
+      responses.failOpenRequests();
+      last.respond(new ErrorRedisMessage("ERR " + reason));
+    }
+    loop.flushPending();
+  }
+
+  // ---- writing ----
+
+  /** Writes the responses that are due; closes the connection after the last one it owes. */
+  void writeResponses() {
+    responses.writeReady();
+    if (responses.isEmpty()) {
+      if (listener.isClosing() || ignoresInput) {
+        closeGracefully();
+      } else if (hasReceivedCommand) {
+        listener.evictionOrder().allResponsesWritten(this, loop.nowMs());
+      }
+    }
+    if (!channel.config().isAutoRead()) {
+      updateReading();
+    }
+  }
+
+  /** See {@link ResponseSlot#abortStreaming}. */
+  void abortStream(ResponseSlot slot) {
+    if (slot.isHeaderWritten()) {
+      ignoresInput = true;
+      channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::closeAfterWrite);
+    } else {
+      slot.dropStream();
+      slot.respond(new ErrorRedisMessage("ERR failed"));
+    }
+  }
+
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    responses.writabilityChanged();
+    updateReading();
+  }
+
+  // ---- end ----
+
+  /**
+   * Makes room for another connection. Where the client has read all it was sent a while ago, the
+   * connection is closed at once: after a graceful close it would keep its descriptor until the
+   * client closes too. Where it may not have, a reset could destroy a response.
+   */
+  void evict() {
+    boolean isAllRead = loop.nowMs() - listener.evictionOrder().remove(this) > LINGER_MS;
+    if (isAllRead && channel.unsafe().outboundBuffer() != null && responses.unwrittenBytes() == 0) {
+      ignoresInput = true;
+      channel.close();
+    } else {
+      closeGracefully();
+    }
+  }
+
+  /**
+   * Closes our side after what is written, then waits for the client to close its own: a reset
+   * could destroy a response. What arrives from now on stays unread, so that the close resets the
+   * connection over it: that tells the client that its request was not read, and it sends it again.
+   * Read and dropped, the request would be lost.
+   */
+  void closeGracefully() {
+    if (!isOutputEnding && !hasClientDisconnected) {
+      isOutputEnding = true;
+      ignoresInput = true;
+      listener.evictionOrder().remove(this);
+      updateReading();
+      closeUnlessClientReads(Long.MAX_VALUE);
+      // Behind all that is written: closing the output drops what a slow reader has not got yet.
+      channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(this::endOutput);
+    }
+  }
+
+  private void endOutput(Future<? super Void> written) {
+    if (channel instanceof DuplexChannel duplex) {
+      duplex.shutdownOutput();
+    }
+    channel.eventLoop().schedule(this::closeChannel, LINGER_MS, TimeUnit.MILLISECONDS);
+  }
+
+  private void closeAfterWrite(Future<? super Void> written) {
+    channel.close();
+  }
+
+  private void closeChannel() {
+    channel.close();
+  }
+
+  /** A client that goes on reading its responses may take its time. */
+  private void closeUnlessClientReads(long unwrittenBefore) {
+    channel
+        .eventLoop()
+        .schedule(
+            () -> {
+              long unwritten = responses.unwrittenBytes();
+              if (unwritten > 0 && unwritten < unwrittenBefore) {
+                closeUnlessClientReads(unwritten);
+              } else {
+                channel.close();
+              }
+            },
+            SLOW_READER_TIMEOUT_MS,
+            TimeUnit.MILLISECONDS);
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    listener.connectionClosed(this);
+    responses.closed();
+    listener.enforceConnectionLimit();
+    loop.flushPending();
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    if (cause instanceof CodecException) {
+      rejectInput("malformed");
+      return;
+    }
+    if (!(cause instanceof IOException)) {
+      loop.logFailure("client connection", cause);
+    }
+    channel.close();
+  }
+}
--- a/src/main/java/edgenode/node/CdsArchiveRun.java
+++ b/src/main/java/edgenode/node/CdsArchiveRun.java
@@ -12,8 +12,9 @@
 import java.util.Map;
 
 /**
- * One start and end of an edge node at build time, among stand-ins on loopback, so that the JVM can
- * write the archive of classes that such a start loads. Nothing of it is kept but that archive.
+ * One start and end of an edge node at build time, among emulated services on loopback, so that the
+ * JVM can write the archive of classes (class data sharing, CDS) that such a start loads. Only that
+ * archive remains.
  */
 public final class CdsArchiveRun implements AutoCloseable {
   private static final String CONFIG =
@@ -36,24 +37,30 @@
         "health":"active","share":1.0,"born_ms":0}]}
         """;
 
+  private static final int BUFFER_BYTES = 1024;
+  private static final int BACKLOG = 50;
+
   private final ServerSocket emulatedServices =
-      new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+      new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
   private final Path configFile = Files.createTempFile("prime", ".json");
 
+  /** Writes the configuration file and starts the emulated services. */
   public CdsArchiveRun() throws IOException {
     String list = String.format(ENDPOINT_LIST, emulatedServices.getLocalPort());
     Files.writeString(configFile, String.format(CONFIG, emulatedServices.getLocalPort(), list));
-    Thread answering = new Thread(() -> answer(emulatedServices, list), "stand-ins");
+    Thread answering = new Thread(() -> answer(emulatedServices, list), "emulated services");
     answering.setDaemon(true);
     answering.start();
   }
 
-  /** As an edge node finds it. */
+  /** The environment variables for the node. */
   public Map<String, String> environment() {
     return Map.of("EDGE_CONFIG", configFile.toString());
   }
 
-  /** One client that asks and is answered, and operators that call. */
+  /**
+   * Runs one command of a client and two calls of operators, and deletes the configuration file.
+   */
   public void exercise(EdgeNode node) throws IOException {
     InetSocketAddress address = (InetSocketAddress) node.address();
     try (Socket client = new Socket(address.getAddress(), address.getPort())) {
@@ -81,34 +88,32 @@
     emulatedServices.close();
   }
 
-  /** What speaks HTTP is discovery; the others are let in and owed nothing. */
+  /** Answers HTTP requests as discovery does; other connections are accepted and get nothing. */
   private static void answer(ServerSocket listener, String list) {
-    String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
+    String response = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
     try {
       while (true) {
         Socket connection = listener.accept();
-        Thread reading =
-            new Thread(
-                () -> {
-                  try (connection) {
-                    InputStream input = connection.getInputStream();
-                    byte[] buffer = new byte[1024];
-                    for (int n = input.read(buffer); n >= 0; n = input.read(buffer)) {
-                      if (new String(buffer, 0, n, StandardCharsets.US_ASCII).startsWith("GET")) {
-                        connection
-                            .getOutputStream()
-                            .write(answer.getBytes(StandardCharsets.US_ASCII));
-                      }
-                    }
-                  } catch (IOException e) {
-                    // it is done
-                  }
-                });
+        Thread reading = new Thread(() -> answer(connection, response));
         reading.setDaemon(true);
         reading.start();
       }
     } catch (IOException e) {
-      // it is done
+      // the listener is closed
+    }
+  }
+
+  private static void answer(Socket connection, String response) {
+    try (connection) {
+      InputStream input = connection.getInputStream();
+      byte[] buffer = new byte[BUFFER_BYTES];
+      for (int length = input.read(buffer); length >= 0; length = input.read(buffer)) {
+        if (new String(buffer, 0, length, StandardCharsets.US_ASCII).startsWith("GET")) {
+          connection.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
+        }
+      }
+    } catch (IOException e) {
+      // the node has closed it
     }
   }
 }
--- a/src/main/java/edgenode/node/DuplicateRequestHandler.java
+++ b/src/main/java/edgenode/node/DuplicateRequestHandler.java
@@ -3,19 +3,19 @@
 import edgenode.eventloop.EdgeEventLoop;
 import edgenode.idempotency.IdempotencyIndex;
 import edgenode.idempotency.IdempotencyLimits;
-import edgenode.ledger.RequestLedger;
-import edgenode.net.downstream.ClientListener;
+import edgenode.ledger.RequestLedger.ClassCounters;
+import edgenode.ledger.RequestLedger.RequestOutcome;
+import edgenode.net.downstream.OpenRequest;
+import edgenode.net.downstream.ResponseSlot;
 import edgenode.net.resp.RequestCommand;
 import edgenode.store.StoreException;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.redis.ArrayRedisMessage;
 import io.netty.handler.codec.redis.ErrorRedisMessage;
 import io.netty.handler.codec.redis.FullBulkStringRedisMessage;
-import io.netty.handler.codec.redis.RedisMessage;
 import io.netty.util.collection.LongObjectHashMap;
 import io.netty.util.concurrent.Future;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
@@ -24,80 +24,53 @@
 import java.util.zip.CRC32C;
 
 /**
- * Carries out what {@link IdempotencyIndex} decides: holds the clients that wait for another
- * request's answer, and gives it to them. The module hears nothing of these: they are not sent on
- * and take no units.
+ * Carries out what {@link IdempotencyIndex} decides on requests with an idempotency key. Clients of
+ * duplicates wait here for the response of the first request. The policy does not see duplicates:
+ * they are not forwarded and use no quota. On the event loop only, where not said otherwise.
  */
 final class DuplicateRequestHandler {
-  /** A final answer, as it can be given again: a value or an error line. */
-  record ReplayableResponse(byte[] value, String error) {
-    static ReplayableResponse of(RedisMessage message) {
-      return message instanceof FullBulkStringRedisMessage bulk
-          ? new ReplayableResponse(ByteBufUtil.getBytes(bulk.content()), null)
-          : new ReplayableResponse(null, ((ErrorRedisMessage) message).content());
-    }
-
-    int sizeBytes() {
-      return value == null ? error.length() : value.length;
-    }
-
-    RedisMessage toMessage() {
-      return value == null
-          ? new ErrorRedisMessage(error)
-          : new FullBulkStringRedisMessage(Unpooled.wrappedBuffer(value));
-    }
-
-    RequestLedger.RequestOutcome ledgerOutcome() {
-      return value != null
-          ? RequestLedger.RequestOutcome.SERVED
-          : error.startsWith("BUSY")
-              ? RequestLedger.RequestOutcome.REJECTED
-              : RequestLedger.RequestOutcome.FAILED;
-    }
-  }
-
-  /** What the node is to do with a request that came. */
+  /** What the node does with a request that arrived. */
   enum Disposition {
-    /** Send it on, and tell {@link #leaderFinished}. */
+    /** Forward it, and call {@link #leaderFinished} at its end. */
     FORWARD_AS_LEADER,
-    /** Send it on as one without a key. */
+    /** Forward it as a request without a key. */
     FORWARD_WITHOUT_KEY,
-    /** Nothing: it has its answer, or will have it. */
+    /** Nothing: it is answered, or will be. */
     HANDLED,
-    /** It is not taken: its key is another request's. */
+    /** Answer with an error: the key belongs to a request with another content. */
     KEY_CONFLICT
   }
 
-  /** A client that waits for the answer of another's request. */
-  private final class Follower implements ClientListener.OpenRequest {
+  /** The client of a duplicate, which waits for the response of the first request. */
+  private final class Follower implements OpenRequest {
     private final long id;
-    private final ClientListener.ResponseSlot slot;
-    private final RequestLedger.ClassCounters row;
+    private final ResponseSlot slot;
+    private final ClassCounters counters;
     private Future<?> timer;
 
-    Follower(long id, ClientListener.ResponseSlot slot, RequestLedger.ClassCounters row) {
+    Follower(long id, ResponseSlot slot, ClassCounters counters) {
       this.id = id;
       this.slot = slot;
-      this.row = row;
+      this.counters = counters;
     }
 
-    private void finish(RequestLedger.RequestOutcome outcome) {
+    private void finish(RequestOutcome outcome) {
       followers.remove(id);
-      repeats.removeWaiting(id);
+      index.removeWaiting(id);
       timer.cancel(false);
       slot.setOpenRequest(null);
-      row.requestEnded(outcome);
+      counters.requestEnded(outcome);
     }
 
     @Override
     public void failNow() {
-      finish(RequestLedger.RequestOutcome.FAILED);
+      finish(RequestOutcome.FAILED);
       slot.respond(new ErrorRedisMessage("ERR failed"));
     }
 
     @Override
     public void clientDisconnected() {
-      finish(RequestLedger.RequestOutcome.ABANDONED);
+      finish(RequestOutcome.ABANDONED);
     }
 
     void leaderResponded(ReplayableResponse response) {
@@ -107,48 +80,46 @@
     }
   }
 
-  /**
-   * It ran, and its answer cannot be given again: it was too long to be kept, or others needed the
-   * room.
-   */
+  /** The first request ran, but its response was too long to keep or has been evicted. */
   private static final ReplayableResponse RESPONSE_NOT_CACHED =
       new ReplayableResponse(null, "ERR a repeat of an answered request, the value is not kept");
 
   private static final int BODY_INDEX = 4;
   private static final int CHECKSUM_SHIFT = 32;
 
+  private record LeaderKey(String key, long digest, CompletableFuture<Long> persisted) {}
+
   private final EdgeEventLoop loop;
-  private final IdempotencyLimits bounds;
-  private boolean isFailureLogged;
-  private final IdempotencyIndex<ReplayableResponse> repeats;
+  private final IdempotencyLimits limits;
+  private final IdempotencyIndex<ReplayableResponse> index;
   private final LongObjectHashMap<Follower> followers = new LongObjectHashMap<>();
 
-  /** Where keys outlive the process, or null. */
-  private PersistentIdempotencyKeys persistentKeys;
-
-  /** Keys of those that lead and are to last, by number. */
+  /** Keys of first requests that are in flight, by request number; only with a store. */
   private final LongObjectHashMap<LeaderKey> leaderKeys = new LongObjectHashMap<>();
 
-  private record LeaderKey(String key, long digest, CompletableFuture<Long> persisted) {}
+  /** Null where keys are in memory only. */
+  private PersistentIdempotencyKeys persistentKeys;
+
+  private boolean isFailureLogged;
 
-  DuplicateRequestHandler(EdgeEventLoop loop, IdempotencyLimits bounds) {
+  DuplicateRequestHandler(EdgeEventLoop loop, IdempotencyLimits limits) {
     this.loop = loop;
-    this.bounds = bounds;
-    repeats = new IdempotencyIndex<>(bounds);
+    this.limits = limits;
+    index = new IdempotencyIndex<>(limits);
   }
 
   /**
-   * Remembers what earlier processes did, and lets the next ones. Waits for the disk: at the start
-   * only.
+   * Reads the keys of earlier processes, and stores those of this one from now on. Waits for the
+   * disk: at the start only.
    */
-  void persistentKeys(Path folder) throws StoreException {
-    persistentKeys = new PersistentIdempotencyKeys(folder, bounds.retentionMs());
+  void openStore(Path folder) throws StoreException {
+    persistentKeys = new PersistentIdempotencyKeys(folder, limits.retentionMs());
     persistentKeys.openingMessages().forEach(loop::logLine);
     List<PersistentIdempotencyKeys.StoredKey> storedKeys = persistentKeys.restore();
     for (PersistentIdempotencyKeys.StoredKey storedKey :
         storedKeys.subList(
-            Math.max(0, storedKeys.size() - bounds.maxEntries()), storedKeys.size())) {
-      repeats.restore(
+            Math.max(0, storedKeys.size() - limits.maxEntries()), storedKeys.size())) {
+      index.restore(
           loop.nowMs() + storedKey.remainingMs(),
           storedKey.key(),
           storedKey.digest(),
@@ -158,8 +129,8 @@
   }
 
   /**
-   * Goes on once the key of a request that leads lasts, or cannot be made to; at once where none is
-   * to.
+   * Runs the continuation on the event loop once the key of a first request is stored, or the store
+   * has failed; at once where there is no store.
    */
   void whenKeyPersisted(long leaderId, Runnable continuation) {
     if (persistentKeys == null) {
@@ -170,23 +141,23 @@
         .get(leaderId)
         .persisted
         .whenComplete(
-            (version, failure) ->
-                loop.execute(
-                    () -> {
-                      if (failure != null && !isFailureLogged) {
-                        isFailureLogged = true;
-                        loop.logLine("idempotency keys do not last: " + failure.getMessage());
-                      }
-                      continuation.run();
-                    }));
+            (version, failure) -> loop.execute(() -> keyPersisted(failure, continuation)));
   }
 
-  /** Figures of the store, or null. */
+  private void keyPersisted(Throwable failure, Runnable continuation) {
+    if (failure != null && !isFailureLogged) {
+      isFailureLogged = true;
+      loop.logLine("idempotency keys do not last: " + failure.getMessage());
+    }
+    continuation.run();
+  }
+
+  /** Figures of the store, or null where there is none. */
   Map<String, Object> storeFigures() {
     return persistentKeys == null ? null : persistentKeys.figures();
   }
 
-  /** Makes what is remembered last; not on the loop. */
+  /** Writes out what the store has to write; waits for the disk, not on the event loop. */
   void close() {
     if (persistentKeys != null) {
       persistentKeys.close();
@@ -194,25 +165,27 @@
   }
 
   /**
-   * A request with a key has come.
+   * A request with an idempotency key has arrived.
    *
+   * @param requestId the node's number of it
    * @param timeBudgetMs how long its client waits (ms)
    */
   Disposition requestArrived(
-      long id,
-      ClientListener.ResponseSlot slot,
+      long requestId,
+      ResponseSlot slot,
       RequestCommand call,
       ArrayRedisMessage command,
-      RequestLedger.ClassCounters row,
+      ClassCounters counters,
       double timeBudgetMs) {
     String key = call.customer() + " " + call.idempotencyKey();
     long digest = digest(call, command);
-    IdempotencyIndex.LookupResult<ReplayableResponse> verdict =
-        repeats.register(loop.nowMs(), id, key, digest);
-    switch (verdict.decision()) {
+    IdempotencyIndex.LookupResult<ReplayableResponse> found =
+        index.register(loop.nowMs(), requestId, key, digest);
+    switch (found.decision()) {
       case FIRST:
         if (persistentKeys != null) {
-          leaderKeys.put(id, new LeaderKey(key, digest, persistentKeys.putRunning(key, digest)));
+          CompletableFuture<Long> persisted = persistentKeys.putRunning(key, digest);
+          leaderKeys.put(requestId, new LeaderKey(key, digest, persisted));
         }
         return Disposition.FORWARD_AS_LEADER;
       case UNTRACKED:
@@ -220,28 +193,42 @@
       case KEY_CONFLICT:
         return Disposition.KEY_CONFLICT;
       case JOINED:
-        row.requestAccepted();
-        Follower follower = new Follower(id, slot, row);
-        followers.put(id, follower);
-        slot.setOpenRequest(follower);
-        follower.timer = loop.schedule(timeBudgetMs, follower::failNow);
+        follow(new Follower(requestId, slot, counters), timeBudgetMs);
         return Disposition.HANDLED;
       default:
-        ReplayableResponse response =
-            switch (verdict.decision()) {
-              case REPLAYED -> verdict.response();
-              case REJECTED ->
-                  new ReplayableResponse(null, "BUSY " + Math.round(verdict.retryAfterMs()));
-              default -> RESPONSE_NOT_CACHED;
-            };
-        row.requestAccepted();
-        row.requestEnded(response.ledgerOutcome());
-        slot.respond(response.toMessage());
+        respondAtOnce(slot, counters, found);
         return Disposition.HANDLED;
     }
   }
 
-  /** A request that led has its final answer, which those that wait for it get too. */
+  private void follow(Follower follower, double timeBudgetMs) {
+    follower.counters.requestAccepted();
+    followers.put(follower.id, follower);
+    follower.slot.setOpenRequest(follower);
+    follower.timer = loop.schedule(timeBudgetMs, follower::failNow);
+  }
+
+  private static void respondAtOnce(
+      ResponseSlot slot,
+      ClassCounters counters,
+      IdempotencyIndex.LookupResult<ReplayableResponse> found) {
+    ReplayableResponse response =
+        switch (found.decision()) {
+          case REPLAYED -> found.response();
+          case REJECTED -> new ReplayableResponse(null, "BUSY " + Math.round(found.retryAfterMs()));
+          default -> RESPONSE_NOT_CACHED;
+        };
+    counters.requestAccepted();
+    counters.requestEnded(response.ledgerOutcome());
+    slot.respond(response.toMessage());
+  }
+
+  /**
+   * A first request has its final response, which waiting duplicates get too.
+   *
+   * @param response null where there is none that can be given again
+   * @param mayHaveRun whether the key stays taken
+   */
   void leaderFinished(long leaderId, ReplayableResponse response, boolean mayHaveRun) {
     int sizeBytes = response == null ? 0 : response.sizeBytes();
     LeaderKey leaderKey = persistentKeys == null ? null : leaderKeys.remove(leaderId);
@@ -249,31 +236,34 @@
       persistentKeys.putFinished(
           leaderKey.key,
           leaderKey.digest,
-          response == null || sizeBytes > bounds.maxResponseBytes() ? null : response);
+          response == null || sizeBytes > limits.maxResponseBytes() ? null : response);
     } else if (leaderKey != null) {
       persistentKeys.remove(leaderKey.key);
     }
     for (long followerId :
-        repeats.complete(loop.nowMs(), leaderId, response, sizeBytes, mayHaveRun)) {
+        index.complete(loop.nowMs(), leaderId, response, sizeBytes, mayHaveRun)) {
       followers.get(followerId).leaderResponded(response);
     }
   }
 
-  /** Whether others wait for its answer. */
+  /** Whether duplicates wait for the response of this request. */
   boolean hasFollowers(long leaderId) {
-    return repeats.hasWaitingDuplicates(leaderId);
+    return index.hasWaitingDuplicates(leaderId);
   }
 
-  /** Clients that wait for the answer of another's request. */
+  /** Duplicates that wait for the response of a first request. */
   int followerCount() {
     return followers.size();
   }
 
   IdempotencyIndex.IdempotencyMetrics figures() {
-    return repeats.metrics(loop.nowMs());
+    return index.metrics(loop.nowMs());
   }
 
-  /** Of class and body. Whoever finds two of one sum spoils only a key of its own. */
+  /**
+   * Checksum of class and body. It need not resist attacks: a client that finds a collision affects
+   * only keys of its own.
+   */
   private static long digest(RequestCommand call, ArrayRedisMessage command) {
     CRC32C checksum = new CRC32C();
     checksum.update(call.className().getBytes(StandardCharsets.UTF_8));
@@ -281,7 +271,7 @@
     if (command.children().size() > BODY_INDEX) {
       ByteBuf body = ((FullBulkStringRedisMessage) command.children().get(BODY_INDEX)).content();
       length = body.readableBytes();
-      for (java.nio.ByteBuffer part : body.nioBuffers()) {
+      for (ByteBuffer part : body.nioBuffers()) {
         checksum.update(part);
       }
     }
--- a/src/main/java/edgenode/node/JitWarmUp.java
+++ b/src/main/java/edgenode/node/JitWarmUp.java
@@ -28,24 +28,23 @@
 import java.util.PriorityQueue;
 
 /**
- * Runs the code of the ordinary path before the edge node is ready, so that the JVM has compiled
- * it: on part of a core the first seconds of cold code make answers late. A module of its own, no
- * sockets, a own clock.
+ * Runs the code of ordinary requests before the node is ready, so that the JVM has compiled it: on
+ * part of a core, interpreted code makes the responses of the first seconds late. Has a policy and
+ * a clock of its own, and no sockets.
  */
 public final class JitWarmUp implements PolicyActions {
   /**
-   * A restart waits for them, and others carry the load meanwhile: on 0.15 of a core 500 rounds
-   * took 1 s more for nothing that was seen; 2 rounds left the first 5 s of a day so cold that a
-   * tenth timed out. Most code runs several times a round, and so to the compiler's 200 calls; real
-   * requests warm the rest.
+   * Most code runs several times a round, and so reaches the compiler's threshold of 200 calls.
+   * More rounds delay the start; requests warm up the rest.
    */
   private static final int ROUNDS = 100;
 
   private static final int ENDPOINTS = 8;
   private static final int CUSTOMERS = 97;
   private static final double ROUND_MS = 8;
+  private static final int CUSTOMER_DIGITS = 16;
 
-  /** Elements, as on the real connections. */
+  /** Of one message, as on real connections. */
   private static final int MAX_ARRAY_ELEMENTS = 16;
 
   private final PolicySettings settings;
@@ -57,7 +56,7 @@
   private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
   private double nowMs = 1000;
 
-  private JitWarmUp(PolicySettings settings, EdgeNode.PolicyFactory policyFactory) {
+  private JitWarmUp(PolicySettings settings, PolicyFactory policyFactory) {
     this.settings = settings;
     RespCodec.addCodec(client.pipeline(), MAX_ARRAY_ELEMENTS);
     RespCodec.addCodec(server.pipeline(), MAX_ARRAY_ELEMENTS);
@@ -69,8 +68,13 @@
     policy.endpointsChanged(nowMs, list, true);
   }
 
-  /** Cold code is no reason not to start: what goes wrong here is told and left. */
-  public static void run(PolicySettings settings, EdgeNode.PolicyFactory policyFactory) {
+  /**
+   * Warms up. A failure is logged and does not prevent the start.
+   *
+   * @param settings with which the node starts
+   * @param policyFactory creates a policy for the warm-up alone
+   */
+  public static void run(PolicySettings settings, PolicyFactory policyFactory) {
     try {
       JitWarmUp warmup = new JitWarmUp(settings, policyFactory);
       boolean isConfigured = !settings.requestClasses().isEmpty() && !settings.plans().isEmpty();
@@ -89,26 +93,7 @@
   }
 
   private void runRound(int round) {
-    RequestClass type = settings.requestClasses().get(round % settings.requestClasses().size());
-    QuotaPlan plan = settings.plans().get(round % settings.plans().size());
-    String verb = type.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
-    client.writeInbound(
-        ascii(
-            command(
-                verb,
-                customer(round % CUSTOMERS),
-                Integer.toHexString(round),
-                "c="
-                    + type.name()
-                    + ",t="
-                    + plan.name()
-                    + ",d="
-                    + Math.round(type.deadlineMs())
-                    + ",k="
-                    + round
-                    + ",units=1,spread="
-                    + Math.min(2, settings.nodeCount())
-                    + ",first=0")));
+    client.writeInbound(ascii(requestText(round)));
     ArrayRedisMessage command = client.readInbound();
     RequestCommand call = RequestCommand.parse(command, settings);
     policy.requestArrived(
@@ -131,9 +116,8 @@
     ReferenceCountUtil.release(value);
     ReferenceCountUtil.release(command);
     nowMs += ROUND_MS;
-    for (int n = timers.size();
-        n > 0 && timers.peek() <= nowMs;
-        n--) { // a new one may be due at once
+    // Only as many as there are now: a new timer may be due at once.
+    for (int n = timers.size(); n > 0 && timers.peek() <= nowMs; n--) {
       timers.poll();
       policy.timerFired(nowMs, 0);
     }
@@ -142,10 +126,30 @@
     }
   }
 
-  /** 16 hex digits, without the formatter: its locales are among the dearest classes of a start. */
+  private String requestText(int round) {
+    RequestClass requestClass =
+        settings.requestClasses().get(round % settings.requestClasses().size());
+    QuotaPlan plan = settings.plans().get(round % settings.plans().size());
+    String verb = requestClass.idempotency() == Idempotency.IDEMPOTENT ? "CALL.GET" : "CALL.POST";
+    String fields =
+        "c="
+            + requestClass.name()
+            + ",t="
+            + plan.name()
+            + ",d="
+            + Math.round(requestClass.deadlineMs())
+            + ",k="
+            + round
+            + ",units=1,spread="
+            + Math.min(2, settings.nodeCount())
+            + ",first=0";
+    return command(verb, customer(round % CUSTOMERS), Integer.toHexString(round), fields);
+  }
+
+  /** Written without {@code String.format}, whose locales are expensive to load at a start. */
   private static String customer(int number) {
     String hex = Integer.toHexString(number);
-    return "0".repeat(16 - hex.length()) + hex;
+    return "0".repeat(CUSTOMER_DIGITS - hex.length()) + hex;
   }
 
   private static String command(String... words) {
@@ -168,12 +172,12 @@
   }
 
   @Override
-  public void send(long id, String to, double until) {
+  public void send(long requestId, String endpointId, double untilMs) {
     pendingEvents.add(
         () ->
             policy.attemptEnded(
                 nowMs,
-                id,
+                requestId,
                 0,
                 CallOutcome.OK,
                 ROUND_MS,
@@ -183,27 +187,27 @@
   }
 
   @Override
-  public void addToCounter(long name, double amount, double keepFor) {
+  public void addToCounter(long name, double amount, double keepMs) {
     double total = totals.merge(name, amount, Double::sum);
     pendingEvents.add(() -> policy.counterCallEnded(nowMs, name, CallOutcome.OK, 1, total));
   }
 
   @Override
-  public void setTimer(double delay, long token) {
-    timers.add(nowMs + delay);
+  public void setTimer(double delayMs, long token) {
+    timers.add(nowMs + delayMs);
   }
 
   @Override
-  public void cancel(long id, int attempt) {}
+  public void cancel(long requestId, int attempt) {}
 
   @Override
-  public void reject(long id, double retryAfter) {}
+  public void reject(long requestId, double retryAfterMs) {}
 
   @Override
-  public void fail(long id) {}
+  public void fail(long requestId) {}
 
   @Override
-  public void checkHealth(String to) {}
+  public void checkHealth(String endpointId) {}
 
   @Override
   public void subscribe() {}
--- a/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
+++ b/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
@@ -13,27 +13,23 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Idempotency keys in a {@link KeyValueStore}: a key is there before its request can run, and what
- * became of it follows. After a crash a key that was running is one whose end is not known: it may
- * have run, and does not run again while it is remembered. Where the store fails the node goes on
- * without it, and says so: then a crash loses keys.
+ * Idempotency keys in a {@link KeyValueStore}. A key is stored before its request can run, and its
+ * outcome after the end. After a crash the outcome of a key that was running is unknown: the
+ * request may have run, and does not run again while the key is kept. When the store fails, the
+ * node logs that and continues without it; then a crash loses keys.
  */
 final class PersistentIdempotencyKeys implements AutoCloseable {
   /**
    * A key of an earlier process.
    *
-   * @param remainingMs how much longer it is remembered (ms)
-   * @param response null where none was kept
+   * @param remainingMs how much longer it is kept (ms)
+   * @param response null where none was stored
    */
-  record StoredKey(
-      String key,
-      long digest,
-      double remainingMs,
-      DuplicateRequestHandler.ReplayableResponse response) {}
-
-  /** What a repeat is told of a request that a crash has cut off. */
-  static final DuplicateRequestHandler.ReplayableResponse OUTCOME_UNKNOWN =
-      new DuplicateRequestHandler.ReplayableResponse(
+  record StoredKey(String key, long digest, double remainingMs, ReplayableResponse response) {}
+
+  /** Response to duplicates of a request that was running at a crash. */
+  static final ReplayableResponse OUTCOME_UNKNOWN =
+      new ReplayableResponse(
           null, "ERR a repeat of a request whose end is not known, it may have run");
 
   private static final String SPACE = "repeats";
@@ -42,17 +38,19 @@
   private static final byte VALUE = 'v';
   private static final byte ERROR = 'e';
 
-  /** state 1, digest 8, until (ms since 1970) 8. */
+  /** State (1 byte), digest (8), expiry in ms since 1970 (8); the response follows. */
   private static final int HEADER_BYTES = 17;
 
-  /** Keys written in one batch: 10,000 of them would be near its limit. */
+  /** Keys written in one batch: 10,000 would be near the limit of a batch. */
   private static final int MAX_BATCH_KEYS = 1000;
 
   private final KeyValueStore store;
   private final long retentionMs;
 
   /**
-   * @param retentionMs how long a key is remembered after its request has ended (ms)
+   * Opens the store; waits for the disk.
+   *
+   * @param retentionMs how long a key is kept after its request has ended (ms)
    */
   PersistentIdempotencyKeys(Path folder, double retentionMs) throws StoreException {
     store = KeyValueStore.open(folder, KeyValueStore.Options.DEFAULT);
@@ -60,8 +58,8 @@
   }
 
   /**
-   * What is remembered of earlier processes, the next to be forgotten first; what ran is told to
-   * last as unknown.
+   * Reads the keys of earlier processes, the next to expire first. Keys that were running are
+   * stored with an unknown outcome.
    */
   List<StoredKey> restore() throws StoreException {
     long nowMs = System.currentTimeMillis();
@@ -72,31 +70,39 @@
           new byte[0],
           null,
           entry -> {
-            ByteBuffer buffer = ByteBuffer.wrap(entry.value());
-            byte state = buffer.get();
-            long digest = buffer.getLong();
-            long expiresAtMs = buffer.getLong();
-            byte[] responseBytes = new byte[buffer.remaining()];
-            buffer.get(responseBytes);
-            DuplicateRequestHandler.ReplayableResponse response =
-                state == WITHOUT_RESPONSE
-                    ? null
-                    : state == VALUE
-                        ? new DuplicateRequestHandler.ReplayableResponse(responseBytes, null)
-                        : state == ERROR
-                            ? new DuplicateRequestHandler.ReplayableResponse(
-                                null, new String(responseBytes, StandardCharsets.UTF_8))
-                            : OUTCOME_UNKNOWN;
-            // a clock that was set back keeps none for longer than it was to be
-            storedKeys.add(
-                new StoredKey(
-                    new String(entry.key(), StandardCharsets.UTF_8),
-                    digest,
-                    state == RUNNING ? retentionMs : Math.min(retentionMs, expiresAtMs - nowMs),
-                    response));
+            storedKeys.add(decode(entry.key(), entry.value(), nowMs));
             return true;
           });
     }
+    markInterrupted(storedKeys, nowMs);
+    storedKeys.sort(Comparator.comparingDouble(StoredKey::remainingMs));
+    return storedKeys;
+  }
+
+  private StoredKey decode(byte[] key, byte[] value, long nowMs) {
+    ByteBuffer buffer = ByteBuffer.wrap(value);
+    byte state = buffer.get();
+    long digest = buffer.getLong();
+    long expiresAtMs = buffer.getLong();
+    byte[] responseBytes = new byte[buffer.remaining()];
+    buffer.get(responseBytes);
+    ReplayableResponse response =
+        switch (state) {
+          case WITHOUT_RESPONSE -> null;
+          case VALUE -> new ReplayableResponse(responseBytes, null);
+          case ERROR ->
+              new ReplayableResponse(null, new String(responseBytes, StandardCharsets.UTF_8));
+          default -> OUTCOME_UNKNOWN;
+        };
+    // The minimum is for a clock that was set back: no key is kept for longer than configured.
+    return new StoredKey(
+        new String(key, StandardCharsets.UTF_8),
+        digest,
+        state == RUNNING ? retentionMs : Math.min(retentionMs, expiresAtMs - nowMs),
+        response);
+  }
+
+  private void markInterrupted(List<StoredKey> storedKeys, long nowMs) throws StoreException {
     WriteBatch interrupted = new WriteBatch();
     for (StoredKey storedKey : storedKeys) {
       if (storedKey.response == OUTCOME_UNKNOWN) {
@@ -112,11 +118,9 @@
       }
     }
     store.write(interrupted, KeyValueStore.Durability.ASYNC);
-    storedKeys.sort(Comparator.comparingDouble(StoredKey::remainingMs));
-    return storedKeys;
   }
 
-  private static byte[] responseBytes(DuplicateRequestHandler.ReplayableResponse response) {
+  private static byte[] responseBytes(ReplayableResponse response) {
     return response.value() != null
         ? response.value()
         : response.error().getBytes(StandardCharsets.UTF_8);
@@ -135,7 +139,11 @@
     return store.write(batch, durability).completed();
   }
 
-  /** A request is about to be sent on under this key; done, well or not, when it may be. */
+  /**
+   * Stores the key of a request before it is forwarded.
+   *
+   * @return completes, well or not, when it may be forwarded
+   */
   CompletableFuture<Long> putRunning(String key, long digest) {
     try {
       return write(
@@ -145,29 +153,34 @@
                   key.getBytes(StandardCharsets.UTF_8),
                   encode(RUNNING, digest, 0, new byte[0])),
           KeyValueStore.Durability.SYNC);
-    } catch (StoreException tooLong) {
-      return CompletableFuture.failedFuture(tooLong);
+    } catch (StoreException tooLarge) {
+      return CompletableFuture.failedFuture(tooLarge);
     }
   }
 
-  /** It has ended, and may have run. A crash before this lasts leaves it unknown. */
-  void putFinished(String key, long digest, DuplicateRequestHandler.ReplayableResponse response) {
+  /**
+   * Stores the outcome of a request that may have run. A crash before that is on disk leaves the
+   * outcome unknown.
+   *
+   * @param response null where none is stored
+   */
+  void putFinished(String key, long digest, ReplayableResponse response) {
     long expiresAtMs = System.currentTimeMillis() + retentionMs;
-    byte state = response == null ? WITHOUT_RESPONSE : response.value() != null ? VALUE : ERROR;
+    if (response == null) {
+      putWithoutResponse(key, digest, expiresAtMs);
+      return;
+    }
+    byte state = response.value() != null ? VALUE : ERROR;
     try {
       write(
           new WriteBatch()
               .put(
                   SPACE,
                   key.getBytes(StandardCharsets.UTF_8),
-                  encode(
-                      state,
-                      digest,
-                      expiresAtMs,
-                      response == null ? new byte[0] : responseBytes(response)),
+                  encode(state, digest, expiresAtMs, responseBytes(response)),
                   expiresAtMs),
           KeyValueStore.Durability.ASYNC);
-    } catch (StoreException tooLong) {
+    } catch (StoreException tooLarge) {
       putWithoutResponse(key, digest, expiresAtMs);
     }
   }
@@ -182,23 +195,23 @@
                   encode(WITHOUT_RESPONSE, digest, expiresAtMs, new byte[0]),
                   expiresAtMs),
           KeyValueStore.Durability.ASYNC);
-    } catch (StoreException never) { // the key is too long, and was not put there either
-      assert never.reason() == StoreException.Reason.TOO_LARGE;
+    } catch (StoreException tooLarge) { // the key is too long, and was not stored before either
+      assert tooLarge.reason() == StoreException.Reason.TOO_LARGE;
     }
   }
 
-  /** It cannot have run, and the next one of its key may. */
+  /** Removes the key of a request that cannot have run: the next request with it may. */
   void remove(String key) {
     try {
       write(
           new WriteBatch().delete(SPACE, key.getBytes(StandardCharsets.UTF_8)),
           KeyValueStore.Durability.ASYNC);
-    } catch (StoreException never) {
-      assert never.reason() == StoreException.Reason.TOO_LARGE;
+    } catch (StoreException tooLarge) { // then it was never stored
+      assert tooLarge.reason() == StoreException.Reason.TOO_LARGE;
     }
   }
 
-  /** What opening found to tell, a line each. */
+  /** What opening the store found, as lines for the log. */
   List<String> openingMessages() {
     return store.recoveryMessages();
   }
@@ -207,7 +220,7 @@
     return store.metrics();
   }
 
-  /** Makes all last. Waits for the disk: not on the loop. */
+  /** Writes out everything; waits for the disk, not on the event loop. */
   @Override
   public void close() {
     store.close();
--- a/src/main/java/edgenode/node/StartLog.java
+++ b/src/main/java/edgenode/node/StartLog.java
@@ -5,13 +5,12 @@
 import java.nio.file.Path;
 
 /**
- * What the parts of a start take, told in the log of every start: an edge node that starts again is
- * down for so long, and the others carry its load. Wall time and CPU (ms) since the process began,
- * by the system's own count in hundredths of a second; on part of a core the two differ by what the
- * node was held back.
+ * The log line on the parts of a start: the name of each part with wall time and CPU time (ms)
+ * since the process began, as the kernel counts them in hundredths of a second. On part of a core
+ * the two differ by the time in which the process was throttled. From any thread.
  */
 public final class StartLog {
-  /** Of the fields behind the name in brackets: user and system time, and the time of the start. */
+  /** Positions in /proc/self/stat after the name in brackets, see proc(5). */
   private static final int USER_TIME_FIELD = 11;
 
   private static final int SYSTEM_TIME_FIELD = 12;
@@ -21,12 +20,12 @@
 
   private StartLog() {}
 
-  /** A part has ended. */
+  /** Notes that a part has ended. */
   public static synchronized void partDone(String part) {
     LINE.append(' ').append(part).append(' ').append(times()).append(',');
   }
 
-  /** The whole start has. */
+  /** Notes the last part, and writes the line to the standard error. */
   public static synchronized void finish(String part) {
     System.err.println(LINE.append(' ').append(part).append(' ').append(times()));
     LINE.setLength(0);
@@ -46,7 +45,7 @@
           + "/"
           + cpu;
     } catch (IOException | RuntimeException e) {
-      return "not told"; // not this system's /proc
+      return "unknown"; // no such /proc
     }
   }
 }
--- a/src/main/java/edgenode/node/TelemetryJson.java
+++ b/src/main/java/edgenode/node/TelemetryJson.java
@@ -12,89 +12,112 @@
 import java.util.Map;
 
 /**
- * The figures as operators read them: one JSON object; all counts are from the start of the
- * process.
+ * The figures as operators read them: one JSON object. All counts are since the start of the
+ * process. The field names are part of the operators' interface.
  */
 final class TelemetryJson {
   private static final JsonFactory JSON = new JsonFactory();
 
-  private TelemetryJson() {}
-
   /**
-   * @param open requests taken and not yet ended
-   * @param repeats or null where they are not recognised
+   * What the object is written from.
+   *
+   * @param openRequests accepted and not yet ended
+   * @param duplicates null where duplicate requests are not recognised
    * @param store figures of the store, or null where there is none
-   * @param excluded listed servers that get nothing for now
-   * @param addsUp whether the ledger agrees with itself, with the tables and with the connections
-   * @param breaches how often anything did not, since the start
+   * @param excludedEndpoints listed endpoints that get no requests for now
+   * @param state of the node, in a word
+   * @param isConsistent whether the figures agree with each other and with the tables
+   * @param violationCount how often they did not, since the start
    */
-  static String write(
+  record Figures(
       RequestLedger ledger,
-      long open,
-      IdempotencyIndex.IdempotencyMetrics repeats,
+      long openRequests,
+      IdempotencyIndex.IdempotencyMetrics duplicates,
       Map<String, Object> store,
       Membership.MembershipStats members,
-      int excluded,
+      int excludedEndpoints,
       String state,
-      boolean addsUp,
-      long breaches) {
+      boolean isConsistent,
+      long violationCount) {}
+
+  private TelemetryJson() {}
+
+  static String write(Figures figures) {
+    RequestLedger ledger = figures.ledger;
     StringWriter text = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(text)) {
       out.writeStartObject();
       out.writeObjectFieldStart("requests");
-      for (RequestLedger.ClassCounters row : ledger.classCounters()) {
-        out.writeFieldName(row.className());
-        writeRow(out, row);
+      for (RequestLedger.ClassCounters counters : ledger.classCounters()) {
+        out.writeFieldName(counters.className());
+        writeRow(out, counters);
       }
       out.writeEndObject();
       out.writeNumberField("attempts", ledger.attemptCount());
-      out.writeNumberField("in_flight", open);
-      out.writeNumberField("app_servers_known", members.endpointCount());
-      out.writeNumberField("app_servers_excluded", excluded);
+      out.writeNumberField("in_flight", figures.openRequests);
+      out.writeNumberField("app_servers_known", figures.members.endpointCount());
+      out.writeNumberField("app_servers_excluded", figures.excludedEndpoints);
       out.writeFieldName("requests_of_unknown_class");
       writeRow(out, ledger.unknownClassCounters());
-      if (repeats != null) {
-        out.writeObjectFieldStart("repeats");
-        out.writeNumberField("entries", repeats.entries());
-        out.writeNumberField("running", repeats.inFlight());
-        out.writeNumberField("answer_bytes", repeats.responseBytes());
-        out.writeNumberField("followed", repeats.joined());
-        out.writeNumberField("replayed", repeats.replayed());
-        out.writeNumberField("spent", repeats.responseEvicted());
-        out.writeNumberField("clashed", repeats.keyConflicts());
-        out.writeNumberField("refused", repeats.rejected());
-        out.writeNumberField("passed", repeats.untracked());
-        out.writeNumberField("forgotten", repeats.evicted());
-        out.writeEndObject();
+      if (figures.duplicates != null) {
+        writeDuplicates(out, figures.duplicates);
       }
-      if (store != null) {
-        out.writeObjectFieldStart("store");
-        for (Map.Entry<String, Object> e : store.entrySet()) {
-          out.writeFieldName(e.getKey());
-          if (e.getValue() instanceof Number n) {
-            out.writeNumber(n.longValue());
-          } else {
-            out.writeString((String) e.getValue());
-          }
-        }
-        out.writeEndObject();
-      }
-      out.writeBooleanField("adds_up", addsUp);
-      out.writeNumberField("breaches", breaches);
-      out.writeStringField("state", state);
-      if (members.ageMs() < Double.POSITIVE_INFINITY) {
-        out.writeNumberField("list_age_ms", Math.round(members.ageMs()));
+      if (figures.store != null) {
+        writeStore(out, figures.store);
       }
+      out.writeBooleanField("adds_up", figures.isConsistent);
+      out.writeNumberField("breaches", figures.violationCount);
+      out.writeStringField("state", figures.state);
+      writeListAge(out, figures.members);
       out.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // a writer into memory has none
+      throw new UncheckedIOException(e); // a writer into memory throws none
     }
     return text.toString();
   }
 
+  private static void writeDuplicates(
+      JsonGenerator out, IdempotencyIndex.IdempotencyMetrics duplicates) throws IOException {
+    out.writeObjectFieldStart("repeats");
+    out.writeNumberField("entries", duplicates.entries());
+    out.writeNumberField("running", duplicates.inFlight());
+    out.writeNumberField("answer_bytes", duplicates.responseBytes());
+    out.writeNumberField("followed", duplicates.joined());
+    out.writeNumberField("replayed", duplicates.replayed());
+    out.writeNumberField("spent", duplicates.responseEvicted());
+    out.writeNumberField("clashed", duplicates.keyConflicts());
+    out.writeNumberField("refused", duplicates.rejected());
+    out.writeNumberField("passed", duplicates.untracked());
+    out.writeNumberField("forgotten", duplicates.evicted());
+    out.writeEndObject();
+  }
+
+  private static void writeStore(JsonGenerator out, Map<String, Object> store) throws IOException {
+    out.writeObjectFieldStart("store");
+    for (Map.Entry<String, Object> field : store.entrySet()) {
+      out.writeFieldName(field.getKey());
+      if (field.getValue() instanceof Number number) {
+        out.writeNumber(number.longValue());
+      } else {
+        out.writeString((String) field.getValue());
+      }
+    }
+    out.writeEndObject();
+  }
+
+  private static void writeListAge(JsonGenerator out, Membership.MembershipStats members)
+      throws IOException {
+    if (members.ageMs() < Double.POSITIVE_INFINITY) {
+      out.writeNumberField("list_age_ms", Math.round(members.ageMs()));
+    }
+  }
+
   /**
-   * A page of campuses, each with its classes; behind them all others, and where the next page
+   * One page of customers, each with its classes, then all other customers, and where the next page
    * begins.
+   *
+   * @param after the customer after which to begin, or ""
+   * @param limit customers at most
    */
   static String writeCustomers(RequestLedger ledger, String after, int limit) {
     StringWriter text = new StringWriter();
@@ -114,7 +137,7 @@
       }
       out.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      throw new UncheckedIOException(e); // a writer into memory throws none
     }
     return text.toString();
   }
@@ -122,25 +145,26 @@
   private static void writeAccount(JsonGenerator out, RequestLedger.CustomerAccount account)
       throws IOException {
     out.writeStartObject();
-    for (RequestLedger.ClassCounters row : account.classCounters()) {
-      if (row.acceptedCount() > 0) {
-        out.writeFieldName(row.className());
-        writeRow(out, row);
+    for (RequestLedger.ClassCounters counters : account.classCounters()) {
+      if (counters.acceptedCount() > 0) {
+        out.writeFieldName(counters.className());
+        writeRow(out, counters);
       }
     }
     out.writeEndObject();
   }
 
-  private static void writeRow(JsonGenerator out, RequestLedger.ClassCounters row)
+  private static void writeRow(JsonGenerator out, RequestLedger.ClassCounters counters)
       throws IOException {
     out.writeStartObject();
-    out.writeNumberField("served", row.outcomeCount(RequestLedger.RequestOutcome.SERVED));
-    out.writeNumberField("refused", row.outcomeCount(RequestLedger.RequestOutcome.REJECTED));
-    out.writeNumberField("failed", row.outcomeCount(RequestLedger.RequestOutcome.FAILED));
-    out.writeNumberField("attempts", row.attemptCount());
-    out.writeNumberField("taken", row.acceptedCount());
-    out.writeNumberField("abandoned", row.outcomeCount(RequestLedger.RequestOutcome.ABANDONED));
-    out.writeNumberField("open", row.openCount());
+    out.writeNumberField("served", counters.outcomeCount(RequestLedger.RequestOutcome.SERVED));
+    out.writeNumberField("refused", counters.outcomeCount(RequestLedger.RequestOutcome.REJECTED));
+    out.writeNumberField("failed", counters.outcomeCount(RequestLedger.RequestOutcome.FAILED));
+    out.writeNumberField("attempts", counters.attemptCount());
+    out.writeNumberField("taken", counters.acceptedCount());
+    out.writeNumberField(
+        "abandoned", counters.outcomeCount(RequestLedger.RequestOutcome.ABANDONED));
+    out.writeNumberField("open", counters.openCount());
     out.writeEndObject();
   }
 }
--- a/src/main/java/edgenode/simulation/ScenarioRun.java
+++ b/src/main/java/edgenode/simulation/ScenarioRun.java
@@ -1,7 +1,7 @@
 package edgenode.simulation;
 
 import edgenode.emulator.CustomerClients;
-import edgenode.node.EdgeNode;
+import edgenode.node.PolicyFactory;
 import edgenode.policy.PolicyEngine;
 import edgenode.simulation.invariants.Event;
 import edgenode.simulation.invariants.InvariantSuite;
@@ -44,7 +44,7 @@
   /**
    * @param maker the decision module, or one with a planted bug
    */
-  static ScenarioRun play(Scenario scenario, long seed, EdgeNode.PolicyFactory maker)
+  static ScenarioRun play(Scenario scenario, long seed, PolicyFactory maker)
       throws IOException, InterruptedException {
     return play(scenario, seed, maker, ms -> {});
   }
@@ -53,8 +53,7 @@
    * @param reached hears how far the day has gone (ms), on the thread that plays it; it changes
    *     nothing
    */
-  static ScenarioRun play(
-      Scenario scenario, long seed, EdgeNode.PolicyFactory maker, DoubleConsumer reached)
+  static ScenarioRun play(Scenario scenario, long seed, PolicyFactory maker, DoubleConsumer reached)
       throws IOException, InterruptedException {
     long from = System.nanoTime();
     InvariantSuite court =
--- a/src/main/java/edgenode/simulation/Simulation.java
+++ b/src/main/java/edgenode/simulation/Simulation.java
@@ -12,6 +12,7 @@
 import edgenode.emulator.IdempotencyGroupModel;
 import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.node.EdgeNode;
+import edgenode.node.PolicyFactory;
 import edgenode.simulation.invariants.Event;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -158,7 +159,7 @@
 
   private final Scenario scenario;
   private final long seed;
-  private final EdgeNode.PolicyFactory maker;
+  private final PolicyFactory maker;
   private final Consumer<Event> events;
   private final Consumer<String> log;
   private final VirtualLoop loop;
@@ -205,7 +206,7 @@
   Simulation(
       Scenario scenario,
       long seed,
-      EdgeNode.PolicyFactory maker,
+      PolicyFactory maker,
       Consumer<Event> events,
       Consumer<String> log,
       DoubleConsumer reached)
--- a/src/main/java/edgenode/simulation/fleet/Fleet.java
+++ b/src/main/java/edgenode/simulation/fleet/Fleet.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.fleet;
 
-import edgenode.node.EdgeNode;
+import edgenode.node.PolicyFactory;
 import edgenode.policy.CallOutcome;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -28,7 +28,7 @@
   record Tenant(String name, String plan, double planRate, int spread, double[] store) {}
 
   private final Shape shape;
-  private final EdgeNode.PolicyFactory maker;
+  private final PolicyFactory maker;
   private final Agenda agenda = new Agenda(START);
   private final Tally tally = new Tally();
   private final WireForms forms = new WireForms();
@@ -58,7 +58,7 @@
   /**
    * @param maker makes the decision module; tests give crooked ones
    */
-  public Fleet(Shape shape, EdgeNode.PolicyFactory maker) {
+  public Fleet(Shape shape, PolicyFactory maker) {
     this.shape = shape;
     this.maker = maker;
     int k = shape.detail();
--- a/src/main/java/edgenode/simulation/fleet/ModelNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -3,7 +3,7 @@
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.Membership;
 import edgenode.membership.MembershipLimits;
-import edgenode.node.EdgeNode;
+import edgenode.node.PolicyFactory;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
@@ -97,7 +97,7 @@
       int place,
       DiscoveryModel discovery,
       PolicySettings settings,
-      EdgeNode.PolicyFactory maker,
+      PolicyFactory maker,
       long seed) {
     this.fleet = fleet;
     this.place = place;
--- a/src/test/java/edgenode/node/EdgeNodeTest.java
+++ b/src/test/java/edgenode/node/EdgeNodeTest.java
@@ -292,7 +292,7 @@
       connection.writeAppServerValue("v");
       expectPolicyEvent("ended 1 0 OK true");
       pushToWatch(endpointListJson(44, false, endpointJson("s0", moved.address(), "left")));
-      expectPolicyEvent("changes s0 GONE");
+      expectPolicyEvent("changes s0 REMOVED");
       sendGet(client, "02", "read", 900);
       expectArrival(2, "read");
       expectPolicyEvent("ended 2 0 NO_CONNECTION false");
@@ -353,7 +353,8 @@
     try {
       NettyEdgeEventLoop loop =
           new NettyEdgeEventLoop(group, Transport.SOCKETS, Clock.system(), connection -> {});
-      new ClientListener(loop, node, 8, false).bind(address); // not waited for
+      new ClientListener(loop, (slot, command, isOverLimit) -> "not expected", 8, false)
+          .bind(address); // not waited for
       group.submit(() -> {}).sync(); // the bind that was left to the loop is done
       group.submit(() -> {}).sync();
       try (FakePeer.Connection connection = FakePeer.Connection.connect(address.getPort())) {
--- a/src/test/java/edgenode/node/EndpointLivenessTest.java
+++ b/src/test/java/edgenode/node/EndpointLivenessTest.java
@@ -22,7 +22,7 @@
 
   private static Membership.MembershipStats membershipFigures(DiscoveryFixture fixture) {
     return CompletableFuture.supplyAsync(
-            () -> fixture.node.members().stats(), fixture.node.loop().group())
+            () -> fixture.node.discovery().stats(), fixture.node.loop().group())
         .join();
   }
 
--- a/src/test/java/edgenode/node/JitWarmUpTest.java
+++ b/src/test/java/edgenode/node/JitWarmUpTest.java
@@ -7,15 +7,12 @@
 import edgenode.config.NodeConfig;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.IncomingRequest;
-import edgenode.policy.PolicyEvents;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/**
- * The warm-up must go the ordinary path to its end: a module that is never answered warms little.
- */
+/** The warm-up must run ordinary requests to their end: otherwise little code is compiled. */
 class JitWarmUpTest {
   @Test
   void eachRequestClassArrivesAndEnds() throws Exception {
@@ -29,27 +26,33 @@
                {"name":"w","effect":"idempotency_key","aim":6,"hard_limit":2000}],
               "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""),
             Map.of());
-    Set<String> seen = new TreeSet<>();
+    Set<String> arrivedClasses = new TreeSet<>();
     int[] ended = {0};
     JitWarmUp.run(
         config.settings(),
-        (settings, seed, now, act) ->
-            (PolicyEvents)
-                java.lang.reflect.Proxy.newProxyInstance(
-                    getClass().getClassLoader(),
-                    new Class<?>[] {PolicyEvents.class},
-                    (self, method, args) -> {
-                      if (method.getName().equals("arrived")) {
-                        IncomingRequest r = (IncomingRequest) args[1];
-                        seen.add(r.className() + " " + r.planName());
-                        act.send(r.id(), "w0", 0);
-                      } else if (method.getName().equals("ended")) {
-                        assertEquals(CallOutcome.OK, args[3]);
-                        ended[0]++;
-                      }
-                      return null;
-                    }));
-    assertEquals(Set.of("r p", "w p"), seen);
+        (settings, seed, nowMs, actions) ->
+            new NoOpPolicyEvents() {
+              @Override
+              public void requestArrived(double arrivedAtMs, IncomingRequest request) {
+                arrivedClasses.add(request.className() + " " + request.planName());
+                actions.send(request.id(), "w0", 0);
+              }
+
+              @Override
+              public void attemptEnded(
+                  double endedAtMs,
+                  long requestId,
+                  int attempt,
+                  CallOutcome outcome,
+                  double tookMs,
+                  boolean isRequestOver,
+                  int trueUnits,
+                  double[] loadReport) {
+                assertEquals(CallOutcome.OK, outcome);
+                ended[0]++;
+              }
+            });
+    assertEquals(Set.of("r p", "w p"), arrivedClasses);
     assertTrue(ended[0] >= 90, "most rounds end: " + ended[0]);
   }
 }
--- a/src/test/java/edgenode/node/ReloadTest.java
+++ b/src/test/java/edgenode/node/ReloadTest.java
@@ -53,7 +53,7 @@
       expectPolicyEvent("changes s0 DRAINING");
       answerListRequest(
           connection, endpointListJson(7, true, endpointJson("s9", appServer.address(), "active")));
-      expectPolicyEvent("changes s9 UP s0 GONE");
+      expectPolicyEvent("changes s9 UP s0 REMOVED");
       assertTrue(watchConnection.isClosedByPeer());
       assertEquals("GET /catalog/members?follow=1&since=7 HTTP/1.1", connection.readLine());
     }
@@ -122,7 +122,7 @@
           next.accept(),
           endpointListJson(7, true, endpointJson("s9", appServer.address(), "active")));
       for (String each = policyEvents.take();
-          !each.equals("changes s9 UP s0 GONE");
+          !each.equals("changes s9 UP s0 REMOVED");
           each = policyEvents.take()) {
         assertEquals("discovery failed", each);
       }
--- a/src/test/java/edgenode/simulation/ScenarioRunTest.java
+++ b/src/test/java/edgenode/simulation/ScenarioRunTest.java
@@ -7,8 +7,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import edgenode.node.EdgeNode;
 import edgenode.node.NoOpPolicyEvents;
+import edgenode.node.PolicyFactory;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.IncomingRequest;
 import edgenode.policy.PolicyActions;
@@ -210,7 +210,7 @@
    */
   @Test
   void aModuleThatSendsToDrainingServersIsHeldByThePool() throws Exception {
-    EdgeNode.PolicyFactory crooked =
+    PolicyFactory crooked =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 settings,
@@ -255,7 +255,7 @@
 
   @Test
   void aModuleThatFloodsAColdServerIsFound() throws Exception {
-    EdgeNode.PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, null);
+    PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, null);
     broken(ScenarioRun.play(day(COLD), 2, crooked), "no-cold-server-pushed-over");
     assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(COLD), 2).broken()));
   }
@@ -271,7 +271,7 @@
 
   @Test
   void aModuleThatKnowsNoCeilingIsFound() throws Exception {
-    EdgeNode.PolicyFactory crooked =
+    PolicyFactory crooked =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 plans(
@@ -312,14 +312,14 @@
   /** What failed in one rack goes to the other: the module's host sends what it is told. */
   @Test
   void aModuleThatTriesAgainInAnotherRackIsFound() throws Exception {
-    EdgeNode.PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, "s1");
+    PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, "s1");
     broken(ScenarioRun.play(day(FAILING), 4, crooked), "no-second-effect");
     assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(FAILING), 4).broken()));
   }
 
   @Test
   void aModuleThatRefusesWhatMayHaveRunIsFound() throws Exception {
-    EdgeNode.PolicyFactory crooked =
+    PolicyFactory crooked =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 settings,
@@ -337,7 +337,7 @@
   /** The node's own last word is what saves a request of which the module says nothing. */
   @Test
   void aDayOnWhichNobodyIsServedIsNoCleanOne() throws Exception {
-    EdgeNode.PolicyFactory mute =
+    PolicyFactory mute =
         (settings, seed, now, act) ->
             new PolicyEngine(
                 settings,
