--- a/src/main/java/edgenode/net/downstream/EvictionOrder.java
+++ b/src/main/java/edgenode/net/downstream/EvictionOrder.java
@@ -7,29 +7,28 @@
 import java.util.Set;
 
 /**
- * Which connection makes room where all places are taken. A pure core: time (ms) is an argument and
- * never goes back. Each call costs O(1).
+ * Which connection is closed to make room for a new one. A pure core: time (ms) is an argument and
+ * never decreases. Each call costs O(1).
  *
- * <p>Crowds connect and say nothing, stop half way, or ask once and stay; ordinary clients come
- * back on connections that they keep, and some need two seconds for a command, with pauses. So one
- * that has never said a byte goes first: a client connects because it has something to ask. Then
- * one that has been idle longer than clients are promised; then one that stopped within a command;
- * then any idle one, the one used longest ago. One that waits for an answer never goes.
+ * <p>In an overload, clients connect and send nothing, stop within a command, or send one command
+ * and stay idle. Ordinary clients reuse their connections, and some need two seconds with pauses
+ * for a command. The order is therefore: connections that never sent a byte, as a client connects
+ * to ask something; connections that are idle for longer than clients are promised; connections
+ * that stopped within a command; any idle connection, the least recently used first. A connection
+ * that awaits a response is never evicted.
  *
  * @param <C> a connection
  */
 final class EvictionOrder<C> {
-  /** One that has said nothing at all may go after this (ms). */
+  /** Time (ms) after which a connection that never sent a byte may be evicted. */
   static final double SILENT_GRACE_MS = 500;
 
-  /**
-   * One on which no request is open may be ended after this (ms), whatever its client has in mind.
-   */
+  /** Time (ms) for which clients are promised that an idle connection stays open. */
   static final double IDLE_GRACE_MS = 2000;
 
   /**
-   * One within a command may go when nothing has come for this long (ms): slow writers pause for up
-   * to 0.6 s.
+   * Time (ms) without a byte after which a connection within a command may be evicted; slow clients
+   * pause for up to 600 ms.
    */
   static final double PARTIAL_COMMAND_GRACE_MS = 1000;
 
@@ -47,7 +46,7 @@
 
   private final Map<C, Entry> entries = new HashMap<>();
 
-  /** By kind, the one that has been so for longest first. */
+  /** Connections by activity, each set in the order in which the activity began. */
   private final Set<C> silent = new LinkedHashSet<>();
 
   private final Set<C> withPartialCommand = new LinkedHashSet<>();
@@ -73,16 +72,14 @@
     }
   }
 
-  /** A new connection, which has said nothing yet. */
+  /** Adds a new connection. */
   void connected(C connection, double nowMs) {
     Entry entry = new Entry();
     entries.put(connection, entry);
     setActivity(connection, entry, Activity.SILENT, nowMs);
   }
 
-  /**
-   * Bytes have come that are no whole command. Nothing changes for one that waits for an answer.
-   */
+  /** Part of a command was received. Changes nothing for a connection that awaits a response. */
   void partialCommandReceived(C connection, double nowMs) {
     Entry entry = entries.get(connection);
     if (entry != null && entry.activity != Activity.AWAITING_RESPONSE) {
@@ -90,7 +87,7 @@
     }
   }
 
-  /** A whole command has come, or more of them: an answer is owed. */
+  /** One or more complete commands were received. */
   void commandReceived(C connection, double nowMs) {
     Entry entry = entries.get(connection);
     if (entry != null) {
@@ -98,7 +95,7 @@
     }
   }
 
-  /** All that was owed is written. */
+  /** All commands are answered. */
   void allResponsesWritten(C connection, double nowMs) {
     Entry entry = entries.get(connection);
     if (entry != null) {
@@ -107,23 +104,22 @@
   }
 
   /**
-   * It is gone, or on its way out.
+   * Removes a connection that is closed or closing.
    *
-   * @return since when it was what it was (ms), or infinity where it is not here any more
+   * @return when its last activity began (ms), or infinity where it was not known
    */
   double remove(C connection) {
     Entry entry = entries.remove(connection);
     if (entry == null) {
       return Double.POSITIVE_INFINITY;
     }
-    setActivity(
-        connection, entry, Activity.AWAITING_RESPONSE, entry.sinceMs); // in no order any more
+    setActivity(connection, entry, Activity.AWAITING_RESPONSE, entry.sinceMs); // leaves its set
     return entry.sinceMs;
   }
 
   /**
-   * The one that is to go so that another may come, or null where each waits for an answer or is
-   * new.
+   * Returns the connection to evict, or null where each awaits a response or is within its grace
+   * period.
    */
   C nextToEvict(double nowMs) {
     C first = oldest(silent, nowMs - SILENT_GRACE_MS);
