--- a/src/main/java/edgenode/simulation/fleet/ModelNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -4,7 +4,7 @@
 import edgenode.membership.Membership;
 import edgenode.membership.MembershipLimits;
 import edgenode.membership.MembershipUpdate;
-import edgenode.node.EdgeNode;
+import edgenode.node.PolicyFactory;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
@@ -98,7 +98,7 @@
       int place,
       DiscoveryModel discovery,
       PolicySettings settings,
-      EdgeNode.PolicyFactory maker,
+      PolicyFactory maker,
       long seed) {
     this.fleet = fleet;
     this.place = place;
