--- a/src/main/java/edgenode/config/OperatorSettingsParser.java
+++ b/src/main/java/edgenode/config/OperatorSettingsParser.java
@@ -82,21 +82,14 @@
   /** The defaults where settings contradict each other, as the file is rejected then. */
   private MembershipLimits membershipLimits() {
     MembershipLimits defaults = MembershipLimits.defaults(warmUpMs);
-    double upAfterMs =
-        reader.integer("membership.up_after_ms", (long) defaults.recoveryDelayMs(), 0, MINUTE_MS);
+    double upAfterMs = durationMs("membership.up_after_ms", defaults.recoveryDelayMs(), MINUTE_MS);
     double maxUpAfterMs =
-        reader.integer(
-            "membership.up_after_most_ms", (long) defaults.maxRecoveryDelayMs(), 0, MINUTE_MS);
+        durationMs("membership.up_after_most_ms", defaults.maxRecoveryDelayMs(), MINUTE_MS);
     double shrinkShare = reader.fraction("membership.shrink_share", defaults.minRetainedShare());
     double holdShrunkMs =
-        reader.integer(
-            "membership.hold_shrunk_ms",
-            (long) defaults.shrunkListQuarantineMs(),
-            0,
-            10 * MINUTE_MS);
+        durationMs("membership.hold_shrunk_ms", defaults.shrunkListQuarantineMs(), 10 * MINUTE_MS);
     double holdEmptyMs =
-        reader.integer(
-            "membership.hold_empty_ms", (long) defaults.emptyListQuarantineMs(), 0, 60 * MINUTE_MS);
+        durationMs("membership.hold_empty_ms", defaults.emptyListQuarantineMs(), 60 * MINUTE_MS);
     double oldAfterMs =
         reader.integer(
             "membership.old_after_ms", (long) defaults.staleViewAfterMs(), 100, 10 * MINUTE_MS);
@@ -125,6 +118,11 @@
         defaults.connectTimeoutThreshold());
   }
 
+  /** A time from 0 on, in whole ms. */
+  private double durationMs(String key, double defaultMs, long maxMs) {
+    return reader.integer(key, (long) defaultMs, 0, maxMs);
+  }
+
   /** Whether the greater setting is no less than the smaller one; a fault otherwise. */
   private boolean checkOrder(
       String smallerKey, double smallerMs, String greaterKey, double greaterMs) {
--- a/src/main/java/edgenode/net/counter/CounterCall.java
+++ b/src/main/java/edgenode/net/counter/CounterCall.java
@@ -7,7 +7,7 @@
   final double sentAtMs;
   final String[] command;
 
-  /** A ping keeps a connection alive; nobody hears its end. */
+  /** A ping keeps a connection alive; nobody is notified of its end. */
   final boolean isPing;
 
   /** Whether its last byte has been written: its amount may have been added. */
--- a/src/main/java/edgenode/net/counter/CounterClient.java
+++ b/src/main/java/edgenode/net/counter/CounterClient.java
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Adds an amount to a name's total; the listener hears the end. There is no retry: an amount must
-   * not be added twice.
+   * Adds an amount to a name's total; the listener receives the result. There is no retry: an
+   * amount must not be added twice.
    *
    * @param amount units, rounded to thousandths
    * @param timeToLiveMs how long the counter keeps the total, bounded to 1 to 60,000
--- a/src/main/java/edgenode/net/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/edgenode/net/upstream/UpstreamConnectionPool.java
@@ -63,7 +63,7 @@
   /**
    * Creates a pool without connections.
    *
-   * @param health hears which endpoints were reached, or not
+   * @param health receives which endpoints were reached, or not
    * @param maxConnections most connections at once; at the limit an idle connection of any endpoint
    *     is closed to make room
    */
@@ -187,7 +187,7 @@
       endLater(attempt, CallOutcome.NO_CONNECTION);
       return;
     }
-    if (endpoint.writeOnRested(attempt, eventLoop.nowMs())) {
+    if (endpoint.writeOnReusable(attempt, eventLoop.nowMs())) {
       return;
     }
     if (!endpoint.idle.isEmpty()) {
@@ -211,7 +211,7 @@
         endLater(attempt, CallOutcome.NO_CONNECTION);
       } else if (!attempt.isHealthCheck() && !attempt.request().isClientWaiting()) {
         endLater(attempt, CallOutcome.NOT_SENT);
-      } else if (!endpoint.writeOnRested(attempt, eventLoop.nowMs())) {
+      } else if (!endpoint.writeOnReusable(attempt, eventLoop.nowMs())) {
         break;
       }
       endpoint.queuedAttempts.poll();
@@ -221,7 +221,7 @@
     }
   }
 
-  /** Asks an endpoint for its load report; the listener hears the end. */
+  /** Asks an endpoint for its load report; the listener receives the result. */
   public void checkHealth(String endpointId) {
     UpstreamAttempt attempt =
         new UpstreamAttempt(null, 0, endpointId, eventLoop.nowMs(), Double.POSITIVE_INFINITY);
@@ -294,7 +294,7 @@
 
   /**
    * Connects to an endpoint that the membership holds for down, to see whether it is back; the
-   * health listener hears the result.
+   * health listener receives the result.
    */
   public void checkReachable(String endpointId) {
     EndpointConnections endpoint = endpoints.get(endpointId);
