--- a/src/test/java/edgenode/net/downstream/EvictionOrderProperties.java
+++ b/src/test/java/edgenode/net/downstream/EvictionOrderProperties.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Who makes room, against a model that looks at every connection. */
+/** Which connection is evicted, against a model that compares all connections. */
 class EvictionOrderProperties {
-  /** What a connection is at, and since when; order breaks ties. */
+  /** The activity of a connection and its begin; order breaks ties. */
   private record ModelEntry(String activity, double sinceMs, long order) {}
 
   @Property(tries = 300, seed = "1")
@@ -84,7 +84,7 @@
     return best;
   }
 
-  /** A slow writer that goes on writing outlives those that say nothing and those that stopped. */
+  /** A slow writer is evicted after silent connections and those that stopped. */
   @Test
   void slowWriterOutlivesStoppedConnections() {
     EvictionOrder<String> evictionOrder = new EvictionOrder<>();
--- a/src/test/java/edgenode/node/AdminClient.java
+++ b/src/test/java/edgenode/node/AdminClient.java
@@ -14,13 +14,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Operators' calls, over plain sockets. */
+/** Calls the admin address of a node over plain sockets. */
 final class AdminClient {
   /**
-   * @param status of the answer's first line
+   * @param status of the status line
    */
   record Response(int status, String headers, String body) {
-    /** The answer's values by their paths, as text. */
+    /** The values of the JSON body by their paths, as text. */
     Map<String, String> values() throws IOException {
       Map<String, String> values = new LinkedHashMap<>();
       ArrayDeque<String> path = new ArrayDeque<>();
@@ -52,7 +52,7 @@
     return sendRaw(address, requestLine + " HTTP/1.1\r\nHost: x\r\n\r\n");
   }
 
-  /** Whether the other side has ended this connection, which it may take a while to do. */
+  /** Whether the node has closed this connection; waits for that within the socket's timeout. */
   static boolean isClosedByNode(Socket socket) throws IOException {
     try {
       return socket.getInputStream().read() < 0;
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Writes it and reads to the end of the connection. */
+  /** Writes the text and reads until the connection is closed. */
   static Response sendRaw(SocketAddress address, String text) throws IOException {
     try (Socket socket = connect(address)) {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
--- a/src/test/java/edgenode/node/AdminOperationsTest.java
+++ b/src/test/java/edgenode/node/AdminOperationsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What operators ask and tell, at a real node's second address. */
+/** The operations of the admin address on a real node. */
 class AdminOperationsTest extends EdgeNodeFixture {
   @BeforeEach
   void enableAdmin() {
@@ -87,7 +87,7 @@
                     + "Content-Length: 100000\r\n\r\n"
                     + "x".repeat(100_000))
             .status());
-    assertEquals("+PONG", ping()); // none of them evacuated
+    assertEquals("+PONG", ping()); // none of them started draining
     AdminClient.Response two =
         AdminClient.sendRaw(
             node.adminAddress(),
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Callers that do not finish their call fill all places, and the next one is answered at once all
-   * the same.
+   * Callers that do not finish their call use all connections; the next one is answered at once
+   * nevertheless.
    */
   @Test
   void stalledCallersDoNotBlockOthers() throws Exception {
@@ -114,7 +114,7 @@
       long before = System.nanoTime();
       assertEquals(200, call("GET /api/ready").status());
       assertTrue(System.nanoTime() - before < 1_000_000_000L);
-      // and one that is slow, but not the oldest, still gets its answer
+      // a slow caller that is not the oldest is answered
       Socket last = stalled.get(99);
       last.getOutputStream()
           .write("ady HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -128,8 +128,8 @@
   }
 
   /**
-   * A queue of 64 was filled by a burst of callers while the loop was busy: the next one's connect
-   * was lost, and came again after a second, which is all the time an answer has.
+   * Guards against a backlog of 64: a burst of callers filled it while the event loop was busy, and
+   * the next connection attempt was lost and repeated only after a second.
    */
   @Test
   void burstOfCallersFitsInTheBacklog() throws Exception {
@@ -203,8 +203,8 @@
   }
 
   /**
-   * The no comes at once, the ends once the front can have acted on it, and the answer that is owed
-   * comes first.
+   * PING fails at once; connections are closed once the load balancer can have acted on it, and
+   * after the responses they owe.
    */
   @Test
   void evacuationClosesConnectionsInPhases() throws Exception {
@@ -219,7 +219,7 @@
     long evacuatedAtNanos = System.nanoTime();
     assertEquals("-ERR draining", ping());
     assertEquals(503, call("GET /api/ready").status());
-    sendGet(idle, "02", "refuse", 900); // for a while connections go on as ever
+    sendGet(idle, "02", "refuse", 900); // for a while connections stay open
     assertEquals(List.of("-BUSY 1500"), idle.readMessage());
     assertTrue(idle.isClosedByPeer());
     long elapsedMs = (System.nanoTime() - evacuatedAtNanos) / 1_000_000;
@@ -227,8 +227,7 @@
         elapsedMs >= DrainController.NOT_READY_MS - 50 && elapsedMs < 3000, elapsedMs + " ms");
     try (FakePeer.Connection late =
         FakePeer.Connection.connect(((InetSocketAddress) node.address()).getPort())) {
-      sendGet(
-          late, "03", "refuse", 900); // what comes all the same is served, and its connection ends
+      sendGet(late, "03", "refuse", 900); // served nevertheless, and its connection is closed
       assertEquals(List.of("-BUSY 1500"), late.readMessage());
       assertTrue(late.isClosedByPeer());
     }
@@ -252,8 +251,7 @@
   }
 
   /**
-   * What a client has begun to send it may finish, through the ends and the cut: only then its
-   * connection ends.
+   * A partially sent command may be completed in each phase; only then is its connection closed.
    */
   @Test
   void partialCommandIsCompletedDuringEvacuation() throws Exception {
@@ -266,12 +264,12 @@
             + "\r\n$2\r\n01\r\n$19\r\nc=refuse,t=p,d=1500\r\n";
     slow.write(call.substring(0, 20));
     FakePeer.Connection other = connectClient();
-    other.writeCommand("PING"); // the half before it has been read
+    other.writeCommand("PING"); // the partial command before it has been read
     assertEquals(List.of("+PONG"), other.readMessage());
     call("PUT /api/evacuate");
     Thread.sleep(
         (long) DrainController.STOP_READING_AFTER_MS
-            + 150); // the time itself is what is tested; a head may take 2 s
+            + 150); // the delay is what is tested; a head may take 2 s
     slow.write(call.substring(20));
     assertEquals(List.of("-BUSY 1500"), slow.readMessage());
     assertTrue(slow.isClosedByPeer());
@@ -279,8 +277,8 @@
   }
 
   /**
-   * Behind a request that is open, a connection brings no more after the cut; taken back, what
-   * waits is read.
+   * After the last phase has begun a connection with an open request is not read; after a rejoin it
+   * is.
    */
   @Test
   void rejoinAfterCutResumesReading() throws Exception {
@@ -290,8 +288,7 @@
     serverConnection.readMessage();
     expectArrival(1, "read");
     call("PUT /api/evacuate");
-    Thread.sleep(
-        (long) DrainController.STOP_READING_AFTER_MS + 200); // the time itself is what is tested
+    Thread.sleep((long) DrainController.STOP_READING_AFTER_MS + 200); // the delay is what is tested
     sendGet(client, "02", "refuse", 900);
     Thread.sleep(100);
     assertNull(policyEvents.peek(), "it was read");
--- a/src/test/java/edgenode/node/ClientDisconnectTest.java
+++ b/src/test/java/edgenode/node/ClientDisconnectTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A client has gone when its end has come to the machine, not when the loop gets to read that: no
- * attempt, first or further, begins for it from then on, however long the loop is busy. In each
- * test the loop is kept busy until the system has the end; what would be sent on then is due before
- * the loop reads the end, or with it.
+ * A client counts as disconnected when the kernel has the end of its connection, not when the event
+ * loop reads it: no attempt begins for it from then on, however long the loop is busy. Each test
+ * blocks the loop until the kernel has the end; what would be sent is then due before or when the
+ * loop reads the end.
  */
 class ClientDisconnectTest extends EdgeNodeFixture {
   private static final String ESTABLISHED = "01";
@@ -32,14 +32,14 @@
     transport = delayedConnects;
   }
 
-  /** Keeps the loop busy from now on. */
+  /** Blocks the event loop from now on. */
   private void blockLoop(int requestId) throws Exception {
     sendGet(connectClient(), "f0", "stall", 9000);
     expectArrival(requestId, "stall");
   }
 
   /**
-   * Whether the node's end of a client's connection stands, as the system has it (proc(5),
+   * Whether the kernel has the node's side of a client's connection as established (proc(5),
    * /proc/net/tcp).
    */
   private boolean isEstablished(int clientsPort) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Closes it, and waits until the system has that at the node's side. */
+  /** Closes the connection, and waits until the kernel has that at the node's side. */
   private void closeAndAwaitKernel(FakePeer.Connection client, boolean reset) throws Exception {
     int port = client.socket.getLocalPort();
     DiscoveryFixture.await("the connection", () -> isEstablished(port));
@@ -72,7 +72,7 @@
     DiscoveryFixture.await("its end", () -> !isEstablished(port));
   }
 
-  /** The next request is the first that comes on this connection. */
+  /** Expects that the next request is the first that arrives on this connection. */
   private void expectOnlyNextRequestSent(FakePeer.Connection serverSide, String id, int number)
       throws Exception {
     FakePeer.Connection client = connectClient();
@@ -82,8 +82,8 @@
   }
 
   /**
-   * All servers' connections break, then all clients leave in one burst: each repeat was sent all
-   * the same.
+   * All servers' connections break, then all clients disconnect: guards against retries that were
+   * sent nevertheless.
    */
   @Test
   void noRetryForClientsThatDisconnectedWhileLoopWasBusy() throws Exception {
@@ -113,7 +113,7 @@
     }
     stallLatch.countDown();
     int ended = 0;
-    while (ended < 2 * clients) { // the first attempt of each, and the repeat that was not sent
+    while (ended < 2 * clients) { // the first attempt of each, and the retry that was not sent
       String event = policyEvents.poll(10, java.util.concurrent.TimeUnit.SECONDS);
       ended += event.startsWith("ended") ? 1 : 0;
       assertEquals(event.matches("ended \\d+ 1 .*"), event.endsWith("NOT_SENT true"), event);
@@ -143,7 +143,7 @@
     FakePeer.Connection first = connectClient();
     sendGet(first, "01", "read", 5000);
     expectArrival(1, "read");
-    assertEquals("01", serverConnection.readMessage().get(2)); // the one connection is taken
+    assertEquals("01", serverConnection.readMessage().get(2)); // the only connection is in use
     FakePeer.Connection client = connectClient();
     sendGet(client, "02", "read", 5000);
     expectArrival(2, "read");
@@ -163,8 +163,8 @@
   }
 
   /**
-   * What the module sends by its timer, such as a repeat that found no server: timers run before
-   * what is read.
+   * What the policy sends by its timer, such as a retry without an endpoint: timers run before what
+   * is read.
    */
   @Test
   void timerTriggeredAttemptIsNotSentAfterDisconnect() throws Exception {
@@ -174,7 +174,7 @@
     expectArrival(1, "later");
     blockLoop(2);
     closeAndAwaitKernel(client, false);
-    Thread.sleep(150); // the time itself is what is tested: the timer is due when the loop goes on
+    Thread.sleep(150); // the delay is what is tested: the timer is due when the loop goes on
     stallLatch.countDown();
     expectPolicyEvent("timer 1");
     expectPolicyEvent("gone 1");
@@ -183,7 +183,8 @@
   }
 
   /**
-   * Past what may be held clients were read no further: their ends stood behind what was not read.
+   * Guards against not reading above the memory limit: disconnects were hidden behind unread
+   * commands.
    */
   @Test
   void requestsBeyondTheMemoryLimitAreRejectedAndDisconnectsSeen() throws Exception {
@@ -214,7 +215,7 @@
       assertEquals("gone", event.split(" ")[0]);
     }
     assertNull(policyEvents.poll());
-    sendGet(other, "03", "refuse", 900); // there is room again
+    sendGet(other, "03", "refuse", 900); // memory is free again
     assertEquals(List.of("-BUSY 1500"), other.readMessage());
   }
 }
--- a/src/test/java/edgenode/node/DelayedConnectTransport.java
+++ b/src/test/java/edgenode/node/DelayedConnectTransport.java
@@ -16,24 +16,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/**
- * Sockets on which connects come up when a test says so: the network's SYN is held back until
- * {@link #releaseNext}.
- */
+/** Sockets whose connection attempts are held back until {@link #releaseNext}. */
 final class DelayedConnectTransport implements Transport {
   private final BlockingQueue<Consumer<Runnable>> heldConnects = new LinkedBlockingQueue<>();
 
-  /** Connects to this port are held. */
+  /** Connection attempts to this port are held. */
   volatile int heldPort = -1;
 
-  /** Lets the connect go that has been held for longest; waits for one. */
+  /** Releases the oldest held connection attempt; waits for one. */
   void releaseNext() throws InterruptedException {
     releaseAndThen(() -> {});
   }
 
   /**
-   * As {@link #releaseNext}; right after the connect the loop does this, before it hears how that
-   * went.
+   * As {@link #releaseNext}; the loop runs the action right after the attempt, before it sees its
+   * result.
    */
   void releaseAndThen(Runnable action) throws InterruptedException {
     Consumer<Runnable> next = heldConnects.poll(10, TimeUnit.SECONDS);
@@ -43,7 +40,7 @@
     next.accept(action);
   }
 
-  /** Waits until a connect is held. */
+  /** Waits until a connection attempt is held. */
   void awaitHeldConnect() throws InterruptedException {
     DiscoveryFixture.await("a connect is held", () -> !heldConnects.isEmpty());
   }
--- a/src/test/java/edgenode/node/DiscoveryFixture.java
+++ b/src/test/java/edgenode/node/DiscoveryFixture.java
@@ -21,9 +21,9 @@
 import java.util.stream.Collectors;
 
 /**
- * A real node on sockets between stand-ins, a module that sends each request to one server as long
- * as it believes it up, and a client that never stops asking. When a command came last is noted at
- * the server's socket.
+ * A real node on sockets between emulators, a policy that sends each request to one endpoint while
+ * it is listed as up, and a client that sends requests all the time. The time of the last command
+ * is noted at the server's socket.
  */
 final class DiscoveryFixture implements AutoCloseable {
   static final long DRAIN_GRACE_MS = 250;
@@ -44,7 +44,10 @@
     this(discovery, null);
   }
 
-  /** Another node before the app server of a rig that stands, with a list known at its start. */
+  /**
+   * Another node that shares the application server of a fixture, with an endpoint list known at
+   * its start.
+   */
   DiscoveryFixture(
       DiscoveryAgentEmulator discovery,
       DiscoveryFixture sharedFixture,
@@ -134,7 +137,7 @@
     }
   }
 
-  /** Until the client's requests go to this server. */
+  /** Waits until the client's requests go to this endpoint. */
   void awaitServing(String endpointId) throws InterruptedException {
     target = endpointId;
     long commandsBefore = commandCount.get();
@@ -146,12 +149,12 @@
   }
 
   /**
-   * Waits until the drain is known; ms from when it was told to the last command that came to the
-   * server.
+   * Waits until the node knows that the endpoint drains; returns the time (ms) from then to the
+   * last command at the server.
    */
   double awaitDrained(String endpointId, long drainingSinceNanos) throws InterruptedException {
     await("the drain of " + endpointId, () -> endpointStates.get(endpointId) != EndpointState.UP);
-    Thread.sleep(15); // what was written before is read by then
+    Thread.sleep(15); // what was written before has been read by then
     return Math.max(0, lastCommandAtNanos.get() - drainingSinceNanos) / 1e6;
   }
 
@@ -174,33 +177,33 @@
     }
 
     @Override
-    public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {
-      for (EndpointInfo s : list) {
+    public void endpointsChanged(double nowMs, List<EndpointInfo> endpoints, boolean isComplete) {
+      for (EndpointInfo s : endpoints) {
         startedAtMs.put(s.id(), s.startedAtMs());
         endpointStates.put(s.id(), s.state());
       }
     }
 
     @Override
-    public void requestArrived(double now, IncomingRequest r) {
+    public void requestArrived(double nowMs, IncomingRequest request) {
       if (endpointStates.get(target) == EndpointState.UP) {
-        actions.send(r.id(), target, 0);
+        actions.send(request.id(), target, 0);
       } else {
-        actions.reject(r.id(), 0);
+        actions.reject(request.id(), 0);
       }
     }
 
     @Override
     public void attemptEnded(
-        double now,
+        double nowMs,
         long id,
         int attempt,
         CallOutcome outcome,
-        double took,
-        boolean over,
+        double tookMs,
+        boolean isRequestOver,
         int trueUnits,
-        double[] load) {
-      if (!over) {
+        double[] loadReport) {
+      if (!isRequestOver) {
         actions.fail(id);
       }
     }
--- a/src/test/java/edgenode/node/DiscoveryStallTest.java
+++ b/src/test/java/edgenode/node/DiscoveryStallTest.java
@@ -17,25 +17,23 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A drain is honoured within the grace wherever discovery's answers stall, to the byte: sends are
- * timed at the server's socket. The machine's own lateness is measured beside it and allowed for,
- * so that a busy one gives the same verdict.
+ * A draining endpoint gets no requests after the grace period wherever discovery's responses stall,
+ * at any byte. Commands are timed at the server's socket. The wake-up delay of the machine is
+ * measured and allowed for, so that a busy machine has the same verdict.
  */
 @Timeout(180)
 class DiscoveryStallTest {
   private static final int PARALLEL_FIXTURES = 6;
 
-  /**
-   * A byte at which a stall is not survived is late each time; a machine that was elsewhere is not.
-   */
+  /** A stall that is not handled is late in each try; a delay of the machine is not. */
   private static final int MAX_TRIES = 3;
 
-  /** One round on a rig: ms from told to the last send. */
+  /** One case on a fixture: time (ms) from the change to the last command. */
   private interface Round {
     double run(DiscoveryFixture rig, int offset, int turn) throws Exception;
   }
 
-  /** How late this machine wakes a thread: the most (ms) since it was last asked. */
+  /** The maximum delay (ms) with which this machine wakes a thread, since the last call. */
   private static final class WakeupDelayMeter implements AutoCloseable {
     private volatile long maxDelayNanos;
     private final Thread thread =
@@ -129,13 +127,14 @@
     assertEquals(offsets, delaysMs.size());
   }
 
-  /** What goes wrong at discovery between a server's coming and its going. */
+  /** A fault of discovery while an endpoint is up. */
   private interface Fault {
     void begin() throws Exception;
   }
 
   /**
-   * A server comes and serves, the fault begins, the server drains: ms from told to the last send.
+   * An endpoint serves, the fault begins, the endpoint drains: time (ms) from then to the last
+   * command.
    */
   private static double measureDrain(DiscoveryFixture fixture, String endpointId, Fault fault)
       throws Exception {
@@ -149,19 +148,19 @@
     return delayMs;
   }
 
-  /** Bytes of a watch's head. */
+  /** Bytes of the headers of a watch response. */
   private static final int WATCH_HEADER_BYTES =
       "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n"
           .length();
 
-  /** Bytes of the answer to a look that lists one server. */
+  /** Bytes of the response to a list request with one endpoint. */
   private static final int LIST_RESPONSE_BYTES =
       "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 180\r\n\r\n".length()
           + 180;
 
   /**
-   * The watch sends so many bytes and stalls, wherever that is: in its head, in a chunk's, in a
-   * line, behind.
+   * The watch stalls after any number of bytes: in its headers, in a chunk header, in a line, after
+   * it.
    */
   @Test
   void watchStallingAtAnyByte() throws Exception {
@@ -180,7 +179,7 @@
                 }));
   }
 
-  /** Both eyes at once: the watch stops dead, and the next look's answer stalls at any byte. */
+  /** The watch stops, and the response to the next list request stalls at any byte. */
   @Test
   void watchAndNextListRequestStallingAtAnyByte() throws Exception {
     runForEachOffset(
@@ -197,7 +196,8 @@
   }
 
   /**
-   * Discovery moves; what the new one sends first stalls at any byte, and the old one goes silent.
+   * Discovery's address changes; the first list of the new one stalls at any byte, and the old one
+   * goes silent.
    */
   @Test
   void newDiscoveryStallingAtAnyByte() throws Exception {
@@ -224,9 +224,7 @@
         });
   }
 
-  /**
-   * A start with a list known that is old by then: discovery's own first list stalls at any byte.
-   */
+  /** A start with an outdated endpoint list: discovery's own first list stalls at any byte. */
   @Test
   void firstListAtStartStallingAtAnyByte() throws Exception {
     runForEachOffset(
@@ -258,7 +256,8 @@
   }
 
   /**
-   * Silent for a while during a release of all servers, then all at once: each told is honoured.
+   * Discovery is silent while all endpoints are replaced, then sends everything at once: each
+   * change is applied.
    */
   @Test
   void allChangesAreAppliedAfterASilence() throws Exception {
--- a/src/test/java/edgenode/node/DiscoveryWatchTest.java
+++ b/src/test/java/edgenode/node/DiscoveryWatchTest.java
@@ -4,9 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A watch that breaks off or stalls: what it had to tell may be a drain, and that has 250 ms. */
+/** A watch that breaks or stalls: it may have a draining endpoint to report, which has 250 ms. */
 class DiscoveryWatchTest extends EdgeNodeFixture {
-  /** Half a line, and no end of the connection either: 5 s passed before it was taken for dead. */
+  /**
+   * Guards against 5 s in which a watch with a partial line and an open connection was not renewed.
+   */
   @Test
   void stalledPartialLineRenewsTheWatch() throws Exception {
     start();
@@ -18,14 +20,13 @@
   }
 
   /**
-   * After a watch that worked the next comes at once, not after the wait for one that cannot be
-   * had.
+   * After a working watch the next one is requested at once, without the backoff after failures.
    */
   @Test
   void brokenWatchIsRenewedAtOnce() throws Exception {
     start();
     long least = Long.MAX_VALUE;
-    for (int i = 0; i < 3; i++) { // the least of three: a busy machine only adds
+    for (int i = 0; i < 3; i++) { // the minimum of three: a busy machine only adds
       long ended = System.nanoTime();
       watchConnection.close();
       answerWatch(41 + i);
@@ -36,15 +37,15 @@
               42 + i,
               false,
               endpointJson("s" + i, appServer.address(), i == 0 ? "leaving" : "active")));
-      // it works: the next is the first
+      // a working watch resets the backoff
       expectPolicyEvent(i == 0 ? "changes s0 DRAINING" : "changes s" + i + " UP");
     }
     assertTrue(least < 190, "took " + least + " ms; 200 and more before");
   }
 
   /**
-   * Indented, an object comes in many lines: each was taken for a list by itself, and the watch
-   * broke off.
+   * Guards against taking each line of an indented object for a list of its own, which broke the
+   * watch.
    */
   @Test
   void indentedListOnTheWatchIsAccepted() throws Exception {
--- a/src/test/java/edgenode/node/DuplicateRequestTest.java
+++ b/src/test/java/edgenode/node/DuplicateRequestTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A student presses enrol twice, at a real node before a server that would enrol twice. */
+/** Duplicate submissions at a real node, before a server that would run each of them. */
 class DuplicateRequestTest extends EdgeNodeFixture {
   private int lastRequestId;
 
@@ -38,7 +38,7 @@
         body);
   }
 
-  /** A client whose enrolment is running at the server. */
+  /** Returns a client whose request is running at the server. */
   private FakePeer.Connection clientWithRunningEnrolment(String key) throws Exception {
     start();
     FakePeer.Connection client = connectClient();
@@ -47,7 +47,7 @@
     return client;
   }
 
-  /** What the server is asked next, or null where nothing comes for a while. */
+  /** Returns the id of the next request at the server, or null where none arrives for a while. */
   private String nextRequestIdOrNull(FakePeer.Connection serverSide) throws IOException {
     serverSide.socket.setSoTimeout(300);
     try {
@@ -107,7 +107,7 @@
     sendEnrolment(client, "1", 900, "seat 7");
     assertEquals(List.of("done"), client.readMessage());
     assertNull(nextRequestIdOrNull(serverConnection));
-    sendEnrolment(client, "2", 900, "seat 7"); // another key is another wish
+    sendEnrolment(client, "2", 900, "seat 7"); // another key is another request
     assertNotNull(nextRequestIdOrNull(serverConnection));
     serverConnection.writeAppServerValue("second");
     assertEquals(List.of("second"), client.readMessage());
@@ -115,7 +115,7 @@
     assertFiguresConsistent();
   }
 
-  /** The browser was closed and opened again: the work goes on, and its answer is not lost. */
+  /** The client reconnects: the request goes on, and its response is not lost. */
   @Test
   void duplicateGetsResponseAfterFirstClientDisconnects() throws Exception {
     FakePeer.Connection client = clientWithRunningEnrolment("1");
@@ -134,7 +134,10 @@
     assertFiguresConsistent();
   }
 
-  /** Nothing ran: the next one may try, and is not told what the first was told. */
+  /**
+   * Nothing ran: the next request with the key is forwarded and does not get the response of the
+   * first.
+   */
   @Test
   void requestThatDidNotRunMayBeRetried() throws Exception {
     start();
@@ -143,7 +146,7 @@
       sendEnrolment(client, "1", 900, "seat 7");
       nextRequestIdOrNull(serverConnection);
       serverConnection.write("-BUSY\r\n");
-      assertEquals(List.of("-ERR failed"), client.readMessage()); // so the scripted module has it
+      assertEquals(List.of("-ERR failed"), client.readMessage()); // as the scripted policy decides
     }
     sendEnrolment(client, "1", 900, "seat 7");
     assertEquals("e3", nextRequestIdOrNull(serverConnection));
@@ -152,7 +155,7 @@
     assertFiguresConsistent();
   }
 
-  /** It may have run: a repeat is told the same, and nothing goes out. */
+  /** The request may have run: a duplicate gets the same response and is not forwarded. */
   @Test
   void requestThatMayHaveRunIsNotRetried() throws Exception {
     FakePeer.Connection client = clientWithRunningEnrolment("1");
@@ -163,7 +166,8 @@
     assertNull(nextRequestIdOrNull(serverConnection));
     sendEnrolment(client, "2", 200, "seat 7");
     assertNotNull(nextRequestIdOrNull(serverConnection));
-    assertEquals(List.of("-ERR failed"), client.readMessage()); // no answer in time: it may run yet
+    assertEquals(
+        List.of("-ERR failed"), client.readMessage()); // no response in time: it may still run
     sendEnrolment(client, "2", 900, "seat 7");
     assertEquals(List.of("-ERR failed"), client.readMessage());
     assertNull(appServer.poll(200));
@@ -201,7 +205,7 @@
     assertFiguresConsistent();
   }
 
-  /** It went on to all its attempts, though nobody waited for its answer any more. */
+  /** Guards against retries of a request whose response nobody waits for. */
   @Test
   void requestWithoutWaitingClientIsNotRetried() throws Exception {
     start();
@@ -220,7 +224,8 @@
   }
 
   /**
-   * A long value is passed on and not kept; those that wait are told so, and nothing runs again.
+   * A long value is streamed and not cached; waiting duplicates get an error, and nothing runs
+   * again.
    */
   @Test
   void longValueIsNotReplayed() throws Exception {
@@ -244,7 +249,7 @@
     FakePeer.Connection client = clientWithRunningEnrolment("1");
     serverConnection.writeAppServerValue("done");
     client.readMessage();
-    Thread.sleep(400); // the time itself is what is tested
+    Thread.sleep(400); // the delay is what is tested
     sendEnrolment(client, "1", 900, "seat 7");
     assertNotNull(nextRequestIdOrNull(serverConnection));
   }
@@ -266,9 +271,9 @@
   }
 
   /**
-   * Impatient students by the dozen, who press again, close and come back, before a server that
-   * notes each effect and drops no repeat: with room for all keys none happens twice, and each has
-   * one answer for all of its presses.
+   * Many clients that submit again, disconnect and reconnect, before a server that counts each
+   * effect and detects no duplicates: while the key table has capacity none runs twice, and all
+   * submissions of a key get the same response.
    */
   @Test
   void noDuplicateEffectWhileKeyTableHasCapacity() throws Exception {
@@ -329,7 +334,7 @@
     Random random = new Random(student);
     try {
       for (int round = 0; round < 12; round++) {
-        String key = student / 2 + "r" + round; // two browsers of one student
+        String key = student / 2 + "r" + round; // two clients of one student
         for (int i = 0; i < 4; i++) {
           try (FakePeer.Connection connection = FakePeer.Connection.connect(port)) {
             connection.writeCommand(
@@ -340,7 +345,7 @@
                 "seat " + key);
             if (random.nextInt(3) == 0) {
               TimeUnit.MILLISECONDS.sleep(random.nextInt(8));
-              continue; // gone before the answer
+              continue; // disconnected before the response
             }
             String answer = connection.readMessage().get(0);
             answerCount.incrementAndGet();
@@ -356,7 +361,7 @@
     }
   }
 
-  /** Each command is an effect; its answer tells its number. */
+  /** Each command has an effect; its response names the number of effects of the key. */
   private static void countEffects(
       FakePeer.Connection connection, Map<String, AtomicInteger> effects) {
     Thread thread =
@@ -374,7 +379,7 @@
                   connection.writeAppServerValue("effect " + count + " of " + key);
                 }
               } catch (IOException | InterruptedException e) {
-                // the node has ended it
+                // the node has closed it
               }
             });
     thread.setDaemon(true);
--- a/src/test/java/edgenode/node/EdgeNodeFixture.java
+++ b/src/test/java/edgenode/node/EdgeNodeFixture.java
@@ -31,70 +31,70 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** A real edge node between peers on loopback sockets, with a scripted module for the decisions. */
+/** A real edge node between peers on loopback sockets, with a scripted policy. */
 @Timeout(30)
 abstract class EdgeNodeFixture {
   static final String CUSTOMER = "00000000b4d65521";
 
-  /** Notes what it is told and acts by the class of a request: most go to server s0. */
+  /** Records its events and acts by the class of a request: most are sent to endpoint s0. */
   final class ScriptedPolicy implements PolicyEvents {
     PolicyActions actions;
 
-    /** Requests that are sent once more when their first attempt has ended. */
+    /** Requests that are retried when their first attempt has ended. */
     private final Set<Long> retried = new HashSet<>();
 
-    /** Requests that are sent when their timer comes. */
+    /** Requests that are sent when their timer fires. */
     private final Set<Long> delayed = new HashSet<>();
 
     @Override
-    public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {
-      StringBuilder text = new StringBuilder(whole ? "whole" : "changes");
-      list.forEach(s -> text.append(' ').append(s.id()).append(' ').append(s.state()));
+    public void endpointsChanged(double nowMs, List<EndpointInfo> endpoints, boolean isComplete) {
+      StringBuilder text = new StringBuilder(isComplete ? "whole" : "changes");
+      endpoints.forEach(s -> text.append(' ').append(s.id()).append(' ').append(s.state()));
       policyEvents.add(text.toString());
     }
 
     @Override
-    public void discoveryFailed(double now) {
+    public void discoveryFailed(double nowMs) {
       policyEvents.add("discovery failed");
     }
 
     @Override
-    public void requestArrived(double now, IncomingRequest r) {
-      lastTimeBudgetMs = r.remainingMs();
+    public void requestArrived(double nowMs, IncomingRequest request) {
+      lastTimeBudgetMs = request.remainingMs();
       policyEvents.add(
           "arrived "
-              + r.id()
+              + request.id()
               + " "
-              + r.className()
+              + request.className()
               + " "
-              + r.planName()
+              + request.planName()
               + " "
-              + r.customerName()
+              + request.customerName()
               + " "
-              + r.units()
+              + request.units()
               + " "
-              + r.nodeSpread()
+              + request.nodeSpread()
               + " "
-              + r.firstNode()
+              + request.firstNode()
               + " "
-              + r.isClientRetry());
-      switch (r.className()) {
-        case "refuse" -> actions.reject(r.id(), 1500);
-        case "fail" -> actions.fail(r.id());
+              + request.isClientRetry());
+      switch (request.className()) {
+        case "refuse" -> actions.reject(request.id(), 1500);
+        case "fail" -> actions.fail(request.id());
         case "throw" -> throw new IllegalStateException("on purpose");
         case "hold" -> {}
         case "stall" -> await(stallLatch);
         case "later" -> {
-          delayed.add(r.id());
-          actions.setTimer(100, r.id());
+          delayed.add(request.id());
+          actions.setTimer(100, request.id());
         }
         case "again" -> {
-          retried.add(r.id());
-          actions.send(r.id(), "s0", 0);
+          retried.add(request.id());
+          actions.send(request.id(), "s0", 0);
         }
         case "drop" -> {
-          actions.send(r.id(), "s0", 0);
-          actions.fail(r.id());
+          actions.send(request.id(), "s0", 0);
+          actions.fail(request.id());
         }
         case "count" -> {
           actions.addToCounter(77, -2.5, 4000);
@@ -102,41 +102,41 @@
         }
         case "probe" -> actions.checkHealth("s0");
         case "cancel" -> {
-          actions.send(r.id(), "s0", 0);
-          actions.setTimer(300, r.id());
+          actions.send(request.id(), "s0", 0);
+          actions.setTimer(300, request.id());
         }
-        default -> actions.send(r.id(), "s0", 0);
+        default -> actions.send(request.id(), "s0", 0);
       }
     }
 
     @Override
-    public void responseStarted(double now, long id, int attempt) {}
+    public void responseStarted(double nowMs, long id, int attempt) {}
 
     @Override
     public void attemptEnded(
-        double now,
+        double nowMs,
         long id,
         int attempt,
         CallOutcome outcome,
-        double took,
-        boolean over,
+        double tookMs,
+        boolean isRequestOver,
         int trueUnits,
-        double[] load) {
-      policyEvents.add("ended " + id + " " + attempt + " " + outcome + " " + over);
-      if (!over && retried.remove(id)) {
+        double[] loadReport) {
+      policyEvents.add("ended " + id + " " + attempt + " " + outcome + " " + isRequestOver);
+      if (!isRequestOver && retried.remove(id)) {
         actions.send(id, "s0", 0);
-      } else if (!over) {
+      } else if (!isRequestOver) {
         actions.fail(id);
       }
     }
 
     @Override
-    public void clientDisconnected(double now, long id) {
+    public void clientDisconnected(double nowMs, long id) {
       policyEvents.add("gone " + id);
     }
 
     @Override
-    public void timerFired(double now, long token) {
+    public void timerFired(double nowMs, long token) {
       if (timersToFail-- > 0) {
         throw new IllegalStateException("timer on purpose");
       }
@@ -150,13 +150,14 @@
 
     @Override
     public void healthCheckEnded(
-        double now, String server, CallOutcome outcome, double took, double[] load) {
-      policyEvents.add("probed " + server + " " + outcome + " " + java.util.Arrays.toString(load));
+        double nowMs, String server, CallOutcome outcome, double tookMs, double[] loadReport) {
+      policyEvents.add(
+          "probed " + server + " " + outcome + " " + java.util.Arrays.toString(loadReport));
     }
 
     @Override
     public void counterCallEnded(
-        double now, long name, CallOutcome outcome, double took, double total) {
+        double nowMs, long name, CallOutcome outcome, double tookMs, double total) {
       policyEvents.add("counted " + name + " " + outcome + " " + total);
     }
   }
@@ -171,27 +172,27 @@
   EdgeNode node;
   boolean isShutDown;
 
-  /** Under the node's sockets. */
+  /** The node's transport. */
   Transport transport = Transport.SOCKETS;
 
   int maxDescriptors = 256;
   int keepAliveMs = 15_000;
 
-  /** Where clients come; 0 is any free port. */
+  /** The port for clients; 0 is any free port. */
   int listenPort;
 
-  /** The operators' own settings, as in their file; null where there are none. */
+  /** The operators' settings as TOML; null where there are none. */
   String edgeSettingsToml;
 
-  /** Whether operators may call. */
+  /** Whether the node has an admin address. */
   boolean hasAdminAddress;
 
   volatile int timersToFail;
 
-  /** How long (ms) the last request that the module was told of could be worked on. */
+  /** Remaining time (ms) of the last request that arrived at the policy. */
   volatile double lastTimeBudgetMs;
 
-  /** Until it falls a request of class stall keeps the loop busy. */
+  /** Until it is counted down, a request of class stall blocks the event loop. */
   final CountDownLatch stallLatch = new CountDownLatch(1);
 
   static void await(CountDownLatch latch) {
@@ -230,7 +231,7 @@
   }
 
   /**
-   * The next connection that asks for a watch; looks at the list in between are left unanswered.
+   * Returns the next connection that requests a watch; list requests in between are not answered.
    */
   FakePeer.Connection acceptWatch(FakePeer discovery, int since) throws Exception {
     while (true) {
@@ -322,7 +323,7 @@
     node.startAdmin();
     node.start();
     watching.join();
-    serverConnection = appServer.accept(); // the connection made ahead
+    serverConnection = appServer.accept(); // the connection established at the start
     expectPolicyEvent("whole s0 UP");
   }
 
@@ -343,12 +344,12 @@
     return connection;
   }
 
-  /** A figure as operators read it; its path's parts are the names in the answer. */
+  /** A figure of the telemetry; its path consists of the names in the JSON object. */
   String figure(String path) throws IOException {
     return AdminClient.call(node.adminAddress(), "GET /api/telemetry").values().get(path);
   }
 
-  /** Until a figure is what it should be. */
+  /** Waits until a figure has a value. */
   void figure(String path, String value) throws Exception {
     DiscoveryFixture.await(
         path + " " + value,
@@ -361,7 +362,7 @@
         });
   }
 
-  /** Has the node end, on a thread of its own, and waits until it has begun to. */
+  /** Shuts the node down on a thread of its own, and waits until that has begun. */
   Thread beginShutdown() throws InterruptedException {
     isShutDown = true;
     Thread draining = new Thread(node::shutdown);
@@ -387,7 +388,7 @@
         "c=" + className + ",t=p,d=" + waitMs + ",units=2,spread=3,first=1");
   }
 
-  /** The next thing told to the module. */
+  /** Expects the next event at the policy. */
   void expectPolicyEvent(String event) throws InterruptedException {
     assertEquals(event, policyEvents.poll(10, TimeUnit.SECONDS));
   }
--- a/src/test/java/edgenode/node/EdgeNodeTest.java
+++ b/src/test/java/edgenode/node/EdgeNodeTest.java
@@ -24,9 +24,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Calls through the edge node: order, outcomes, lists, counter, its end. */
+/** Requests through the node: order, outcomes, endpoint lists, counter, shutdown. */
 class EdgeNodeTest extends EdgeNodeFixture {
-  /** What the module throws at its start ends the start, and does not leave it waiting. */
+  /** A failure of the policy at its start fails the start, and does not block it. */
   @Test
   void policyFailureAtStartFailsTheStart() throws Exception {
     EdgeNode failing =
@@ -66,7 +66,7 @@
     expectPolicyEvent("ended 1 0 OK true");
   }
 
-  /** Answers keep the order of the commands, whichever app server is quicker. */
+  /** Responses keep the order of the commands, whichever server is faster. */
   @Test
   void pipelinedRequestsAreAnsweredInOrder() throws Exception {
     start();
@@ -114,7 +114,8 @@
   }
 
   /**
-   * The protocol's table of outcomes; a break after the last byte may have run, one before has not.
+   * The protocol's table of outcomes; after the last byte was sent a request may have run, before
+   * it has not.
    */
   @Test
   void eachAttemptEndHasItsOutcome() throws Exception {
@@ -141,7 +142,7 @@
     expectPolicyEvent("ended 4 0 NO_CONNECTION false");
   }
 
-  /** A late answer to an attempt that was given up must not be taken for the next one's. */
+  /** A late response to a cancelled attempt must not be taken for that of the next request. */
   @Test
   void cancelledAttemptClosesItsConnection() throws Exception {
     start();
@@ -161,7 +162,7 @@
   }
 
   /**
-   * The last word is the node's where the module has none: each request gets one answer in time.
+   * Where the policy makes no decision the node responds: each request gets one response in time.
    */
   @Test
   void requestWithoutDecisionIsAnsweredByTheNode() throws Exception {
@@ -179,10 +180,7 @@
     assertEquals(List.of("-ERR failed"), client.readMessage());
   }
 
-  /**
-   * The module arms one timer for all it waits for: an exception there must not be the end of its
-   * time.
-   */
+  /** The policy has one timer for all that it waits for: an exception there must not stop it. */
   @Test
   void failedTimerIsRetried() throws Exception {
     timersToFail = 1;
@@ -220,8 +218,8 @@
   }
 
   /**
-   * Counter calls end in time as 'may have been added', and a late answer must not shift onto the
-   * next.
+   * Counter calls time out as 'may have been added', and a late response must not be taken for that
+   * of the next call.
    */
   @Test
   void lateCounterResponsesMatchTheirCalls() throws Exception {
@@ -242,7 +240,7 @@
                   assertEquals(List.of("CNT.ADD", "77", "-2.5", "4000"), words);
                   called.add(connection);
                 } catch (IOException closed) {
-                  // one of those that no call came on
+                  // a connection without a call
                 }
               });
       reading.setDaemon(true);
@@ -261,7 +259,7 @@
     connection.readMessage();
     connection.readMessage();
     connection.write(
-        "$2\r\n-1\r\n$2\r\n-2\r\n$3\r\n1.5\r\n-BUSY\r\n"); // two late ones, then those in time
+        "$2\r\n-1\r\n$2\r\n-2\r\n$3\r\n1.5\r\n-BUSY\r\n"); // two late responses, then two in time
     expectPolicyEvent("counted 77 OK -1.0");
     expectPolicyEvent("counted 77 OK -2.0");
     expectPolicyEvent("counted 77 OK 1.5");
@@ -279,10 +277,10 @@
     start();
     pushToWatch(endpointListJson(42, false, endpointJson("s0", appServer.address(), "leaving")));
     expectPolicyEvent("changes s0 DRAINING");
-    assertTrue(serverConnection.isClosedByPeer()); // idle connections go with it
+    assertTrue(serverConnection.isClosedByPeer()); // idle connections are closed
     try (FakePeer moved = new FakePeer()) {
       pushToWatch(endpointListJson(43, false, endpointJson("s0", moved.address(), "active")));
-      expectPolicyEvent("changes s0 DRAINING"); // it has moved, and comes up a moment later
+      expectPolicyEvent("changes s0 DRAINING"); // a new address: up a moment later
       expectPolicyEvent("changes s0 UP");
       FakePeer.Connection client = connectClient();
       sendGet(client, "01", "read", 900);
@@ -301,7 +299,9 @@
     }
   }
 
-  /** A watch to a machine that vanished is silent for ever: it is dead once its 2 s lines stop. */
+  /**
+   * A watch to a machine that disappeared is silent: it is renewed once its 2 s heartbeats stop.
+   */
   @Test
   void silentWatchIsRenewedFromItsVersion() throws Exception {
     start();
@@ -309,7 +309,10 @@
     acceptWatch(discovery, 41);
   }
 
-  /** At SIGTERM connections still come for a while; what is taken is answered, and then it ends. */
+  /**
+   * After SIGTERM clients still connect for a while; accepted requests are answered, then the node
+   * ends.
+   */
   @Test
   void gracefulShutdownAnswersOpenRequests() throws Exception {
     start();
@@ -339,8 +342,8 @@
   }
 
   /**
-   * A client may come before bind has returned to its caller: the first was then dropped, as the
-   * listener was not known yet. Here bind never returns, as its caller is interrupted.
+   * Guards against a client that connects before bind returns: the listening channel was not known
+   * yet. Here bind never returns, as its caller is interrupted.
    */
   @Test
   void clientMayConnectBeforeBindReturns() throws Exception {
@@ -355,7 +358,7 @@
           new NettyEdgeEventLoop(group, Transport.SOCKETS, Clock.system(), connection -> {});
       new ClientListener(loop, (slot, command, isOverLimit) -> "not expected", 8, false)
           .bind(address); // not waited for
-      group.submit(() -> {}).sync(); // the bind that was left to the loop is done
+      group.submit(() -> {}).sync(); // the bind on the event loop is done
       group.submit(() -> {}).sync();
       try (FakePeer.Connection connection = FakePeer.Connection.connect(address.getPort())) {
         connection.writeCommand("PING");
@@ -366,7 +369,7 @@
     }
   }
 
-  /** What a slow reader has still to get is not cut off when the node ends its connection. */
+  /** A slow reader gets its complete response when the node closes the connection. */
   @Test
   void slowReaderGetsCompleteResponseAtShutdown() throws Exception {
     maxDescriptors = 512;
@@ -388,10 +391,10 @@
     draining.start();
     assertThrows(
         SocketException.class,
-        () -> { // refused, or reset in the queue of the listener that closes
+        () -> { // refused, or reset in the backlog of the closing listener
           while (draining.isAlive()) {
             connectClient()
-                .close(); // until it listens no more: by then the connections have been ended too
+                .close(); // until it stops listening: by then the connections are closing too
           }
         });
     for (int i = 0; i < calls; i++) {
--- a/src/test/java/edgenode/node/EndpointLivenessTest.java
+++ b/src/test/java/edgenode/node/EndpointLivenessTest.java
@@ -11,9 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * What connections to servers say beside the list, and lists that cannot be right, on a real node.
- */
+/** Liveness from connections to servers, and implausible endpoint lists, on a real node. */
 @Timeout(60)
 class EndpointLivenessTest {
   private static boolean isUp(DiscoveryFixture fixture, String endpointId) {
@@ -26,7 +24,7 @@
         .join();
   }
 
-  /** The process dies, its entry lives on: nothing more is sent. It comes back, and is cold. */
+  /** The process fails while it is listed: nothing is sent to it. It returns, and warms up. */
   @Test
   void deadEndpointGetsNoRequestsAndWarmsUpOnReturn() throws Exception {
     try (DiscoveryFixture fixture = new DiscoveryFixture(new DiscoveryAgentEmulator(40))) {
@@ -48,7 +46,7 @@
     }
   }
 
-  /** A list that is suddenly empty is not believed while the servers answer. */
+  /** A list that is suddenly empty is not applied while the endpoints respond. */
   @Test
   void emptyListIsQuarantinedWhileEndpointsRespond() throws Exception {
     try (DiscoveryFixture fixture = new DiscoveryFixture(new DiscoveryAgentEmulator(40))) {
@@ -57,7 +55,9 @@
       fixture.agent.restart(60, List.of());
       DiscoveryFixture.await("held", () -> membershipFigures(fixture).quarantinedCount() == 1);
       long commandsBefore = fixture.commandCount.get();
-      Thread.sleep(1500); // longer than an answer counts: the ones that come meanwhile hold it
+      Thread.sleep(
+          1500); // longer than a response counts as a sign of life: later responses keep the
+      // quarantine
       assertTrue(
           isUp(fixture, "a") && fixture.commandCount.get() > commandsBefore + 10, "held, and used");
       fixture.appServer.die();
@@ -67,8 +67,7 @@
   }
 
   /**
-   * Discovery lost its state and counts from below: a drain from there is honoured, and so is what
-   * comes up.
+   * Discovery lost its state and its versions start again: draining and new endpoints are applied.
    */
   @Test
   void listVersionsThatGoBackwardsAreFollowed() throws Exception {
--- a/src/test/java/edgenode/node/FakePeer.java
+++ b/src/test/java/edgenode/node/FakePeer.java
@@ -14,12 +14,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/**
- * The other side for tests: plain blocking sockets of the loopback address; the test reads and
- * writes.
- */
+/** A server or client of the node on blocking loopback sockets; the test reads and writes. */
 public final class FakePeer implements Closeable {
-  /** One connection, with the commands or lines that are read from it by hand. */
+  /** One connection, whose commands or lines the test reads. */
   public static final class Connection implements Closeable {
     final Socket socket;
     final InputStream input;
@@ -49,7 +46,10 @@
       return text.toString().replace("\r", "");
     }
 
-    /** Reads one RESP message: an array as its parts, a bulk string as one part, else the line. */
+    /**
+     * Reads one RESP message: the elements of an array, a bulk string as one element, else the
+     * line.
+     */
     public List<String> readMessage() throws IOException {
       String header = readLine();
       List<String> parts = new ArrayList<>();
@@ -83,7 +83,7 @@
       write(text.toString());
     }
 
-    /** An app server's answer. */
+    /** Writes the response of an application server. */
     void writeAppServerValue(String value) throws IOException {
       write("*3\r\n$" + value.length() + "\r\n" + value + "\r\n$-1\r\n$-1\r\n");
     }
@@ -139,7 +139,7 @@
     return connection;
   }
 
-  /** A connection that comes within so many milliseconds, or null. */
+  /** Returns a connection that arrives within this time, or null. */
   Connection poll(long waitMs) throws InterruptedException {
     return accepted.poll(waitMs, java.util.concurrent.TimeUnit.MILLISECONDS);
   }
--- a/src/test/java/edgenode/node/FileDescriptorLimitTest.java
+++ b/src/test/java/edgenode/node/FileDescriptorLimitTest.java
@@ -27,16 +27,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * An edge node in a process of its own under the system's limit on descriptors, RLIMIT_NOFILE of
- * getrlimit(2), and a crowd of idle clients that takes all it can: what the node needs for
- * discovery, counter and app servers stays free.
+ * An edge node in a process of its own under a limit of file descriptors (RLIMIT_NOFILE of
+ * getrlimit(2)), with many idle clients that use what they can: the descriptors for discovery,
+ * counter and servers stay free.
  */
 @Timeout(90)
 class FileDescriptorLimitTest {
   private static final String CUSTOMER = "00000000b4d65521";
+  private static final int ANSWERED_REQUESTS = 10;
+  private static final String REPORT =
+      "limit of %d descriptors: %d at the start, %d at most, list and ten answers after %.0f ms, "
+          + "%d held at app servers%n";
   private static final int MAX_WAITING_REQUESTS = 60;
 
-  /** Names at one address: each has connections of its own. */
+  /** Endpoints at one address: each has connections of its own. */
   private static final int ENDPOINTS = 12;
 
   private final List<String> log = Collections.synchronizedList(new ArrayList<>());
@@ -112,7 +116,7 @@
         "c=read,t=p,d=30000,units=1,spread=1,first=0");
   }
 
-  /** A request that is asked once more where its connection ended unread, as clients do. */
+  /** Sends a request, again where its connection was closed unread, as clients do. */
   private String sendUntilAnswered() throws IOException {
     for (int attempt = 0; ; attempt++) {
       FakePeer.Connection connection = connectClient();
@@ -133,10 +137,7 @@
     }
   }
 
-  /**
-   * Those that stay, whatever becomes of their connections: idle ones after a PING, and silent
-   * ones.
-   */
+  /** Clients that never close: idle ones after a PING, and silent ones. */
   private void connectCrowd(int clients) throws IOException {
     for (int i = 0; i < clients; i++) {
       FakePeer.Connection connection = connectClient();
@@ -144,7 +145,7 @@
         try {
           connection.writeCommand("PING");
         } catch (IOException e) {
-          continue; // shut unread
+          continue; // closed unread
         }
       }
     }
@@ -163,65 +164,42 @@
             new ThreadedAppServerEmulator(
                 at -> {
                   heldRequests.incrementAndGet();
-                  try {
-                    releaseResponses.await();
-                  } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                  }
+                  awaitRelease(releaseResponses);
                 });
         ThreadedAppServerEmulator otherAppServer =
             new ThreadedAppServerEmulator(at -> requestsAtOtherServer.incrementAndGet())) {
-      for (int i = 0; i < ENDPOINTS; i++) {
-        firstDiscovery.set(
-            new DiscoveryAgentEmulator.Host("s" + i, appServer.address(), "active", 0));
-      }
-      int at =
-          Integer.parseInt(
-              firstDiscovery.address().substring(firstDiscovery.address().indexOf(':') + 1));
+      listEndpoints(firstDiscovery, appServer, "active");
+      int discoveryPort = portOf(firstDiscovery.address());
       Process process = start(folder, limit, firstDiscovery.address(), counter.address());
       try {
         DiscoveryFixture.await("the node serves", this::isServing);
         long descriptorsAtStart = countDescriptors(process);
-        List<FakePeer.Connection> waiting = new ArrayList<>();
-        for (int i = 0; i < Math.min(MAX_WAITING_REQUESTS, limit / 6); i++) {
-          FakePeer.Connection connection = connectClient();
-          sendRequest(connection);
-          waiting.add(connection);
-        }
+        List<FakePeer.Connection> waiting = sendRequests(Math.min(MAX_WAITING_REQUESTS, limit / 6));
         DiscoveryFixture.await("some are held", () -> heldRequests.get() > 0);
         firstDiscovery
-            .close(); // what it held in the node is free now, and the crowd takes what it can
+            .close(); // its descriptors in the node are free, and the crowd takes what it can
         connectCrowd(2 * limit);
         long maxDescriptors = countDescriptors(process);
         try (DiscoveryAgentEmulator secondDiscovery =
-            new DiscoveryAgentEmulator("127.0.0.1", at, 50)) {
-          for (int i = 0; i < ENDPOINTS; i++) {
-            secondDiscovery.set(
-                new DiscoveryAgentEmulator.Host("s" + i, appServer.address(), "leaving", 0));
-          }
+            new DiscoveryAgentEmulator("127.0.0.1", discoveryPort, 50)) {
+          listEndpoints(secondDiscovery, appServer, "leaving");
           secondDiscovery.set(
               new DiscoveryAgentEmulator.Host("other", otherAppServer.address(), "active", 0));
           long sinceNanos = System.nanoTime();
           connectCrowd(limit / 4);
-          DiscoveryFixture.await(
-              "the list is asked for" + log, () -> secondDiscovery.requests() > 0);
-          for (int i = 0; i < 10; i++) {
-            assertEquals("ok", sendUntilAnswered());
-          }
+          expectAnswers(secondDiscovery);
           maxDescriptors = Math.max(maxDescriptors, countDescriptors(process));
           System.out.printf(
-              "limit of %d descriptors: %d at the start, %d at most, list "
-                  + "and ten answers after %.0f ms, %d held at app servers%n",
+              REPORT,
               limit,
               descriptorsAtStart,
               maxDescriptors,
               (System.nanoTime() - sinceNanos) / 1e6,
               heldRequests.get());
-          assertTrue(requestsAtOtherServer.get() >= 10, "the new list's server has them");
+          assertTrue(
+              requestsAtOtherServer.get() >= ANSWERED_REQUESTS, "the new list's server has them");
           releaseResponses.countDown();
-          for (FakePeer.Connection connection : waiting) { // none is lost that was taken
-            assertEquals("ok", connection.readMessage().get(0));
-          }
+          expectAllAnswered(waiting);
           assertTrue(maxDescriptors < limit, maxDescriptors + " of " + limit);
           assertTrue(
               log.stream().noneMatch(l -> l.contains("Too many open files")), log.toString());
@@ -232,12 +210,61 @@
             e);
       } finally {
         releaseResponses.countDown();
-        process.destroyForcibly();
-        assertTrue(process.waitFor(10, TimeUnit.SECONDS));
-        for (AutoCloseable each : resources) {
-          each.close();
-        }
+        end(process);
       }
     }
   }
+
+  private static int portOf(String address) {
+    return Integer.parseInt(address.substring(address.indexOf(':') + 1));
+  }
+
+  /** The node has asked for the list, and forwards requests to the endpoint on it. */
+  private void expectAnswers(DiscoveryAgentEmulator discovery) throws Exception {
+    DiscoveryFixture.await("the list is asked for" + log, () -> discovery.requests() > 0);
+    for (int i = 0; i < ANSWERED_REQUESTS; i++) {
+      assertEquals("ok", sendUntilAnswered());
+    }
+  }
+
+  /** No accepted request is lost. */
+  private static void expectAllAnswered(List<FakePeer.Connection> waiting) throws IOException {
+    for (FakePeer.Connection connection : waiting) {
+      assertEquals("ok", connection.readMessage().get(0));
+    }
+  }
+
+  private void end(Process process) throws Exception {
+    process.destroyForcibly();
+    assertTrue(process.waitFor(10, TimeUnit.SECONDS));
+    for (AutoCloseable each : resources) {
+      each.close();
+    }
+  }
+
+  private static void awaitRelease(CountDownLatch releaseResponses) {
+    try {
+      releaseResponses.await();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+  }
+
+  private List<FakePeer.Connection> sendRequests(int count) throws IOException {
+    List<FakePeer.Connection> waiting = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      FakePeer.Connection connection = connectClient();
+      sendRequest(connection);
+      waiting.add(connection);
+    }
+    return waiting;
+  }
+
+  private static void listEndpoints(
+      DiscoveryAgentEmulator discovery, ThreadedAppServerEmulator appServer, String health)
+      throws IOException {
+    for (int i = 0; i < ENDPOINTS; i++) {
+      discovery.set(new DiscoveryAgentEmulator.Host("s" + i, appServer.address(), health, 0));
+    }
+  }
 }
--- a/src/test/java/edgenode/node/MalformedResponseTest.java
+++ b/src/test/java/edgenode/node/MalformedResponseTest.java
@@ -7,9 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/**
- * Answers of app servers and of the counter that are spoilt, or bring more than belongs to them.
- */
+/** Responses of servers and counter that are malformed, or followed by more bytes. */
 class MalformedResponseTest extends EdgeNodeFixture {
   private FakePeer.Connection sendAndAcceptNext(FakePeer.Connection client, int id)
       throws Exception {
@@ -20,7 +18,7 @@
     return connection;
   }
 
-  /** A second copy, or half a message, right behind an answer is not the next request's value. */
+  /** A second response, or part of one, right after a response is not the next request's value. */
   @Test
   void trailingBytesCloseTheConnection() throws Exception {
     start();
@@ -42,9 +40,8 @@
   }
 
   /**
-   * A second answer some milliseconds late was taken for the next request's, which went out on the
-   * connection 2 ms after the first. A round counts in which this machine was quick enough to have
-   * it come within 8 ms.
+   * Guards against a second response that was taken for that of the next request, which was sent on
+   * the connection 2 ms after the first. A round counts in which this machine sent it within 8 ms.
    */
   @Test
   void lateDuplicateResponseIsNotUsedForNextRequest() throws Exception {
@@ -59,9 +56,9 @@
       connection.writeAppServerValue("one");
       assertEquals(List.of("one"), client.readMessage());
       sendGet(client, "0" + id, "read", 5000);
-      Thread.sleep(5); // it is late by so much: that is what is tested
+      Thread.sleep(5); // this delay is what is tested
       connection.writeAppServerValue("one");
-      if (System.nanoTime() - from >= 8_000_000) { // the next may have gone out on it: begin anew
+      if (System.nanoTime() - from >= 8_000_000) { // the next may have been sent on it: start again
         connection.close();
         client = connectClient();
         sendGet(client, "x" + id, "read", 5000);
@@ -76,7 +73,7 @@
     assertEquals(3, counted, "this machine is too slow to tell");
   }
 
-  /** The connection on which this request comes. */
+  /** Returns the connection on which this request arrives. */
   private FakePeer.Connection connectionCarrying(String id) throws Exception {
     while (true) {
       FakePeer.Connection connection = appServer.accept();
@@ -86,7 +83,7 @@
     }
   }
 
-  /** Also when nothing is asked on the connection: the decoder keeps half a message to itself. */
+  /** Also without a request on the connection: the decoder buffers part of a message. */
   @Test
   void bytesOnIdleConnectionCloseIt() throws Exception {
     start();
@@ -97,7 +94,7 @@
     expectPolicyEvent("ended 1 0 OK true");
   }
 
-  /** It may have run, and what comes next on the connection belongs to nobody. */
+  /** The request may have run, and the next bytes of the connection belong to no request. */
   @Test
   void malformedResponseIsAnErrorAndClosesConnection() throws Exception {
     start();
@@ -126,9 +123,7 @@
     }
   }
 
-  /**
-   * A value whose length is longer than what comes kept its request until the client's time was up.
-   */
+  /** Guards against a value longer than announced, which blocked its request until the deadline. */
   @Test
   void invalidResponseLengthFailsAtOnce() throws Exception {
     start();
@@ -142,7 +137,7 @@
     assertTrue(serverConnection.isClosedByPeer());
   }
 
-  /** A report that cannot be read spoils no value, and the connection is as good as before. */
+  /** A malformed load report affects neither value nor connection. */
   @Test
   void malformedLoadReportDoesNotAffectValue() throws Exception {
     start();
@@ -158,7 +153,7 @@
   }
 
   /**
-   * No number in it: the amount was added; the line is of no use, and NaN would stay in all sums.
+   * Not a number: the amount was added; the connection is unusable, and NaN would stay in all sums.
    */
   @Test
   void nonNumericCounterResponseClosesConnection() throws Exception {
@@ -190,13 +185,13 @@
       }
       connection.write(malformed[i - 1]);
       expectPolicyEvent("counted 77 ERROR 0.0");
-      expectPolicyEvent("counted 77 RESET 0.0"); // the second call was behind it
+      expectPolicyEvent("counted 77 RESET 0.0"); // the second call was queued behind it
       connection = counter.accept();
     }
   }
 
   /**
-   * The library tells of half an array behind the end of its line: no exception may leave the
+   * The codec reports a partial array at the end of a connection: no exception may leave the
    * handler.
    */
   @Test
@@ -247,7 +242,7 @@
     }
   }
 
-  /** A line that was reset was down for 100 ms, and all calls of its names were lost. */
+  /** Guards against 100 ms without a connection after a reset, in which all calls were lost. */
   @Test
   void brokenCounterConnectionReconnectsAtOnce() throws Exception {
     start();
--- a/src/test/java/edgenode/node/MisbehavingClientTest.java
+++ b/src/test/java/edgenode/node/MisbehavingClientTest.java
@@ -7,36 +7,38 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Clients that send what cannot be read, say nothing, do not read, or come by hundreds. */
+/** Clients that send malformed input, nothing at all, do not read, or connect by hundreds. */
 class MisbehavingClientTest extends EdgeNodeFixture {
+  private static List<String> malformedParameters(String call) {
+    return List.of(
+        "c=read,t=p",
+        "d",
+        call.replace("900", "x"),
+        call.replace("900", "-1"),
+        call.replace("900", "NaN"),
+        call.replace("900", "0x1p3"),
+        call.replace("900", "1e30"),
+        call.replace("units=2", "units=-1"),
+        call.replace("units=2", "units=1.5"),
+        call.replace("units=2", "units=NaN"),
+        call.replace("units=2", "units=0x1p0"),
+        call.replace("units=2", "units=3"),
+        call.replace("units=2", "units=99999999999"),
+        call.replace("spread=3", "spread=0"),
+        call.replace("spread=3", "spread=5"),
+        call.replace("first=1", "first=4"),
+        call.replace("first=1", "first=1e0"),
+        call.replace("read", "write"),
+        call.replace("read", "write") + ",k=1");
+  }
+
   /** Guards against crashes, hangs and unbounded buffers: -ERR, and a broken frame also closes. */
   @Test
   void malformedInputIsAnsweredWithAnError() throws Exception {
     start();
     FakePeer.Connection client = connectClient();
     String call = "c=read,t=p,d=900,units=2,spread=3,first=1";
-    for (String parameters :
-        new String[] {
-          "c=read,t=p",
-          "d",
-          call.replace("900", "x"),
-          call.replace("900", "-1"),
-          call.replace("900", "NaN"),
-          call.replace("900", "0x1p3"),
-          call.replace("900", "1e30"),
-          call.replace("units=2", "units=-1"),
-          call.replace("units=2", "units=1.5"),
-          call.replace("units=2", "units=NaN"),
-          call.replace("units=2", "units=0x1p0"),
-          call.replace("units=2", "units=3"),
-          call.replace("units=2", "units=99999999999"),
-          call.replace("spread=3", "spread=0"),
-          call.replace("spread=3", "spread=5"),
-          call.replace("first=1", "first=4"),
-          call.replace("first=1", "first=1e0"),
-          call.replace("read", "write"),
-          call.replace("read", "write") + ",k=1"
-        }) {
+    for (String parameters : malformedParameters(call)) {
       client.writeCommand("CALL.GET", CUSTOMER, "01", parameters);
       assertTrue(client.readMessage().get(0).startsWith("-ERR "), parameters);
     }
@@ -77,8 +79,7 @@
   }
 
   /**
-   * An app server could not tell two open requests of one id apart; a closed one's id is free
-   * again.
+   * A server could not distinguish two open requests of one id; after the end the id is free again.
    */
   @Test
   void secondOpenRequestWithTheSameIdIsRejected() throws Exception {
@@ -94,9 +95,7 @@
     assertEquals(List.of("-BUSY 1500"), other.readMessage());
   }
 
-  /**
-   * Its error would come after all that is open before it on the connection: that fails at once.
-   */
+  /** The error is written after the open requests of the connection: these fail at once. */
   @Test
   void malformedFrameFailsOpenRequestsAtOnce() throws Exception {
     start();
@@ -111,8 +110,8 @@
   }
 
   /**
-   * Silent ones and halves of commands filled the places of clients that ask; those that ask may
-   * stay.
+   * Guards against silent clients and partial commands that used up the connections; clients that
+   * send requests may stay.
    */
   @Test
   void silentAndPartialCommandConnectionsAreClosed() throws Exception {
@@ -135,7 +134,7 @@
     assertEquals(List.of("+PONG"), good.readMessage());
   }
 
-  /** One that never reads kept the process from ending after SIGTERM. */
+  /** Guards against a client that never reads, which kept the process from ending after SIGTERM. */
   @Test
   void clientThatNeverReadsDoesNotBlockShutdown() throws Exception {
     maxDescriptors = 512;
@@ -152,13 +151,13 @@
       connection.writeAppServerValue(value);
     }
     isShutDown = true;
-    node.shutdown(); // or the test's time is up
+    node.shutdown(); // or the test times out
   }
 
-  /** Running out of descriptors would end accepting: an idle client makes room for a new one. */
+  /** Without descriptors the node could not accept: an idle client makes room for a new one. */
   @Test
   void connectionLimitEvictsTheLongestIdleClient() throws Exception {
-    maxDescriptors = 80; // 22 places, as half of the shares is cut where so few are all
+    maxDescriptors = 80; // 22 connections: half of the 55 % share at such a low limit
     start();
     List<FakePeer.Connection> clients = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -167,7 +166,7 @@
       assertEquals(List.of("+PONG"), client.readMessage());
       clients.add(client);
     }
-    for (int i = 0; i < 40 - 22; i++) { // the cap is half of 55 in 100 of 80
+    for (int i = 0; i < 40 - 22; i++) { // the limit is half of 55 % of 80
       assertTrue(clients.get(i).isClosedByPeer());
     }
     sendGet(clients.get(39), "01", "refuse", 900);
@@ -175,12 +174,12 @@
   }
 
   /**
-   * A crowd that says nothing takes all places and more, again and again; a client that needs 1.5 s
-   * for its command was taken for one of them after half a second, and cut off.
+   * Silent clients use more than all connections; guards against evicting a client that needs 1.5 s
+   * for its command.
    */
   @Test
   void slowWriterIsNotEvictedByACrowd() throws Exception {
-    maxDescriptors = 80; // 22 places, as half of the shares is cut where so few are all
+    maxDescriptors = 80; // 22 connections: half of the 55 % share at such a low limit
     start();
     FakePeer.Connection slow = connectClient();
     slow.socket.setTcpNoDelay(true);
@@ -192,7 +191,7 @@
     for (int i = 0; i < 6; i++) {
       slow.write(call.substring(i * 10, (i + 1) * 10));
       for (int n = 0; n < 10; n++) {
-        crowd.add(connectClient()); // 60 in all, for 22 places
+        crowd.add(connectClient()); // 60 in all, for 22 connections
       }
       Thread.sleep(250);
     }
--- a/src/test/java/edgenode/node/NoOpPolicyEvents.java
+++ b/src/test/java/edgenode/node/NoOpPolicyEvents.java
@@ -5,39 +5,39 @@
 import edgenode.policy.PolicyEvents;
 import java.util.List;
 
-/** A module for tests that does nothing of itself: each test says what it is about. */
+/** A policy for tests that ignores all events; each test overrides what it needs. */
 public abstract class NoOpPolicyEvents implements PolicyEvents {
   @Override
-  public void endpointsChanged(double now, List<EndpointInfo> list, boolean whole) {}
+  public void endpointsChanged(double nowMs, List<EndpointInfo> endpoints, boolean isComplete) {}
 
   @Override
-  public void discoveryFailed(double now) {}
+  public void discoveryFailed(double nowMs) {}
 
   @Override
-  public void responseStarted(double now, long id, int attempt) {}
+  public void responseStarted(double nowMs, long requestId, int attempt) {}
 
   @Override
   public void attemptEnded(
-      double now,
-      long id,
+      double nowMs,
+      long requestId,
       int attempt,
       CallOutcome outcome,
-      double took,
-      boolean over,
+      double tookMs,
+      boolean isRequestOver,
       int trueUnits,
-      double[] load) {}
+      double[] loadReport) {}
 
   @Override
-  public void clientDisconnected(double now, long id) {}
+  public void clientDisconnected(double nowMs, long requestId) {}
 
   @Override
-  public void timerFired(double now, long token) {}
+  public void timerFired(double nowMs, long token) {}
 
   @Override
   public void healthCheckEnded(
-      double now, String server, CallOutcome outcome, double took, double[] load) {}
+      double nowMs, String server, CallOutcome outcome, double tookMs, double[] loadReport) {}
 
   @Override
   public void counterCallEnded(
-      double now, long name, CallOutcome outcome, double took, double total) {}
+      double nowMs, long name, CallOutcome outcome, double tookMs, double total) {}
 }
--- a/src/test/java/edgenode/node/PersistentIdempotencyKeysTest.java
+++ b/src/test/java/edgenode/node/PersistentIdempotencyKeysTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Idempotency keys through crashes: a real process is killed under load, before a server that would
- * enrol twice.
+ * Idempotency keys across crashes: a process is killed under load, before a server that would run
+ * each request.
  */
 class PersistentIdempotencyKeysTest extends EdgeNodeFixture {
   private static final int STUDENTS = 8;
@@ -33,7 +33,7 @@
   private volatile boolean isFinished;
   @TempDir private Path folder;
 
-  /** Answers each connection that comes. */
+  /** Serves each connection to this peer. */
   private void acceptConnections(FakePeer peer, boolean countsEnrolments) {
     Thread accepting =
         new Thread(
@@ -72,11 +72,11 @@
         }
       }
     } catch (IOException | InterruptedException e) {
-      // the node has gone
+      // the node has ended
     }
   }
 
-  /** Presses until an answer comes, with one key after the other. */
+  /** Submits each of its keys until there is a response. */
   private void submitUntilAnswered(int student, int port) {
     for (int i = 0; !isFinished; i++) {
       String key = student + "-" + i;
@@ -96,7 +96,7 @@
           answeredRequests.incrementAndGet();
           break;
         } catch (IOException e) {
-          pause(); // the node is away: the student presses again
+          pause(); // the node is down: submit again
         }
       }
     }
@@ -114,7 +114,7 @@
     return IN_MEMORY_SETTINGS + "[store]\nfolder = \"" + folder.resolve("store") + "\"\n";
   }
 
-  /** Returns how many keys were enrolled more than once. */
+  /** Returns the number of keys that ran more than once. */
   private long duplicatesAfterKillsUnderLoad(String settings) throws Exception {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       listenPort = free.getLocalPort();
@@ -171,7 +171,10 @@
         unknownOutcomes.get() > 0, "a request was running at a crash, and its student was told so");
   }
 
-  /** The test of the test: with keys in memory only, those that ran at a crash run again. */
+  /**
+   * Shows that the test detects the fault: with keys in memory only, requests that ran at a crash
+   * run again.
+   */
   @Timeout(90)
   @Test
   void withoutAStoreACrashCausesDuplicates() throws Exception {
--- a/src/test/java/edgenode/node/RaceConditionTest.java
+++ b/src/test/java/edgenode/node/RaceConditionTest.java
@@ -15,10 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * Narrow moments: something ends just as something else is owed. The paths stand in
- * docs/design/moments.md.
- */
+/** Events that coincide; the cases are described in docs/design/moments.md. */
 class RaceConditionTest extends EdgeNodeFixture {
   private final DelayedConnectTransport delayedConnects = new DelayedConnectTransport();
 
@@ -28,8 +25,7 @@
   }
 
   /**
-   * The node has one connection, which is busy with 01; the next attempt waits for one that comes
-   * up late.
+   * The node's only connection carries request 01; the next attempt waits for a delayed connection.
    */
   private FakePeer.Connection occupyOnlyConnection() throws Exception {
     start();
@@ -41,7 +37,7 @@
     return client;
   }
 
-  /** The connection comes up and carries the one that is still wanted, and nothing before it. */
+  /** The connection is established and carries the next request, and nothing before it. */
   private void expectOnlyNextRequestSent(String id) throws Exception {
     delayedConnects.releaseNext();
     FakePeer.Connection connection = appServer.accept();
@@ -93,7 +89,7 @@
     client.write(text.toString());
   }
 
-  /** All that the module was told of has gone again. */
+  /** Expects a disconnect for each request that arrived at the policy. */
   private void expectAllDisconnected(int requests) throws Exception {
     int arrived = 0;
     for (int disconnected = 0; disconnected < requests; ) {
@@ -106,8 +102,8 @@
   }
 
   /**
-   * Unread commands hid the end of the connection: all in front of them stayed until their time was
-   * over.
+   * Guards against unread commands that hid the end of the connection: the requests before them
+   * stayed until their deadlines.
    */
   @Test
   void disconnectAfterDeepPipelineAbandonsAllRequests() throws Exception {
@@ -121,8 +117,8 @@
   }
 
   /**
-   * Past any client's need it is a flood: what was taken fails, the connection ends, the others go
-   * on.
+   * A flood of commands: accepted requests fail, the connection is closed, other clients are
+   * served.
    */
   @Test
   void commandFloodIsRejectedAndConnectionClosed() throws Exception {
@@ -147,8 +143,8 @@
   }
 
   /**
-   * In the last part of a drain a connection with a request open is read no further; its end is
-   * seen as well.
+   * In the last phase of draining a connection with an open request is not read; its end is
+   * detected nevertheless.
    */
   @Test
   void disconnectBehindUnreadCommandsIsDetected() throws Exception {
@@ -158,13 +154,12 @@
     client.write(heldRequest(1));
     expectPolicyEvent("arrived 1 hold p " + CUSTOMER + " 1 3 0 false");
     AdminClient.call(node.adminAddress(), "PUT /api/evacuate");
-    Thread.sleep(
-        (long) DrainController.STOP_READING_AFTER_MS + 200); // the time itself is what is tested
+    Thread.sleep((long) DrainController.STOP_READING_AFTER_MS + 200); // the delay is what is tested
     client.write(
         heldRequest(2)
             + heldRequest(3)
-            + heldRequest(4)); // several, as they are read together with the end
-    Thread.sleep(100); // they lie unread
+            + heldRequest(4)); // several: they are read together with the end
+    Thread.sleep(100); // they stay unread
     client.close();
     expectPolicyEvent("gone 1");
     figure("/in_flight", "0");
@@ -172,8 +167,8 @@
   }
 
   /**
-   * Its connection came up after the servers had forgotten the first attempt: sent then, it would
-   * run twice.
+   * Guards against a retry whose connection was established after the servers forgot the first
+   * attempt: it would run twice.
    */
   @Test
   void retryIsNotWrittenAfterIdempotencyWindow() throws Exception {
@@ -187,7 +182,7 @@
     serverConnection.close();
     expectPolicyEvent("ended 1 0 RESET false");
     delayedConnects.awaitHeldConnect();
-    Thread.sleep(400); // the time itself is what is tested: the servers remember for 300 ms
+    Thread.sleep(400); // the delay is what is tested: the servers remember for 300 ms
     delayedConnects.releaseNext();
     expectPolicyEvent("ended 1 1 NO_CONNECTION false");
     assertEquals(List.of("-ERR failed"), client.readMessage());
@@ -198,8 +193,8 @@
   }
 
   /**
-   * On a connection that stays open a client asks on after SIGTERM: the process ended with that
-   * still owed.
+   * Guards against the end of the process with requests open that arrived on a connection after
+   * SIGTERM.
    */
   @Test
   void requestsArrivingDuringShutdownAreAnswered() throws Exception {
@@ -209,7 +204,7 @@
     sendGet(client, "01", "hold", 2000);
     expectArrival(1, "hold");
     Thread draining = beginShutdown();
-    Thread.sleep(1800); // the time itself is what is tested
+    Thread.sleep(1800); // the delay is what is tested
     sendGet(client, "02", "hold", 2000);
     expectArrival(2, "hold");
     assertEquals(List.of("-ERR failed"), client.readMessage());
@@ -218,10 +213,7 @@
     draining.join();
   }
 
-  /**
-   * What was taken just before SIGTERM may be waited for past the kill: it was found unanswered by
-   * it.
-   */
+  /** Guards against requests with a deadline after the kill that were unanswered by then. */
   @Test
   void requestsWithDeadlinePastTheKillAreAnsweredBeforeIt() throws Exception {
     hasAdminAddress = true;
@@ -242,8 +234,8 @@
   }
 
   /**
-   * A client's wait counts from its request's last byte. Counted from when a busy loop came to read
-   * it, the answer was late by as much, and its client had gone by then.
+   * A client's wait counts from the last byte of its request. Guards against counting from when a
+   * busy loop read it: the response was late by as much.
    */
   private void assertTimeBudgetExcludesUnreadTime(boolean onNewConnection) throws Exception {
     start();
@@ -254,7 +246,7 @@
     expectArrival(1, "stall");
     sendGet(onNewConnection ? connectClient() : openClient, "02", "hold", 9000);
     long unreadMs = 500;
-    Thread.sleep(unreadMs); // the time itself is what is tested: the loop is busy for so long
+    Thread.sleep(unreadMs); // the delay is what is tested: the loop is busy for so long
     stallLatch.countDown();
     expectArrival(2, "hold");
     assertTrue(
@@ -273,8 +265,8 @@
   }
 
   /**
-   * Behind a busy spell the line of an answer that lay unread was taken for dead and ended, and the
-   * answer lost.
+   * Guards against closing the counter's connection after a busy period: its response was unread,
+   * not missing.
    */
   @Test
   void counterResponseUnreadDuringBusyLoopIsNotATimeout() throws Exception {
@@ -301,7 +293,7 @@
     FakePeer.Connection client = connectClient();
     sendGet(client, "01", "count", 9000);
     sendGet(client, "f0", "stall", 9000);
-    Thread.sleep(700); // the time itself is what is tested: a line is dead after 400 ms
+    Thread.sleep(700); // the delay is what is tested: a line is dead after 400 ms
     stallLatch.countDown();
     for (String connection = policyEvents.take();
         !connection.startsWith("counted 77 OK");
@@ -313,8 +305,8 @@
   }
 
   /**
-   * It crossed the end of its connection: read and dropped, its client could not tell that it was
-   * never taken.
+   * A request that crosses the close of its connection: read and dropped, its client could not know
+   * that it was not accepted.
    */
   @Test
   void requestCrossingConnectionCloseIsResetUnread() throws Exception {
@@ -330,10 +322,10 @@
       read.clear();
       assertEquals(-1, idleClient.read(read));
       idleClient.write(ascii(heldRequest(1)));
-      draining.join(); // all is closed by now
+      draining.join(); // everything is closed by now
       assertThrows(
           IOException.class,
-          () -> idleClient.write(ascii(heldRequest(2)))); // reset, or this one would be sent yet
+          () -> idleClient.write(ascii(heldRequest(2)))); // reset, else this write would succeed
       assertTrue(policyEvents.stream().noneMatch(line -> line.startsWith("arrived")));
     }
   }
@@ -343,8 +335,8 @@
   }
 
   /**
-   * A client within a command may finish it after SIGTERM, and is answered: its connection ended
-   * under it.
+   * Guards against closing a connection within a command after SIGTERM: it is completed and
+   * answered.
    */
   @Test
   void partiallyReadCommandAtShutdownIsAnswered() throws Exception {
@@ -355,10 +347,10 @@
     String call = heldRequest(1);
     slow.write(call.substring(0, 20));
     FakePeer.Connection idle = connectClient();
-    idle.writeCommand("PING"); // the half before it has been read
+    idle.writeCommand("PING"); // the partial command before it has been read
     assertEquals(List.of("+PONG"), idle.readMessage());
     Thread draining = beginShutdown();
-    assertTrue(idle.isClosedByPeer()); // those between requests have been ended
+    assertTrue(idle.isClosedByPeer()); // idle connections have been closed
     slow.write(call.substring(20));
     assertEquals(List.of("-ERR failed"), slow.readMessage());
     assertTrue(slow.isClosedByPeer());
--- a/src/test/java/edgenode/node/ReloadTest.java
+++ b/src/test/java/edgenode/node/ReloadTest.java
@@ -35,14 +35,14 @@
       throws IOException {
     assertEquals(
         "GET /catalog/members HTTP/1.1",
-        connection.readLine()); // versions are of one place: all of it
+        connection.readLine()); // versions belong to one source: the complete list
     while (!connection.readLine().isEmpty()) {
       assertTrue(connection.socket.isConnected());
     }
     connection.write("HTTP/1.1 200 OK\r\ncontent-length: " + list.length() + "\r\n\r\n" + list);
   }
 
-  /** The old watch counts until the new place has told its list; then it is left. */
+  /** The former watch counts until the new address has sent its list; then it is closed. */
   @Test
   void discoveryAddressChanges() throws Exception {
     start();
@@ -60,7 +60,8 @@
   }
 
   /**
-   * Calls go to the new counter once it is up, and the old lines end once nothing is owed on them.
+   * Calls go to the new counter once it is connected, and former connections are closed after their
+   * last response.
    */
   @Test
   void counterAddressChanges() throws Exception {
@@ -76,7 +77,7 @@
         connections[i] = next.accept();
       }
       for (FakePeer.Connection connection : oldConnections) {
-        assertTrue(connection.isClosedByPeer()); // nothing is owed on it
+        assertTrue(connection.isClosedByPeer()); // no response is due on it
       }
       FakePeer.Connection client = connectClient();
       sendGet(client, "01", "count", 900);
@@ -92,7 +93,7 @@
     }
   }
 
-  /** The variables are those of the start: the file's discovery wins when it is read again. */
+  /** Environment variables apply to the start: on a reload the file's discovery address wins. */
   @Test
   void reloadedFileOverridesEnvironmentVariable() throws Exception {
     Path file = Files.writeString(folder.resolve("config.json"), config());
@@ -105,7 +106,7 @@
         NodeConfig.reload(Files.readAllBytes(file), env).discoveryAddress().getPort());
   }
 
-  /** An address that refuses everything: the file is read again, though no signal came. */
+  /** Discovery refuses all connections: the file is read again, without a signal. */
   @Test
   void rejectedDiscoveryConnectionsReloadTheFile() throws Exception {
     start();
@@ -144,8 +145,8 @@
   }
 
   /**
-   * Told after the configuration was read and before the node is up: the file is read again when it
-   * is.
+   * The signal arrives after the configuration was read and before the node listens: the file is
+   * read again then.
    */
   @Test
   void hangupDuringStartIsNotLost() throws Exception {
@@ -154,7 +155,7 @@
     Process process = startProcess(file);
     try (FakePeer next = new FakePeer()) {
       FakePeer.Connection asked =
-          discovery.accept(); // not answered: with no list known the start waits for it
+          discovery.accept(); // not answered: without a known list the start waits for it
       counter.accept();
       Files.writeString(file, unknowing.replace(discovery.address(), next.address()));
       assertEquals(
@@ -172,8 +173,8 @@
   }
 
   /**
-   * As under nohup: ignored by the parent, the signal cannot be caught, and used to be lost for
-   * ever.
+   * Guards against a lost reload where the parent ignores SIGHUP, as under nohup: the signal cannot
+   * be caught.
    */
   @Test
   void reloadWorksWhereHangupIsIgnored() throws Exception {
@@ -204,20 +205,20 @@
     }
   }
 
-  /** A JVM without a handler ends with 129 at SIGHUP. Here a child process of its own gets one. */
+  /** A JVM without a handler ends with status 129 at SIGHUP; tested on a child process. */
   @Test
   void hangupDoesNotEndTheProcess() throws Exception {
     Path file = Files.writeString(folder.resolve("config.json"), config());
     Process process = startProcess(file);
     try (FakePeer next = new FakePeer()) {
-      answerWatch(); // it runs, and has caught the signal before
+      answerWatch(); // it runs, and its signal handler is installed
       counter.accept();
       appServer.accept();
       Files.writeString(file, config().replace(discovery.address(), next.address()));
       FakePeer.Connection connection = null;
       for (int i = 0;
           i < 50 && connection == null;
-          i++) { // asked before it is up it has nothing to move
+          i++) { // before the start is complete there is nothing to change
         assertEquals(
             0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
         connection = next.poll(200);
--- a/src/test/java/edgenode/node/RollingUpgradeTest.java
+++ b/src/test/java/edgenode/node/RollingUpgradeTest.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** A new version takes over the address of one that serves. */
+/** A new version takes over the address of a running node. */
 class RollingUpgradeTest extends EdgeNodeFixture {
-  /** A node at the address of the first, which counts what comes to it. */
+  /** Starts a node at the address of the first, which counts its requests. */
   private EdgeNode startSecondNode(AtomicInteger arrivedCount) throws Exception {
     EdgeNode next =
         new EdgeNode(
@@ -48,8 +48,8 @@
   }
 
   /**
-   * One request on a connection of its own; what refuses, resets or ends unread is counted as not
-   * taken.
+   * Sends one request on a connection of its own; a refused, reset or unread one counts as not
+   * accepted.
    */
   private boolean sendRequest(int id, Consumer<IOException> onFailure) {
     try (FakePeer.Connection connection = FakePeer.Connection.connect(listenPort)) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Without the program in the kernel half of them would come to the first. */
+  /** Without the kernel's program half of the connections would go to the first node. */
   @Test
   void newConnectionsGoToSecondNodeOnceFirstShutsDown() throws Exception {
     startFirstNode();
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Clients that connect anew for each request, without a pause, while the first one ends. */
+  /** Clients connect for each request, without a pause, while the first node shuts down. */
   @Test
   void noConnectionIsLostDuringHandover() throws Exception {
     startFirstNode();
@@ -105,10 +105,7 @@
     }
   }
 
-  /**
-   * One that ends with nobody beside it listens on as ever: the program's choice has nobody behind
-   * it.
-   */
+  /** A node that shuts down alone accepts to the end: there is no other socket at the address. */
   @Test
   void singleNodeKeepsAcceptingDuringShutdown() throws Exception {
     startFirstNode();
@@ -119,7 +116,7 @@
     draining.join();
   }
 
-  /** An address is shared only where operators can put a second version beside the first. */
+  /** An address is shared only where operators can start a second version beside the first. */
   @Test
   void withoutAdminAddressAnAddressInUseIsRejected() throws Exception {
     start();
@@ -154,9 +151,9 @@
     }
 
     @Override
-    public void requestArrived(double now, IncomingRequest r) {
+    public void requestArrived(double now, IncomingRequest request) {
       arrivedCount.incrementAndGet();
-      actions.reject(r.id(), 0);
+      actions.reject(request.id(), 0);
     }
   }
 }
--- a/src/test/java/edgenode/node/StartupTest.java
+++ b/src/test/java/edgenode/node/StartupTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A start in a JVM of its own: while it lasts the edge node is down. */
+/** A start in a JVM of its own. */
 @Timeout(60)
 class StartupTest {
   /**
-   * Classes that cost much at a start and are of no use in it: recording, locales, formats, records
-   * compared; and all of the kit, which serve must not pay for.
+   * Classes that are expensive at a start and not needed: recording, locales, formats, comparison
+   * of records; and all of simulation and emulators, which serve must not load.
    */
   private static final List<String> CLASSES_NOT_TO_LOAD =
       List.of(
@@ -36,6 +36,15 @@
           "edgenode.benchmark.",
           "picocli.");
 
+  private static final String CONFIG =
+      """
+                {"listen":"127.0.0.1:0","discovery":"%1$s","counter":"%1$s","name":"n",
+                 "known":{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"%1$s","site":"a","class":"m",
+                  "block":1,"health":"active","share":1.0,"born_ms":0}]},
+                 "settings":{"rank":0,"group_size":1,"tick":4,"family_info":{"shared_counter":true},
+                  "request_classes":[{"name":"r","effect":"read_like","aim":600,"hard_limit":2000}],
+                  "tariffs":[{"name":"p","per_second":8,"depth":8}]}}""";
+
   private static String runLine() throws Exception {
     for (String line : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
       if (line.startsWith("run = ")) {
@@ -50,18 +59,9 @@
     try (ServerSocket peer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       Path config = folder.resolve("config.json");
       String address = "127.0.0.1:" + peer.getLocalPort();
-      Files.writeString(
-          config,
-          """
-                {"listen":"127.0.0.1:0","discovery":"%1$s","counter":"%1$s","name":"n",
-                 "known":{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"%1$s","site":"a","class":"m",
-                  "block":1,"health":"active","share":1.0,"born_ms":0}]},
-                 "settings":{"rank":0,"group_size":1,"tick":4,"family_info":{"shared_counter":true},
-                  "request_classes":[{"name":"r","effect":"read_like","aim":600,"hard_limit":2000}],
-                  "tariffs":[{"name":"p","per_second":8,"depth":8}]}}"""
-              .formatted(address));
+      Files.writeString(config, CONFIG.formatted(address));
       Path loadedClassesLog = folder.resolve("loaded");
-      // the command of the deploy file, but for the jar: it is not built yet when tests run
+      // the command of the deploy file without the jar, which is not built when tests run
       List<String> command =
           new ArrayList<>(
               List.of(
--- a/src/test/java/edgenode/node/StreamedResponseTest.java
+++ b/src/test/java/edgenode/node/StreamedResponseTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Values that are too long to be kept go through a real node as they come. */
+/** Values that are too long to be buffered are streamed through a real node. */
 class StreamedResponseTest extends EdgeNodeFixture {
   private static final int MAX_VALUE_BYTES = 4 << 20;
 
@@ -39,9 +39,7 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /**
-   * The answer of an app server, written on a thread of its own: the node may not read on at once.
-   */
+  /** Writes a server's response on a thread of its own: the node may not read it at once. */
   private Thread writeValueAsync(
       FakePeer.Connection connection, byte[] value, int pieceBytes, String trailer) {
     Thread writing =
@@ -56,7 +54,7 @@
                 out.write(ascii("\r\n" + trailer));
               } catch (IOException e) {
                 policyEvents.add(
-                    "server: " + e); // of no account where the node has ended the connection
+                    "server: " + e); // expected where the node has closed the connection
               }
             });
     writing.setDaemon(true);
@@ -111,13 +109,13 @@
             MAX_VALUE_BYTES / 8,
             "$-1\r\n$-1\r\n");
     expectPolicyEvent("ended 1 0 OK true");
-    Thread.sleep(1200); // far past its wait
+    Thread.sleep(1200); // long after its deadline
     assertTrue(Arrays.equals(value, readBulk(client)));
     writing.join();
   }
 
   /**
-   * Many at once, read by nobody: what is kept of each is bounded, and all are whole in the end.
+   * Many values that nobody reads: the memory for each is bounded, and all are complete in the end.
    */
   @Test
   void memoryForUnreadValuesIsBounded() throws Exception {
@@ -128,7 +126,7 @@
     long before = directMemoryBytes();
     for (int i = 0; i < many; i++) {
       Socket socket = new Socket();
-      socket.setReceiveBufferSize(32 << 10); // else the system alone would keep some MB of each
+      socket.setReceiveBufferSize(32 << 10); // else the kernel would buffer some MB of each
       socket.connect(
           new InetSocketAddress("127.0.0.1", ((InetSocketAddress) node.address()).getPort()));
       FakePeer.Connection client = new FakePeer.Connection(socket);
@@ -140,7 +138,7 @@
       writeValueAsync(at, value, 256 << 10, "$-1\r\n$-1\r\n");
     }
     figure("/in_flight", Integer.toString(many));
-    Thread.sleep(1000); // what may come has come
+    Thread.sleep(1000); // what can arrive has arrived
     long kept = directMemoryBytes() - before;
     assertTrue(kept < many * (400L << 10), kept + " bytes of " + many * (long) MAX_VALUE_BYTES);
     for (FakePeer.Connection client : clients) {
@@ -165,7 +163,7 @@
       at.readMessage();
       writeValueAsync(at, value, 256 << 10, "$-1\r\n$-1\r\n");
     }
-    Thread.sleep(1000); // what may come has come
+    Thread.sleep(1000); // what can arrive has arrived
     long kept = directMemoryBytes() - before;
     assertTrue(kept < many * (400L << 10), kept + " bytes of " + many * (long) MAX_VALUE_BYTES);
     serverConnection.writeAppServerValue("first");
@@ -180,7 +178,7 @@
   }
 
   /**
-   * A long value whose turn has not come waits, and one request's bytes never get into another's.
+   * A long value that is not yet next waits, and the bytes of one response never get into another.
    */
   @Test
   void pipelinedLongValuesKeepTheirOrder() throws Exception {
@@ -227,8 +225,8 @@
   }
 
   /**
-   * Of a value whose turn has not come nothing is written: the client is told, and its connection
-   * stays.
+   * Of a value that is not yet next nothing is written: the client gets an error, and its
+   * connection stays open.
    */
   @Test
   void serverFailureBeforeValueIsWrittenIsAnsweredWithError() throws Exception {
@@ -252,7 +250,7 @@
     assertEquals(List.of("+PONG"), client.readMessage());
   }
 
-  /** Noise behind the value's length is no value, and must not look like one. */
+  /** Bytes beyond the announced length are no value, and must not look like one. */
   @Test
   void valueWithWrongLengthIsNotForwardedAsComplete() throws Exception {
     start();
@@ -273,7 +271,7 @@
     sendGet(client, "01", "read", 5000);
     serverConnection.readMessage();
     serverConnection.write(
-        "*3\r\n$200000\r\n" + "x".repeat(1000)); // and no more for now: it does not end by itself
+        "*3\r\n$200000\r\n" + "x".repeat(1000)); // and no more: it does not end by itself
     assertEquals("$200000", client.readLine());
     client.socket.setSoLinger(true, 0);
     client.close();
--- a/src/test/java/edgenode/node/TelemetryTest.java
+++ b/src/test/java/edgenode/node/TelemetryTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The figures add up while everything goes wrong, and the node itself says when they do not. */
+/** The figures are consistent under faults, and the node reports when they are not. */
 class TelemetryTest extends EdgeNodeFixture {
   private static final int CLIENTS = 12;
   private static final long DURATION_NANOS = TimeUnit.SECONDS.toNanos(6);
@@ -42,7 +42,7 @@
         .sum();
   }
 
-  /** At every look: for all classes together, and the node has found nothing itself. */
+  /** At every read: for all classes together, and the node found no violation. */
   private void assertConsistent(Map<String, String> figures) {
     assertEquals(
         sum(figures, "/taken"),
@@ -58,45 +58,23 @@
   }
 
   /**
-   * Servers that fail, break off, answer noise, long values and nothing; clients that go away at
-   * any moment, send half, pipeline and repeat themselves: looked at all the while.
+   * Servers that fail, disconnect, send malformed, long or no responses; clients that disconnect at
+   * any moment, send partial commands, pipeline and submit duplicates: read all the while.
    */
   @Test
   void figuresStayConsistentUnderFaults() throws Exception {
     start();
     answerWithFaults(serverConnection, 0);
     AtomicBoolean isFinished = new AtomicBoolean();
-    Thread accepting =
-        new Thread(
-            () -> {
-              try {
-                for (int i = 1; !isFinished.get(); i++) {
-                  FakePeer.Connection line = appServer.poll(100);
-                  if (line != null) {
-                    answerWithFaults(line, i);
-                  }
-                }
-              } catch (InterruptedException e) {
-                // the test is over
-              }
-            });
-    accepting.setDaemon(true);
-    accepting.start();
+    acceptUntil(isFinished);
     AtomicLong sentRequests = new AtomicLong();
     int port = ((InetSocketAddress) node.address()).getPort();
     List<Thread> clients = new ArrayList<>();
-    for (int c = 0; c < CLIENTS; c++) {
-      Random random = new Random(c);
-      Thread thread =
-          new Thread(
-              () -> {
-                while (!isFinished.get()) {
-                  misbehave(port, random, sentRequests);
-                }
-              });
-      thread.start();
-      clients.add(thread);
+    for (int seed = 0; seed < CLIENTS; seed++) {
+      Random random = new Random(seed);
+      clients.add(new Thread(() -> misbehaveUntil(isFinished, port, random, sentRequests)));
     }
+    clients.forEach(Thread::start);
     long untilNanos = System.nanoTime() + DURATION_NANOS;
     int reads = 0;
     while (System.nanoTime() < untilNanos) {
@@ -139,6 +117,32 @@
     assertEquals(sum(figures, "/taken"), taken);
   }
 
+  private void acceptUntil(AtomicBoolean isFinished) {
+    Thread accepting =
+        new Thread(
+            () -> {
+              try {
+                for (int seed = 1; !isFinished.get(); seed++) {
+                  FakePeer.Connection connection = appServer.poll(100);
+                  if (connection != null) {
+                    answerWithFaults(connection, seed);
+                  }
+                }
+              } catch (InterruptedException e) {
+                // the test is over
+              }
+            });
+    accepting.setDaemon(true);
+    accepting.start();
+  }
+
+  private void misbehaveUntil(
+      AtomicBoolean isFinished, int port, Random random, AtomicLong sentRequests) {
+    while (!isFinished.get()) {
+      misbehave(port, random, sentRequests);
+    }
+  }
+
   private void misbehave(int port, Random random, AtomicLong sentRequests) {
     try (FakePeer.Connection connection = FakePeer.Connection.connect(port)) {
       connection.socket.setSoTimeout(1500);
@@ -164,7 +168,7 @@
         case 1 -> connection.write("*4\r\n$8\r\nCALL.G");
         case 2 -> connection.write("noise\r\n");
         case 3 -> {
-          connection.readLine(); // within the answer, where it is a long one
+          connection.readLine(); // within the response, where it is a long one
           connection.socket.setSoLinger(true, 0);
         }
         default -> {
@@ -174,7 +178,7 @@
         }
       }
     } catch (IOException e) {
-      // as is to be expected
+      // expected
     }
   }
 
@@ -209,14 +213,14 @@
                   }
                 }
               } catch (IOException | InterruptedException e) {
-                // the node has ended it
+                // the node has closed it
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Nobody asks for the figures, and the log has it within two audits. */
+  /** Without a read of the figures the log has the violation within two checks. */
   @Test
   void inconsistentFiguresAreLoggedByTheNode() throws Exception {
     PrintStream originalErr = System.err;
@@ -229,7 +233,7 @@
               () ->
                   node.ledger()
                       .countersFor("read", CUSTOMER)
-                      .requestAccepted()); // counted, and in no table
+                      .requestAccepted()); // counted, but in no table
       DiscoveryFixture.await(
           "it is told",
           () -> log.toString(StandardCharsets.UTF_8).contains("figures do not add up: table"));
@@ -254,7 +258,7 @@
     }
     Map<String, String> firstPage =
         AdminClient.call(node.adminAddress(), "GET /api/campuses?limit=3").values();
-    assertEquals("0000000000000005", firstPage.get("/next")); // 1 and 2 made room
+    assertEquals("0000000000000005", firstPage.get("/next")); // 1 and 2 were evicted
     assertEquals("1", firstPage.get("/campuses/0000000000000004//refused"));
     assertEquals("2", firstPage.get("/others//refused"));
     Map<String, String> secondPage =
