--- a/src/main/java/edgenode/benchmark/Wires.java
+++ b/src/main/java/edgenode/benchmark/Wires.java
@@ -9,6 +9,7 @@
 import edgenode.membership.MembershipLimits;
 import edgenode.net.counter.CounterClient;
 import edgenode.net.discovery.EndpointListJson;
+import edgenode.net.discovery.MembershipListener;
 import edgenode.net.discovery.MembershipService;
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.downstream.RequestHandler;
@@ -174,7 +175,7 @@
 
   // ---- discovery on loopback ----
 
-  private static final class Looked implements MembershipService.MembershipListener {
+  private static final class Looked implements MembershipListener {
     @Override
     public void endpointsChanged(List<DiscoveredEndpoint> entries, boolean whole) {}
 
--- a/src/main/java/edgenode/node/ConfigReload.java
+++ b/src/main/java/edgenode/node/ConfigReload.java
@@ -1,5 +1,6 @@
 package edgenode.node;
 
+import edgenode.net.discovery.SourceDefinition;
 import edgenode.config.NodeConfig;
 import edgenode.net.discovery.MembershipService;
 
@@ -8,7 +9,7 @@
   private final NodeComponents components;
 
   /** The source in use. */
-  private MembershipService.SourceDefinition discoverySource;
+  private SourceDefinition discoverySource;
 
   ConfigReload(NodeComponents components) {
     this.components = components;
@@ -17,7 +18,7 @@
 
   /** Changes to the new addresses; on the event loop. Other settings need a restart. */
   void apply(NodeConfig newConfig) {
-    MembershipService.SourceDefinition newSource =
+    SourceDefinition newSource =
         MembershipService.agentSource(newConfig.discoveryAddress());
     components.discovery.replaceSource(discoverySource, newSource);
     discoverySource = newSource;
--- a/src/main/java/edgenode/node/GuardedPolicy.java
+++ b/src/main/java/edgenode/node/GuardedPolicy.java
@@ -1,9 +1,9 @@
 package edgenode.node;
 
 import edgenode.eventloop.EdgeEventLoop;
-import edgenode.net.counter.CounterClient.CounterListener;
-import edgenode.net.upstream.UpstreamConnectionPool.HealthCheckListener;
-import edgenode.net.upstream.UpstreamConnectionPool.UpstreamAttempt;
+import edgenode.net.counter.CounterListener;
+import edgenode.net.upstream.HealthCheckListener;
+import edgenode.net.upstream.UpstreamAttempt;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
--- a/src/main/java/edgenode/node/MembershipUpdates.java
+++ b/src/main/java/edgenode/node/MembershipUpdates.java
@@ -1,5 +1,6 @@
 package edgenode.node;
 
+import edgenode.net.discovery.MembershipListener;
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.net.discovery.MembershipService;
 import edgenode.net.upstream.UpstreamConnectionPool;
@@ -8,7 +9,7 @@
 import java.util.List;
 
 /** Hands what discovery reports to the connection pool and to the policy. */
-final class MembershipUpdates implements MembershipService.MembershipListener {
+final class MembershipUpdates implements MembershipListener {
   private final GuardedPolicy policy;
   private UpstreamConnectionPool upstream;
   private Runnable discoveryRejectedHandler = () -> {};
--- a/src/main/java/edgenode/node/NodeComponents.java
+++ b/src/main/java/edgenode/node/NodeComponents.java
@@ -1,5 +1,6 @@
 package edgenode.node;
 
+import edgenode.net.discovery.SourceDefinition;
 import edgenode.config.NodeConfig;
 import edgenode.config.OperatorSettings;
 import edgenode.eventloop.EdgeEventLoop;
@@ -24,7 +25,7 @@
   final MembershipUpdates membershipUpdates;
 
   /** The source that the node's configuration names; {@link ConfigReload} may replace it. */
-  final MembershipService.SourceDefinition discoverySource;
+  final SourceDefinition discoverySource;
 
   final MembershipService discovery;
   final ClientListener downstream;
--- a/src/main/java/edgenode/node/NodeOperations.java
+++ b/src/main/java/edgenode/node/NodeOperations.java
@@ -1,5 +1,6 @@
 package edgenode.node;
 
+import edgenode.membership.MembershipStats;
 import edgenode.admin.AdminOperations;
 import edgenode.ledger.RequestLedger;
 import edgenode.membership.Membership;
@@ -47,7 +48,7 @@
 
   @Override
   public String telemetryJson() {
-    Membership.MembershipStats members = components.discovery.stats();
+    MembershipStats members = components.discovery.stats();
     int ejected = components.policy.ejectedCount();
     String notReadyReason = notReadyReason();
     boolean isConsistent = figuresCheck.check(false);
--- a/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
+++ b/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
@@ -217,7 +217,7 @@
   }
 
   Map<String, Object> figures() {
-    return store.metrics();
+    return store.metrics().toTelemetry();
   }
 
   /** Writes out everything; waits for the disk, not on the event loop. */
--- a/src/main/java/edgenode/node/StreamedResponse.java
+++ b/src/main/java/edgenode/node/StreamedResponse.java
@@ -5,8 +5,8 @@
 import edgenode.net.downstream.FlowControl;
 import edgenode.net.downstream.OpenRequest;
 import edgenode.net.downstream.ResponseSlot;
-import edgenode.net.upstream.UpstreamConnectionPool.ValueSink;
-import edgenode.net.upstream.UpstreamConnectionPool.ValueSource;
+import edgenode.net.upstream.ValueSink;
+import edgenode.net.upstream.ValueSource;
 import io.netty.buffer.ByteBuf;
 
 /**
--- a/src/main/java/edgenode/node/TelemetryJson.java
+++ b/src/main/java/edgenode/node/TelemetryJson.java
@@ -1,5 +1,6 @@
 package edgenode.node;
 
+import edgenode.membership.MembershipStats;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import edgenode.idempotency.IdempotencyIndex;
@@ -34,7 +35,7 @@
       long openRequests,
       IdempotencyIndex.IdempotencyMetrics duplicates,
       Map<String, Object> store,
-      Membership.MembershipStats members,
+      MembershipStats members,
       int excludedEndpoints,
       String state,
       boolean isConsistent,
@@ -105,7 +106,7 @@
     out.writeEndObject();
   }
 
-  private static void writeListAge(JsonGenerator out, Membership.MembershipStats members)
+  private static void writeListAge(JsonGenerator out, MembershipStats members)
       throws IOException {
     if (members.ageMs() < Double.POSITIVE_INFINITY) {
       out.writeNumberField("list_age_ms", Math.round(members.ageMs()));
