--- a/src/main/java/edgenode/net/downstream/ResponseSlot.java
+++ b/src/main/java/edgenode/net/downstream/ResponseSlot.java
@@ -93,7 +93,7 @@
 
   /**
    * Whether the client has closed its side, by what the kernel says now, also where the event loop
-   * has not read that yet. If so, all open requests of the connection are told, but later.
+   * has not read that yet. If so, all open requests of the connection are notified later.
    */
   public boolean hasClientDisconnected() {
     return connection.checkClientDisconnected();
--- a/src/main/java/edgenode/node/CdsArchiveRun.java
+++ b/src/main/java/edgenode/node/CdsArchiveRun.java
@@ -42,7 +42,7 @@
 
   private final ServerSocket emulatedServices =
       new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-  private final Path configFile = Files.createTempFile("prime", ".json");
+  private final Path configFile = Files.createTempFile("cds-archive", ".json");
 
   /** Writes the configuration file and starts the emulated services. */
   public CdsArchiveRun() throws IOException {
@@ -77,7 +77,7 @@
       connection
           .getOutputStream()
           .write(
-              (requestLine + " HTTP/1.1\r\nHost: prime\r\n\r\n")
+              (requestLine + " HTTP/1.1\r\nHost: localhost\r\n\r\n")
                   .getBytes(StandardCharsets.US_ASCII));
       connection.getInputStream().readAllBytes();
     }
--- a/src/main/java/edgenode/node/ConfigReload.java
+++ b/src/main/java/edgenode/node/ConfigReload.java
@@ -1,8 +1,8 @@
 package edgenode.node;
 
-import edgenode.net.discovery.SourceDefinition;
 import edgenode.config.NodeConfig;
 import edgenode.net.discovery.MembershipService;
+import edgenode.net.discovery.SourceDefinition;
 
 /** Applies a new configuration to a running node: the addresses of discovery and counter. */
 final class ConfigReload {
@@ -18,8 +18,7 @@
 
   /** Changes to the new addresses; on the event loop. Other settings need a restart. */
   void apply(NodeConfig newConfig) {
-    SourceDefinition newSource =
-        MembershipService.agentSource(newConfig.discoveryAddress());
+    SourceDefinition newSource = MembershipService.agentSource(newConfig.discoveryAddress());
     components.discovery.replaceSource(discoverySource, newSource);
     discoverySource = newSource;
     components.counter.addressChanged(newConfig.counterAddress());
--- a/src/main/java/edgenode/node/GracefulShutdown.java
+++ b/src/main/java/edgenode/node/GracefulShutdown.java
@@ -121,7 +121,7 @@
         case CLOSING_CONNECTIONS -> downstream.closeIdleConnections();
         case READING_STOPPED -> downstream.stopFurtherRequests();
         case ACCEPTING -> downstream.cancelClose();
-        default -> {} // clients are told, connections go on
+        default -> {} // PING fails, connections stay open
       }
     }
     double nextAtMs = drain.nextPhaseChangeMs(nowMs);
--- a/src/main/java/edgenode/node/JitWarmUp.java
+++ b/src/main/java/edgenode/node/JitWarmUp.java
@@ -152,10 +152,10 @@
     return "0".repeat(CUSTOMER_DIGITS - hex.length()) + hex;
   }
 
-  private static String command(String... words) {
-    StringBuilder text = new StringBuilder("*" + words.length + "\r\n");
-    for (String word : words) {
-      text.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+  private static String command(String... elements) {
+    StringBuilder text = new StringBuilder("*" + elements.length + "\r\n");
+    for (String element : elements) {
+      text.append('$').append(element.length()).append("\r\n").append(element).append("\r\n");
     }
     return text.toString();
   }
--- a/src/main/java/edgenode/node/MembershipUpdates.java
+++ b/src/main/java/edgenode/node/MembershipUpdates.java
@@ -1,8 +1,7 @@
 package edgenode.node;
 
-import edgenode.net.discovery.MembershipListener;
 import edgenode.membership.DiscoveredEndpoint;
-import edgenode.net.discovery.MembershipService;
+import edgenode.net.discovery.MembershipListener;
 import edgenode.net.upstream.UpstreamConnectionPool;
 import edgenode.policy.EndpointInfo;
 import java.util.ArrayList;
--- a/src/main/java/edgenode/node/NodeComponents.java
+++ b/src/main/java/edgenode/node/NodeComponents.java
@@ -1,6 +1,5 @@
 package edgenode.node;
 
-import edgenode.net.discovery.SourceDefinition;
 import edgenode.config.NodeConfig;
 import edgenode.config.OperatorSettings;
 import edgenode.eventloop.EdgeEventLoop;
@@ -9,6 +8,7 @@
 import edgenode.net.counter.CounterClient;
 import edgenode.net.discovery.EndpointSources;
 import edgenode.net.discovery.MembershipService;
+import edgenode.net.discovery.SourceDefinition;
 import edgenode.net.downstream.ClientListener;
 import edgenode.net.upstream.UpstreamConnectionPool;
 import edgenode.policy.RequestClass;
--- a/src/main/java/edgenode/node/NodeOperations.java
+++ b/src/main/java/edgenode/node/NodeOperations.java
@@ -1,9 +1,8 @@
 package edgenode.node;
 
-import edgenode.membership.MembershipStats;
 import edgenode.admin.AdminOperations;
 import edgenode.ledger.RequestLedger;
-import edgenode.membership.Membership;
+import edgenode.membership.MembershipStats;
 
 /** What operators may call; exists only where the configuration has an address for them. */
 final class NodeOperations implements AdminOperations {
--- a/src/main/java/edgenode/node/PendingRequest.java
+++ b/src/main/java/edgenode/node/PendingRequest.java
@@ -5,8 +5,8 @@
 import edgenode.net.downstream.OpenRequest;
 import edgenode.net.downstream.ResponseSlot;
 import edgenode.net.resp.RequestCommand;
-import edgenode.net.upstream.UpstreamConnectionPool;
 import edgenode.net.upstream.UpstreamAttempt;
+import edgenode.net.upstream.UpstreamConnectionPool;
 import edgenode.net.upstream.UpstreamRequest;
 import edgenode.net.upstream.ValueSink;
 import edgenode.net.upstream.ValueSource;
@@ -28,7 +28,7 @@
  */
 final class PendingRequest implements OpenRequest, UpstreamRequest {
   /**
-   * The policy hears that the client's wait is over; without a decision within this (ms) we fail.
+   * Time (ms) for the policy to decide after the deadline; without a decision the request fails.
    */
   private static final double POLICY_GRACE_MS = 8;
 
--- a/src/main/java/edgenode/node/RequestTable.java
+++ b/src/main/java/edgenode/node/RequestTable.java
@@ -20,7 +20,7 @@
  * it is answered and none of its attempts is in flight. On the event loop only.
  */
 final class RequestTable implements RequestHandler {
-  /** Part of a client's wait (ms) that is kept for the way of the response. */
+  /** Part of a client's wait (ms) that is reserved for the transfer of the response. */
   private static final double RESPONSE_MARGIN_MS = 10;
 
   /**
--- a/src/main/java/edgenode/node/TelemetryJson.java
+++ b/src/main/java/edgenode/node/TelemetryJson.java
@@ -1,11 +1,10 @@
 package edgenode.node;
 
-import edgenode.membership.MembershipStats;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import edgenode.idempotency.IdempotencyIndex;
 import edgenode.ledger.RequestLedger;
-import edgenode.membership.Membership;
+import edgenode.membership.MembershipStats;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
@@ -106,8 +105,7 @@
     out.writeEndObject();
   }
 
-  private static void writeListAge(JsonGenerator out, MembershipStats members)
-      throws IOException {
+  private static void writeListAge(JsonGenerator out, MembershipStats members) throws IOException {
     if (members.ageMs() < Double.POSITIVE_INFINITY) {
       out.writeNumberField("list_age_ms", Math.round(members.ageMs()));
     }
