--- a/src/main/java/edgenode/emulator/AppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/AppServerEmulator.java
@@ -26,7 +26,7 @@
 
 /**
  * A stand-in for an app server, from the protocol page, on an event loop that is given: its {@link
- * * * Capacity}, repeats dropped in its {@link IdempotencyGroupModel}, load reports that are late
+ * * * * Capacity}, repeats dropped in its {@link IdempotencyGroupModel}, load reports that are late
  * and noisy, a bound of connections and idle ones closed. It can die and come back cold, vanish,
  * stall, lose cores, answer with noise, stop reading and fall silent. All methods are for the
  * loop's thread.
@@ -58,40 +58,40 @@
     public static final Habits USUAL = new Habits(64, 15_000, 200, 0.1);
   }
 
-  private static final int WORDS = 8;
-  private static final int BACKLOG = 256;
-  private static final double SWEEP = 500;
+  private static final int MAX_COMMAND_ELEMENTS = 8;
+  private static final int LISTEN_BACKLOG = 256;
+  private static final double IDLE_SWEEP_MS = 500;
 
   private final EdgeEventLoop loop;
   private final String id;
-  private final IdempotencyGroupModel rack;
+  private final IdempotencyGroupModel idempotencyGroup;
   private final CapacityModel.Size size;
   private final Habits habits;
   private final Effects effects;
   private final Random random;
-  private final Set<Peer> peers = new LinkedHashSet<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
   private InetSocketAddress address;
   private Channel listener;
   private CapacityModel capacity;
   private Mood mood = Mood.WELL;
-  private double bornAt;
-  private Future<?> timer;
-  private double timerAt = Double.POSITIVE_INFINITY;
-  private String report = "";
-  private double reportedAt = Double.NEGATIVE_INFINITY;
-  private long lives;
+  private double startedAtMs;
+  private Future<?> completionTimer;
+  private double completionTimerAtMs = Double.POSITIVE_INFINITY;
+  private String loadReport = "";
+  private double loadReportAtMs = Double.NEGATIVE_INFINITY;
+  private long incarnation;
 
   public AppServerEmulator(
       EdgeEventLoop loop,
       String id,
-      IdempotencyGroupModel rack,
+      IdempotencyGroupModel idempotencyGroup,
       CapacityModel.Size size,
       Habits habits,
       Effects effects,
       long seed) {
     this.loop = loop;
     this.id = id;
-    this.rack = rack;
+    this.idempotencyGroup = idempotencyGroup;
     this.size = size;
     this.habits = habits;
     this.effects = effects;
@@ -99,32 +99,32 @@
   }
 
   /** Starts long warm and listens there; port 0 for any, where the kind of channel has such. */
-  public AppServerEmulator start(InetSocketAddress at) throws InterruptedException {
+  public AppServerEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
     capacity = new CapacityModel(size, random.nextLong(), loop.nowMs(), Double.NEGATIVE_INFINITY);
-    address = at;
-    ChannelFuture bound = bind(at);
-    if (at.getPort() == 0) {
+    address = bindAddress;
+    ChannelFuture bound = bind(bindAddress);
+    if (bindAddress.getPort() == 0) {
       address = (InetSocketAddress) bound.sync().channel().localAddress();
     }
     listener = bound.channel();
-    loop.execute(() -> loop.schedule(SWEEP, this::sweep));
+    loop.execute(() -> loop.schedule(IDLE_SWEEP_MS, this::closeIdleConnections));
     return this;
   }
 
-  private ChannelFuture bind(InetSocketAddress at) {
+  private ChannelFuture bind(InetSocketAddress bindAddress) {
     return loop.transport()
-        .newServerBootstrap(loop.group(), BACKLOG)
+        .newServerBootstrap(loop.group(), LISTEN_BACKLOG)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                Peer peer = new Peer(channel);
-                channel.pipeline().addLast(peer.first);
-                RespCodec.addCodec(channel.pipeline(), WORDS);
-                channel.pipeline().addLast(peer);
+                Connection connection = new Connection(channel);
+                channel.pipeline().addLast(connection.firstByteHandler);
+                RespCodec.addCodec(channel.pipeline(), MAX_COMMAND_ELEMENTS);
+                channel.pipeline().addLast(connection);
               }
             })
-        .bind(loop.transport().toSocketAddress(at));
+        .bind(loop.transport().toSocketAddress(bindAddress));
   }
 
   public String id() {
@@ -141,28 +141,28 @@
         id,
         address.getAddress().getHostAddress() + ":" + address.getPort(),
         health,
-        bornAt,
-        rack.site(),
-        rack.block());
+        startedAtMs,
+        idempotencyGroup.site(),
+        idempotencyGroup.block());
   }
 
-  public IdempotencyGroupModel rack() {
-    return rack;
+  public IdempotencyGroupModel idempotencyGroup() {
+    return idempotencyGroup;
   }
 
   // ---- faults ----
 
-  public void mood(Mood now) {
-    mood = now;
-    for (Peer peer : peers) {
-      peer.channel.config().setAutoRead(now != Mood.DEAF);
+  public void mood(Mood newMood) {
+    mood = newMood;
+    for (Connection connection : connections) {
+      connection.channel.config().setAutoRead(newMood != Mood.DEAF);
     }
   }
 
   /** A neighbour takes this share of its cores, 0 to below 1. */
   public void neighbour(double share) {
     capacity.neighbour(loop.nowMs(), share);
-    arm();
+    scheduleCompletion();
   }
 
   /**
@@ -170,150 +170,158 @@
    * refused.
    */
   public void die() {
-    lives++;
+    incarnation++;
     listener.close();
-    for (Peer peer : peers.toArray(new Peer[0])) {
-      peer.channel.config().setOption(ChannelOption.SO_LINGER, 0);
-      peer.channel.close();
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
+      connection.channel.close();
     }
     capacity = new CapacityModel(size, random.nextLong(), loop.nowMs(), loop.nowMs());
-    timerAt = Double.POSITIVE_INFINITY;
+    completionTimerAtMs = Double.POSITIVE_INFINITY;
   }
 
   /** It starts again, cold, at its address or another. */
-  public void back(InetSocketAddress at) {
-    bornAt = loop.nowMs();
+  public void back(InetSocketAddress bindAddress) {
+    startedAtMs = loop.nowMs();
     mood = Mood.WELL;
-    capacity = new CapacityModel(size, random.nextLong(), bornAt, bornAt);
-    address = at;
-    bind(at)
+    capacity = new CapacityModel(size, random.nextLong(), startedAtMs, startedAtMs);
+    address = bindAddress;
+    bind(bindAddress)
         .addListener(
-            (ChannelFuture f) -> {
-              if (f.isSuccess()) {
-                listener = f.channel();
+            (ChannelFuture bound) -> {
+              if (bound.isSuccess()) {
+                listener = bound.channel();
               } else {
                 loop.logLine(
-                    "stand-in " + id + " cannot listen at " + at + ": " + f.cause().getMessage());
+                    "stand-in "
+                        + id
+                        + " cannot listen at "
+                        + bindAddress
+                        + ": "
+                        + bound.cause().getMessage());
               }
             });
   }
 
   // ---- work ----
 
-  private void sweep() {
-    loop.schedule(SWEEP, this::sweep);
-    for (Peer peer : peers.toArray(new Peer[0])) {
-      if (peer.open.isEmpty() && loop.nowMs() - peer.usedAt > habits.idleMs) {
-        peer.channel.close();
+  private void closeIdleConnections() {
+    loop.schedule(IDLE_SWEEP_MS, this::closeIdleConnections);
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      if (connection.pendingCommands.isEmpty()
+          && loop.nowMs() - connection.lastUsedAtMs > habits.idleMs) {
+        connection.channel.close();
       }
     }
   }
 
   /** One timer for what ends next. */
-  private void arm() {
-    double at = capacity.next();
-    if (at >= timerAt) {
+  private void scheduleCompletion() {
+    double completionAtMs = capacity.next();
+    if (completionAtMs >= completionTimerAtMs) {
       return;
     }
-    if (timer != null) {
-      timer.cancel(false);
+    if (completionTimer != null) {
+      completionTimer.cancel(false);
     }
-    timerAt = at;
-    long life = lives;
-    timer =
+    completionTimerAtMs = completionAtMs;
+    long scheduledIncarnation = incarnation;
+    completionTimer =
         loop.schedule(
-            Math.max(0, at - loop.nowMs()),
+            Math.max(0, completionAtMs - loop.nowMs()),
             () -> {
-              if (life == lives) {
-                timerAt = Double.POSITIVE_INFINITY;
-                finish();
+              if (scheduledIncarnation == incarnation) {
+                completionTimerAtMs = Double.POSITIVE_INFINITY;
+                answerCompletedJobs();
               }
             });
   }
 
-  private void finish() {
+  private void answerCompletedJobs() {
     for (CapacityModel.Job job : capacity.done(loop.nowMs())) {
-      Ask ask = (Ask) job.what;
+      PendingCommand call = (PendingCommand) job.what;
       if (mood == Mood.FAILING) {
-        ask.answer("ERR", new ErrorRedisMessage("ERR failed"));
+        call.answer("ERR", new ErrorRedisMessage("ERR failed"));
       } else {
-        ask.answer("value", value(ask));
+        call.answer("value", value(call));
       }
     }
-    arm();
+    scheduleCompletion();
   }
 
-  private RedisMessage value(Ask ask) {
+  private RedisMessage value(PendingCommand call) {
     List<RedisMessage> parts = new ArrayList<>(3);
-    Channel channel = ask.peer.channel;
-    parts.add(RespCodec.bulkString(channel.alloc(), "ok " + ask.requestId + " by " + id));
+    Channel channel = call.connection.channel;
+    parts.add(RespCodec.bulkString(channel.alloc(), "ok " + call.requestId + " by " + id));
     parts.add(FullBulkStringRedisMessage.NULL_INSTANCE);
-    parts.add(RespCodec.bulkString(channel.alloc(), report()));
+    parts.add(RespCodec.bulkString(channel.alloc(), loadReport()));
     return new ArrayRedisMessage(parts);
   }
 
   /** Late and noisy, as real ones. */
-  private String report() {
-    if (loop.nowMs() - reportedAt >= habits.reportEveryMs) {
-      reportedAt = loop.nowMs();
-      report =
+  private String loadReport() {
+    if (loop.nowMs() - loadReportAtMs >= habits.reportEveryMs) {
+      loadReportAtMs = loop.nowMs();
+      loadReport =
           "inflight="
-              + noisy(capacity.running())
+              + withNoise(capacity.running())
               + ",queue="
-              + noisy(capacity.waiting())
+              + withNoise(capacity.waiting())
               + ",util="
-              + noisy(100 * capacity.utilization()) / 100.0;
+              + withNoise(100 * capacity.utilization()) / 100.0;
     }
-    return report;
+    return loadReport;
   }
 
-  private long noisy(double figure) {
+  private long withNoise(double figure) {
     return Math.max(0, Math.round(figure * (1 + habits.noise * (2 * random.nextDouble() - 1))));
   }
 
   /** One command, until its answer is written: answers go in the order of the commands. */
-  private final class Ask {
-    private final Peer peer;
+  private final class PendingCommand {
+    private final Connection connection;
     private final String requestId;
-    private final long life = lives;
-    private RedisMessage message;
+    private final long receivedIncarnation = incarnation;
+    private RedisMessage response;
 
-    Ask(Peer peer, String requestId) {
-      this.peer = peer;
+    PendingCommand(Connection connection, String requestId) {
+      this.connection = connection;
       this.requestId = requestId;
     }
 
-    void answer(String kind, RedisMessage with) {
-      if (life != lives || mood == Mood.SILENT || !peer.channel.isActive()) {
-        ReferenceCountUtil.release(with);
+    void answer(String kind, RedisMessage newResponse) {
+      if (receivedIncarnation != incarnation
+          || mood == Mood.SILENT
+          || !connection.channel.isActive()) {
+        ReferenceCountUtil.release(newResponse);
         return;
       }
       if (requestId != null) {
         effects.answered(loop.nowMs(), id, requestId, kind);
       }
-      message = with;
-      peer.drain();
+      response = newResponse;
+      connection.writeReadyResponses();
     }
   }
 
-  private final class Peer extends ChannelInboundHandlerAdapter {
+  private final class Connection extends ChannelInboundHandlerAdapter {
     private final Channel channel;
-    private final ArrayDeque<Ask> open = new ArrayDeque<>();
-    private final First first = new First();
-    private double usedAt = loop.nowMs();
+    private final ArrayDeque<PendingCommand> pendingCommands = new ArrayDeque<>();
+    private final FirstByteHandler firstByteHandler = new FirstByteHandler();
+    private double lastUsedAtMs = loop.nowMs();
 
-    Peer(Channel channel) {
+    Connection(Channel channel) {
       this.channel = channel;
     }
 
     /** Ahead of the codec: when the first byte of a command came. */
-    private final class First extends ChannelInboundHandlerAdapter {
-      private boolean begun;
+    private final class FirstByteHandler extends ChannelInboundHandlerAdapter {
+      private boolean hasSeenFirstByte;
 
       @Override
       public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        if (!begun && ((ByteBuf) msg).isReadable()) {
-          begun = true;
+        if (!hasSeenFirstByte && ((ByteBuf) msg).isReadable()) {
+          hasSeenFirstByte = true;
           effects.began(loop.nowMs(), id);
         }
         ctx.fireChannelRead(msg);
@@ -322,32 +330,32 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      if (peers.size() >= habits.connections) {
+      if (connections.size() >= habits.connections) {
         ctx.close();
         return;
       }
-      peers.add(this);
+      connections.add(this);
       channel.config().setAutoRead(mood != Mood.DEAF);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      peers.remove(this);
-      open.forEach(ask -> ReferenceCountUtil.release(ask.message));
-      open.clear();
+      connections.remove(this);
+      pendingCommands.forEach(pending -> ReferenceCountUtil.release(pending.response));
+      pendingCommands.clear();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      first.begun = false;
-      usedAt = loop.nowMs();
+      firstByteHandler.hasSeenFirstByte = false;
+      lastUsedAtMs = loop.nowMs();
       try {
         if (msg instanceof ArrayRedisMessage command
             && !command.isNull()
             && !command.children().isEmpty()) {
-          List<String> words = new ArrayList<>();
-          command.children().forEach(part -> words.add(String.valueOf(RespCodec.textOf(part))));
-          command(words);
+          List<String> elements = new ArrayList<>();
+          command.children().forEach(part -> elements.add(String.valueOf(RespCodec.textOf(part))));
+          handleCommand(elements);
         } else {
           effects.malformed(loop.nowMs(), id, "no command");
           ctx.close();
@@ -357,8 +365,8 @@
       }
     }
 
-    private void command(List<String> words) {
-      String verb = words.get(0);
+    private void handleCommand(List<String> elements) {
+      String verb = elements.get(0);
       if (mood == Mood.NOISE) {
         channel
             .writeAndFlush(RespCodec.bulkString(channel.alloc(), "\u0001noise"))
@@ -366,57 +374,58 @@
         return;
       }
       if (verb.equals("CALL.GET") || verb.equals("CALL.POST")) {
-        call(words);
+        handleCall(elements);
         return;
       }
-      Ask ask = new Ask(this, null);
-      open.add(ask);
+      PendingCommand pending = new PendingCommand(this, null);
+      pendingCommands.add(pending);
       switch (verb) {
-        case "PING" -> ask.answer("", new SimpleStringRedisMessage("PONG"));
-        case "INFO" -> ask.answer("", RespCodec.bulkString(channel.alloc(), report()));
-        case "CLIENT", "SELECT" -> ask.answer("", new SimpleStringRedisMessage("OK"));
-        default -> ask.answer("", new ErrorRedisMessage("ERR unknown command"));
+        case "PING" -> pending.answer("", new SimpleStringRedisMessage("PONG"));
+        case "INFO" -> pending.answer("", RespCodec.bulkString(channel.alloc(), loadReport()));
+        case "CLIENT", "SELECT" -> pending.answer("", new SimpleStringRedisMessage("OK"));
+        default -> pending.answer("", new ErrorRedisMessage("ERR unknown command"));
       }
     }
 
-    private void call(List<String> words) {
-      if (words.size() < 4 || words.size() > 5) {
-        effects.malformed(loop.nowMs(), id, String.join(" ", words));
-        Ask ask = new Ask(this, null);
-        open.add(ask);
-        ask.answer("", new ErrorRedisMessage("SYNTAX"));
+    private void handleCall(List<String> elements) {
+      if (elements.size() < 4 || elements.size() > 5) {
+        effects.malformed(loop.nowMs(), id, String.join(" ", elements));
+        PendingCommand pending = new PendingCommand(this, null);
+        pendingCommands.add(pending);
+        pending.answer("", new ErrorRedisMessage("SYNTAX"));
         return;
       }
-      String customer = words.get(1);
-      String key = value(words.get(3), "k");
-      Ask ask = new Ask(this, words.get(2));
-      open.add(ask);
-      boolean full = mood == Mood.DRAINING;
-      CapacityModel.Job job = full ? null : capacity.offer(loop.nowMs(), ask);
-      boolean repeat = job != null && key != null && rack.repeated(loop.nowMs(), customer, key);
+      String customer = elements.get(1);
+      String key = value(elements.get(3), "k");
+      PendingCommand pending = new PendingCommand(this, elements.get(2));
+      pendingCommands.add(pending);
+      boolean isDraining = mood == Mood.DRAINING;
+      CapacityModel.Job job = isDraining ? null : capacity.offer(loop.nowMs(), pending);
+      boolean isDuplicate =
+          job != null && key != null && idempotencyGroup.repeated(loop.nowMs(), customer, key);
       effects.came(
           loop.nowMs(),
           id,
-          words.get(0),
+          elements.get(0),
           customer,
-          words.get(2),
-          words.get(3),
+          elements.get(2),
+          elements.get(3),
           key,
-          job != null && !repeat);
+          job != null && !isDuplicate);
       if (job == null) {
-        ask.answer("BUSY", new ErrorRedisMessage("BUSY"));
+        pending.answer("BUSY", new ErrorRedisMessage("BUSY"));
       }
-      arm();
+      scheduleCompletion();
     }
 
-    private void drain() {
-      boolean wrote = false;
-      while (!open.isEmpty() && open.peek().message != null) {
-        channel.write(open.poll().message);
-        wrote = true;
+    private void writeReadyResponses() {
+      boolean hasWritten = false;
+      while (!pendingCommands.isEmpty() && pendingCommands.peek().response != null) {
+        channel.write(pendingCommands.poll().response);
+        hasWritten = true;
       }
-      if (wrote) {
-        usedAt = loop.nowMs();
+      if (hasWritten) {
+        lastUsedAtMs = loop.nowMs();
         channel.flush();
       }
     }
--- a/src/main/java/edgenode/emulator/ArrivalProcess.java
+++ b/src/main/java/edgenode/emulator/ArrivalProcess.java
@@ -44,53 +44,58 @@
   /** One request: {@code at} ms from the start; {@code key} is null in a class without. */
   public record Arrival(long number, double at, Campus campus, Kind kind, String key) {}
 
-  private final List<Campus> campuses;
-  private final List<Kind> kinds;
+  private final List<Campus> customers;
+  private final List<Kind> requestKinds;
   private final Rate rate;
-  private final double most;
+  private final double peakRatePerSecond;
   private final Random random;
-  private double at;
+  private double nowMs;
   private long number;
 
   /**
-   * @param most the highest rate (a second) that the curve reaches
+   * @param peakRatePerSecond the highest rate (a second) that the curve reaches
    */
   public ArrivalProcess(
-      long seed, List<Campus> campuses, List<Kind> kinds, Rate rate, double most) {
-    if (campuses.isEmpty() || kinds.isEmpty() || !(most > 0)) {
+      long seed,
+      List<Campus> customers,
+      List<Kind> requestKinds,
+      Rate rate,
+      double peakRatePerSecond) {
+    if (customers.isEmpty() || requestKinds.isEmpty() || !(peakRatePerSecond > 0)) {
       throw new IllegalArgumentException("no campus, no class, or no rate");
     }
-    this.campuses = List.copyOf(campuses);
-    this.kinds = List.copyOf(kinds);
+    this.customers = List.copyOf(customers);
+    this.requestKinds = List.copyOf(requestKinds);
     this.rate = rate;
-    this.most = most;
+    this.peakRatePerSecond = peakRatePerSecond;
     random = new Random(seed);
   }
 
   /** The next one; the times never go back. */
   public Arrival next() {
     do {
-      at += -Math.log(1 - random.nextDouble()) / most * 1000;
-    } while (random.nextDouble() * most > rate.at(at));
-    double campus = random.nextDouble() * campuses.stream().mapToDouble(Campus::weight).sum();
-    double kind = random.nextDouble() * kinds.stream().mapToDouble(Kind::weight).sum();
-    Campus who = campuses.get(campuses.size() - 1);
-    for (Campus c : campuses) {
-      campus -= c.weight;
-      if (campus < 0) {
-        who = c;
+      nowMs += -Math.log(1 - random.nextDouble()) / peakRatePerSecond * 1000;
+    } while (random.nextDouble() * peakRatePerSecond > rate.at(nowMs));
+    double customerDraw =
+        random.nextDouble() * customers.stream().mapToDouble(Campus::weight).sum();
+    double kindDraw = random.nextDouble() * requestKinds.stream().mapToDouble(Kind::weight).sum();
+    Campus chosenCustomer = customers.get(customers.size() - 1);
+    for (Campus candidate : customers) {
+      customerDraw -= candidate.weight;
+      if (customerDraw < 0) {
+        chosenCustomer = candidate;
         break;
       }
     }
-    Kind what = kinds.get(kinds.size() - 1);
-    for (Kind k : kinds) {
-      kind -= k.weight;
-      if (kind < 0) {
-        what = k;
+    Kind chosenKind = requestKinds.get(requestKinds.size() - 1);
+    for (Kind candidate : requestKinds) {
+      kindDraw -= candidate.weight;
+      if (kindDraw < 0) {
+        chosenKind = candidate;
         break;
       }
     }
-    String key = what.keyed ? Long.toHexString(random.nextLong() | 1L << 63) : null;
-    return new Arrival(++number, at, who, what, key);
+    String key = chosenKind.keyed ? Long.toHexString(random.nextLong() | 1L << 63) : null;
+    return new Arrival(++number, nowMs, chosenCustomer, chosenKind, key);
   }
 }
--- a/src/main/java/edgenode/emulator/CapacityModel.java
+++ b/src/main/java/edgenode/emulator/CapacityModel.java
@@ -19,12 +19,12 @@
  */
 public final class CapacityModel {
   /** While the speed changes with time it is taken as steady for so long (ms). */
-  private static final double STEP = 50;
+  private static final double RAMP_STEP_MS = 50;
 
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
   /** A rest of work (ms of one core) that is no work any more. */
-  private static final double NOTHING = 1e-9;
+  private static final double MIN_WORK_MS = 1e-9;
 
   /**
    * @param cores how many, above 0
@@ -68,37 +68,37 @@
     /** What it is for; the caller's. */
     public final Object what;
 
-    private double left;
+    private double remainingMs;
 
     private Job(Object what, double work) {
       this.what = what;
-      left = work;
+      remainingMs = work;
     }
   }
 
   private final Size size;
   private final Random random;
-  private final double startedAt;
+  private final double startedAtMs;
   private final List<Job> running = new ArrayList<>();
   private final ArrayDeque<Job> waiting = new ArrayDeque<>();
   private final List<Job> done = new ArrayList<>();
-  private double at;
+  private double nowMs;
   private double neighbour;
   private double busy;
 
   /**
-   * @param startedAt when the server started; negative infinity for long ago
+   * @param startedAtMs when the server started; negative infinity for long ago
    */
-  public CapacityModel(Size size, long seed, double now, double startedAt) {
+  public CapacityModel(Size size, long seed, double nowMs, double startedAtMs) {
     this.size = size;
-    this.startedAt = startedAt;
+    this.startedAtMs = startedAtMs;
     random = new Random(seed);
-    at = now;
+    this.nowMs = nowMs;
   }
 
   /** A job comes; null where the waiting room is full, and nothing has run then. */
   public Job offer(double now, Object what) {
-    pass(now);
+    advance(now);
     if (running.size() >= size.slots && waiting.size() >= size.room) {
       return null;
     }
@@ -110,11 +110,11 @@
 
   /** A job is not wanted any more; what has run of it has run. */
   public void drop(double now, Job job) {
-    pass(now);
+    advance(now);
     if (!running.remove(job)) {
       waiting.remove(job);
     }
-    fill();
+    startWaitingJobs();
   }
 
   /** From now on a neighbour takes this share (0 to below 1) of the cores. */
@@ -122,28 +122,30 @@
     if (!(share >= 0 && share < 1)) {
       throw new IllegalArgumentException("a neighbour's share is out of range: " + share);
     }
-    pass(now);
+    advance(now);
     neighbour = share;
   }
 
   /** When {@link #done} may have something next; infinite where nothing runs. */
   public double next() {
     if (!done.isEmpty()) {
-      return at;
+      return nowMs;
     }
-    double least = NEVER;
+    double leastRemainingMs = NEVER;
     for (Job job : running) {
-      least = Math.min(least, job.left);
+      leastRemainingMs = Math.min(leastRemainingMs, job.remainingMs);
     }
-    return least == NEVER ? NEVER : Math.min(at + least / rate(), changes());
+    return leastRemainingMs == NEVER
+        ? NEVER
+        : Math.min(nowMs + leastRemainingMs / workRatePerJob(), speedSteadyUntilMs());
   }
 
   /** The jobs that have ended since the last call, in the order in which they did. */
   public List<Job> done(double now) {
-    pass(now);
-    List<Job> all = List.copyOf(done);
+    advance(now);
+    List<Job> completed = List.copyOf(done);
     done.clear();
-    return all;
+    return completed;
   }
 
   public int running() {
@@ -156,69 +158,70 @@
 
   /** Work done so far (ms of one core). */
   public double busy(double now) {
-    pass(now);
+    advance(now);
     return busy;
   }
 
   /** Of the cores that are there now, how much is in use: 0 to 1. */
   public double utilization() {
-    return Math.min(1, running.size() / Math.max(NOTHING, cores()));
+    return Math.min(1, running.size() / Math.max(MIN_WORK_MS, availableCores()));
   }
 
-  private double cores() {
+  private double availableCores() {
     return size.cores * (1 - neighbour);
   }
 
   /** A core's speed now, as a part of a warm one's. */
   private double speed() {
-    double age = at - startedAt;
+    double age = nowMs - startedAtMs;
     return age >= size.warmMs ? 1 : size.coldShare + (1 - size.coldShare) * age / size.warmMs;
   }
 
   /** Work that each running job gets in a ms. */
-  private double rate() {
-    return speed() * Math.min(1, cores() / running.size());
+  private double workRatePerJob() {
+    return speed() * Math.min(1, availableCores() / running.size());
   }
 
   /** Until when the speed is taken as steady. */
-  private double changes() {
-    return at - startedAt >= size.warmMs ? NEVER : at + STEP;
+  private double speedSteadyUntilMs() {
+    return nowMs - startedAtMs >= size.warmMs ? NEVER : nowMs + RAMP_STEP_MS;
   }
 
   /**
    * Lets the jobs run until this time; each step goes to the next end of a job or change of speed.
    */
-  private void pass(double now) {
-    while (at < now) {
+  private void advance(double untilMs) {
+    while (nowMs < untilMs) {
       if (running.isEmpty()) {
-        at = now;
+        nowMs = untilMs;
         return;
       }
-      double least = NEVER;
+      double leastRemainingMs = NEVER;
       for (Job job : running) {
-        least = Math.min(least, job.left);
+        leastRemainingMs = Math.min(leastRemainingMs, job.remainingMs);
       }
-      double rate = rate();
-      double until = Math.min(Math.min(now, changes()), at + least / rate);
-      boolean ends = until >= at + least / rate;
-      double given = ends ? least : (until - at) * rate;
-      busy += given * running.size();
-      at = Math.max(until, Math.nextUp(at));
-      double nothing =
-          Math.max(NOTHING, Math.ulp(at) * rate); // less than the clock's next step can give
-      for (Iterator<Job> it = running.iterator(); it.hasNext(); ) {
-        Job job = it.next();
-        job.left -= given;
-        if (job.left <= nothing) {
-          it.remove();
+      double rate = workRatePerJob();
+      double stepEndMs =
+          Math.min(Math.min(untilMs, speedSteadyUntilMs()), nowMs + leastRemainingMs / rate);
+      boolean isJobEnd = stepEndMs >= nowMs + leastRemainingMs / rate;
+      double workPerJobMs = isJobEnd ? leastRemainingMs : (stepEndMs - nowMs) * rate;
+      busy += workPerJobMs * running.size();
+      nowMs = Math.max(stepEndMs, Math.nextUp(nowMs));
+      double negligibleMs =
+          Math.max(MIN_WORK_MS, Math.ulp(nowMs) * rate); // less than the clock's next step can give
+      for (Iterator<Job> jobs = running.iterator(); jobs.hasNext(); ) {
+        Job job = jobs.next();
+        job.remainingMs -= workPerJobMs;
+        if (job.remainingMs <= negligibleMs) {
+          jobs.remove();
           done.add(job);
         }
       }
-      fill();
+      startWaitingJobs();
     }
   }
 
-  private void fill() {
+  private void startWaitingJobs() {
     while (running.size() < size.slots && !waiting.isEmpty()) {
       running.add(waiting.poll());
     }
--- a/src/main/java/edgenode/emulator/ClientLoadBalancer.java
+++ b/src/main/java/edgenode/emulator/ClientLoadBalancer.java
@@ -13,89 +13,89 @@
 public final class ClientLoadBalancer {
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
-  private final int nodes;
-  private final double notice;
+  private final int nodeCount;
+  private final double detectionDelayMs;
   private final Random random;
-  private final Map<String, double[]> shares = new HashMap<>();
+  private final Map<String, double[]> weightsByCustomer = new HashMap<>();
 
   /** When each node went down, infinite while it is up. */
-  private final double[] downAt;
+  private final double[] downSinceMs;
 
-  private int busiest = -1;
+  private int hotNode = -1;
   private double crowd;
 
   /**
-   * @param noticeMs how long it goes on sending to a node that has died
+   * @param detectionDelayMs how long it goes on sending to a node that has died
    */
-  public ClientLoadBalancer(int nodes, double noticeMs, long seed) {
-    if (nodes < 1) {
+  public ClientLoadBalancer(int nodeCount, double detectionDelayMs, long seed) {
+    if (nodeCount < 1) {
       throw new IllegalArgumentException("a front of no edge nodes");
     }
-    this.nodes = nodes;
-    notice = noticeMs;
+    this.nodeCount = nodeCount;
+    this.detectionDelayMs = detectionDelayMs;
     random = new Random(seed);
-    downAt = new double[nodes];
-    Arrays.fill(downAt, NEVER);
+    downSinceMs = new double[nodeCount];
+    Arrays.fill(downSinceMs, NEVER);
   }
 
-  public void down(int node, double now) {
-    downAt[node] = now;
+  public void down(int node, double nowMs) {
+    downSinceMs[node] = nowMs;
   }
 
   public void up(int node) {
-    downAt[node] = NEVER;
+    downSinceMs[node] = NEVER;
   }
 
   /** That share (0 to 1) of all requests goes to one node; a share of 0 ends it. */
   public void crowd(int node, double share) {
-    busiest = node;
+    hotNode = node;
     crowd = share;
   }
 
   /** All customers' requests move to other nodes at one stroke. */
   public void reshuffle() {
-    shares.clear();
+    weightsByCustomer.clear();
   }
 
-  private boolean taken(int node, double now) {
-    return now < downAt[node] + notice;
+  private boolean isInRotation(int node, double nowMs) {
+    return nowMs < downSinceMs[node] + detectionDelayMs;
   }
 
   /** Where a customer's next request goes. */
-  public int node(String customer, double now) {
+  public int node(String customer, double nowMs) {
     double draw = random.nextDouble();
-    double other = random.nextDouble();
-    if (crowd > 0 && other < crowd && taken(busiest, now)) {
-      return busiest;
+    double hotNodeDraw = random.nextDouble();
+    if (crowd > 0 && hotNodeDraw < crowd && isInRotation(hotNode, nowMs)) {
+      return hotNode;
     }
-    double[] weights = shares.computeIfAbsent(customer, c -> weights());
+    double[] weights = weightsByCustomer.computeIfAbsent(customer, c -> drawWeights());
     double sum = 0;
     for (int i = 0; i < weights.length; i++) {
-      sum += taken(i, now) ? weights[i] : 0;
+      sum += isInRotation(i, nowMs) ? weights[i] : 0;
     }
     if (sum == 0) {
       return (int) (draw * weights.length); // it knows of none: as it comes
     }
-    double left = draw * sum;
-    int last = 0;
+    double remaining = draw * sum;
+    int chosen = 0;
     for (int i = 0; i < weights.length; i++) {
-      if (taken(i, now)) {
-        last = i;
-        left -= weights[i];
-        if (left < 0) {
+      if (isInRotation(i, nowMs)) {
+        chosen = i;
+        remaining -= weights[i];
+        if (remaining < 0) {
           break;
         }
       }
     }
-    return last;
+    return chosen;
   }
 
   /** Uneven, as clients are. */
-  private double[] weights() {
-    double[] all = new double[nodes];
-    for (int i = 0; i < all.length; i++) {
-      all[i] = -Math.log(1 - random.nextDouble());
+  private double[] drawWeights() {
+    double[] weights = new double[nodeCount];
+    for (int i = 0; i < weights.length; i++) {
+      weights[i] = -Math.log(1 - random.nextDouble());
     }
-    return all;
+    return weights;
   }
 }
--- a/src/main/java/edgenode/emulator/ConsulEmulator.java
+++ b/src/main/java/edgenode/emulator/ConsulEmulator.java
@@ -46,45 +46,47 @@
   }
 
   @Override
-  protected synchronized Answer answer(Question question) throws InterruptedException {
-    token = question.headers().getOrDefault("x-consul-token", "");
-    lastPath = question.path();
-    long asked = number(question.path(), "index=");
-    long until = System.nanoTime() / 1_000_000 + number(question.path(), "wait=");
-    while (asked > 0 && index == asked && System.nanoTime() / 1_000_000 < until) {
-      wait(Math.max(1, until - System.nanoTime() / 1_000_000));
+  protected synchronized HttpResponse answer(HttpRequest request) throws InterruptedException {
+    token = request.headers().getOrDefault("x-consul-token", "");
+    lastPath = request.path();
+    long requestedIndex = queryParameter(request.path(), "index=");
+    long deadlineMs = System.nanoTime() / 1_000_000 + queryParameter(request.path(), "wait=");
+    while (requestedIndex > 0
+        && index == requestedIndex
+        && System.nanoTime() / 1_000_000 < deadlineMs) {
+      wait(Math.max(1, deadlineMs - System.nanoTime() / 1_000_000));
     }
-    StringJoiner all = new StringJoiner(",", "[", "]");
-    for (Instance i : instances.values()) {
-      all.add(
+    StringJoiner json = new StringJoiner(",", "[", "]");
+    for (Instance instance : instances.values()) {
+      json.add(
           "{\"Node\":{\"ID\":\"n\",\"Node\":\"node\",\"Address\":\"127.0.0.9\",\"Datacenter\":\"dc1\"},"
               + "\"Service\":{\"ID\":\""
-              + i.id
+              + instance.id
               + "\",\"Service\":\"enrol\",\"Tags\":[],\"Address\":\""
-              + i.address
+              + instance.address
               + "\",\"Meta\":{},\"Port\":"
-              + i.port
+              + instance.port
               + ",\"Weights\":{\"Passing\":"
-              + i.passing
+              + instance.passing
               + ",\"Warning\":"
-              + i.warning
+              + instance.warning
               + "}},\"Checks\":[{\"CheckID\":\"serfHealth\",\"Status\":\"passing\"},"
               + "{\"CheckID\":\"service\",\"Status\":\""
-              + i.status
+              + instance.status
               + "\"}]}");
     }
-    return new Answer(200, "X-Consul-Index: " + index + "\r\n", all.toString());
+    return new HttpResponse(200, "X-Consul-Index: " + index + "\r\n", json.toString());
   }
 
-  private static long number(String path, String name) {
+  private static long queryParameter(String path, String name) {
     int at = path.indexOf(name);
     if (at < 0) {
       return 0;
     }
-    long n = 0;
+    long value = 0;
     for (int i = at + name.length(); i < path.length() && Character.isDigit(path.charAt(i)); i++) {
-      n = 10 * n + path.charAt(i) - '0';
+      value = 10 * value + path.charAt(i) - '0';
     }
-    return n;
+    return value;
   }
 }
--- a/src/main/java/edgenode/emulator/CounterEmulator.java
+++ b/src/main/java/edgenode/emulator/CounterEmulator.java
@@ -51,12 +51,12 @@
     public static final Size USUAL = new Size(1000, 200, 128);
 
     /** An edge node holds four, and four more while it moves to another address. */
-    private static final int CONNECTIONS_A_NODE = 8;
+    private static final int CONNECTIONS_PER_NODE = 8;
 
     /** The usual one, with room for the connections of so many edge nodes. */
     public static Size of(int nodes) {
       return new Size(
-          USUAL.perSecond, USUAL.queue, Math.max(USUAL.connections, CONNECTIONS_A_NODE * nodes));
+          USUAL.perSecond, USUAL.queue, Math.max(USUAL.connections, CONNECTIONS_PER_NODE * nodes));
     }
 
     public Size {
@@ -71,57 +71,60 @@
     void added(double now, String name, double amount, double total);
   }
 
-  private static final int WORDS = 8;
-  private static final int BACKLOG = 256;
-  private static final int LONGEST_NAME = 64;
-  private static final long LONGEST_LIFE = 60_000;
-  private static final double MOST = 1e9;
-  private static final double SWEEP = 1000;
-  private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,10}(\\.[0-9]{1,9})?");
-  private static final Pattern LIFE = Pattern.compile("[0-9]{1,12}");
+  private static final int MAX_COMMAND_ELEMENTS = 8;
+  private static final int LISTEN_BACKLOG = 256;
+  private static final int MAX_NAME_BYTES = 64;
+  private static final long MAX_TTL_MS = 60_000;
+  private static final double MAX_AMOUNT = 1e9;
+  private static final double EXPIRY_SWEEP_MS = 1000;
+  private static final Pattern AMOUNT_PATTERN = Pattern.compile("-?[0-9]{1,10}(\\.[0-9]{1,9})?");
+  private static final Pattern TTL_PATTERN = Pattern.compile("[0-9]{1,12}");
 
   private static final class Total {
     double value;
-    double until;
+    double expiresAtMs;
   }
 
-  private record Turn(Call call, List<String> words) {}
+  private record PendingAdd(PendingResponse response, List<String> elements) {}
 
   private final EdgeEventLoop loop;
   private final Size size;
-  private final Calls calls;
+  private final Calls listener;
   private final Map<String, Total> totals = new HashMap<>();
-  private final ArrayDeque<Turn> queue = new ArrayDeque<>();
-  private final Set<Peer> peers = new LinkedHashSet<>();
-  private Channel listener;
+  private final ArrayDeque<PendingAdd> pendingAdds = new ArrayDeque<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
+  private Channel serverChannel;
   private InetSocketAddress address;
   private Mood mood = Mood.WELL;
-  private double freeAt;
-  private boolean turning;
+  private double nextAddAtMs;
+  private boolean isAddScheduled;
 
-  public CounterEmulator(EdgeEventLoop loop, Size size, Calls calls) {
+  public CounterEmulator(EdgeEventLoop loop, Size size, Calls listener) {
     this.loop = loop;
     this.size = size;
-    this.calls = calls;
+    this.listener = listener;
   }
 
   /** Listens there; port 0 for any, where the kind of channel has such. */
-  public CounterEmulator start(InetSocketAddress at) throws InterruptedException {
+  public CounterEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
     ChannelFuture bound =
         loop.transport()
-            .newServerBootstrap(loop.group(), BACKLOG)
+            .newServerBootstrap(loop.group(), LISTEN_BACKLOG)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    RespCodec.addCodec(channel.pipeline(), WORDS);
-                    channel.pipeline().addLast(new Peer(channel));
+                    RespCodec.addCodec(channel.pipeline(), MAX_COMMAND_ELEMENTS);
+                    channel.pipeline().addLast(new Connection(channel));
                   }
                 })
-            .bind(loop.transport().toSocketAddress(at));
-    address = at.getPort() == 0 ? (InetSocketAddress) bound.sync().channel().localAddress() : at;
-    listener = bound.channel();
-    loop.execute(() -> loop.schedule(SWEEP, this::sweep));
+            .bind(loop.transport().toSocketAddress(bindAddress));
+    address =
+        bindAddress.getPort() == 0
+            ? (InetSocketAddress) bound.sync().channel().localAddress()
+            : bindAddress;
+    serverChannel = bound.channel();
+    loop.execute(() -> loop.schedule(EXPIRY_SWEEP_MS, this::removeExpiredTotals));
     return this;
   }
 
@@ -131,118 +134,119 @@
 
   // ---- faults ----
 
-  public void mood(Mood now) {
-    mood = now;
-    turn();
+  public void mood(Mood newMood) {
+    mood = newMood;
+    executeNextAdd();
   }
 
   /** All connections are reset; what was written may have been added. */
   public void reset() {
-    for (Peer peer : peers.toArray(new Peer[0])) {
-      peer.channel.config().setOption(ChannelOption.SO_LINGER, 0);
-      peer.channel.close();
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
+      connection.channel.close();
     }
   }
 
   /** Replaced by an empty one. */
   public void restart() {
     totals.clear();
-    queue.clear();
+    pendingAdds.clear();
     reset();
   }
 
   public void close() {
-    listener.close();
+    serverChannel.close();
     reset();
   }
 
   // ---- calls ----
 
-  private void sweep() {
-    loop.schedule(SWEEP, this::sweep);
-    totals.values().removeIf(t -> t.until <= loop.nowMs());
+  private void removeExpiredTotals() {
+    loop.schedule(EXPIRY_SWEEP_MS, this::removeExpiredTotals);
+    totals.values().removeIf(total -> total.expiresAtMs <= loop.nowMs());
   }
 
   /** One call in each 1/perSecond: the one that has waited longest. */
-  private void turn() {
-    if (turning || queue.isEmpty() || mood == Mood.SILENT) {
+  private void executeNextAdd() {
+    if (isAddScheduled || pendingAdds.isEmpty() || mood == Mood.SILENT) {
       return;
     }
-    double wait = freeAt - loop.nowMs();
-    if (wait > 0) {
-      turning = true;
+    double waitMs = nextAddAtMs - loop.nowMs();
+    if (waitMs > 0) {
+      isAddScheduled = true;
       loop.schedule(
-          wait,
+          waitMs,
           () -> {
-            turning = false;
-            turn();
+            isAddScheduled = false;
+            executeNextAdd();
           });
       return;
     }
-    freeAt = Math.max(freeAt, loop.nowMs() - 1000 / size.perSecond) + 1000 / size.perSecond;
-    Turn turn = queue.poll();
-    turn.call.answer(add(turn.words));
-    turn();
+    nextAddAtMs =
+        Math.max(nextAddAtMs, loop.nowMs() - 1000 / size.perSecond) + 1000 / size.perSecond;
+    PendingAdd pendingAdd = pendingAdds.poll();
+    pendingAdd.response.answer(add(pendingAdd.elements));
+    executeNextAdd();
   }
 
-  private RedisMessage add(List<String> words) {
-    String name = words.get(1);
-    double amount = Double.parseDouble(words.get(2));
-    long life = Math.min(LONGEST_LIFE, Long.parseLong(words.get(3)));
+  private RedisMessage add(List<String> elements) {
+    String name = elements.get(1);
+    double amount = Double.parseDouble(elements.get(2));
+    long ttlMs = Math.min(MAX_TTL_MS, Long.parseLong(elements.get(3)));
     Total total = totals.get(name);
-    if (total == null || total.until <= loop.nowMs()) {
+    if (total == null || total.expiresAtMs <= loop.nowMs()) {
       total = new Total();
-      total.until = loop.nowMs() + life;
+      total.expiresAtMs = loop.nowMs() + ttlMs;
       totals.put(name, total);
     }
     total.value += amount;
-    calls.added(loop.nowMs(), name, amount, total.value);
+    listener.added(loop.nowMs(), name, amount, total.value);
     String text =
         new BigDecimal(total.value, new MathContext(12)).stripTrailingZeros().toPlainString();
     return RespCodec.bulkString(Unpooled.EMPTY_BUFFER.alloc(), text);
   }
 
-  private static boolean wellFormed(List<String> words) {
-    return words.size() == 4
-        && !words.get(1).isEmpty()
-        && words.get(1).getBytes(StandardCharsets.UTF_8).length <= LONGEST_NAME
-        && NUMBER.matcher(words.get(2)).matches()
-        && Math.abs(Double.parseDouble(words.get(2))) <= MOST
-        && LIFE.matcher(words.get(3)).matches()
-        && Long.parseLong(words.get(3)) >= 1;
+  private static boolean isWellFormedAdd(List<String> elements) {
+    return elements.size() == 4
+        && !elements.get(1).isEmpty()
+        && elements.get(1).getBytes(StandardCharsets.UTF_8).length <= MAX_NAME_BYTES
+        && AMOUNT_PATTERN.matcher(elements.get(2)).matches()
+        && Math.abs(Double.parseDouble(elements.get(2))) <= MAX_AMOUNT
+        && TTL_PATTERN.matcher(elements.get(3)).matches()
+        && Long.parseLong(elements.get(3)) >= 1;
   }
 
   /** One call's place on its connection. */
-  private static final class Call {
-    private final Peer peer;
+  private static final class PendingResponse {
+    private final Connection connection;
     private RedisMessage message;
 
-    Call(Peer peer) {
-      this.peer = peer;
+    PendingResponse(Connection connection) {
+      this.connection = connection;
     }
 
-    void answer(RedisMessage with) {
-      if (!peer.channel.isActive()) {
-        ReferenceCountUtil.release(with);
+    void answer(RedisMessage newMessage) {
+      if (!connection.channel.isActive()) {
+        ReferenceCountUtil.release(newMessage);
         return;
       }
-      message = with;
-      peer.drain();
+      message = newMessage;
+      connection.writeReadyResponses();
     }
   }
 
-  private final class Peer extends ChannelInboundHandlerAdapter {
+  private final class Connection extends ChannelInboundHandlerAdapter {
     private final Channel channel;
-    private final ArrayDeque<Call> open = new ArrayDeque<>();
+    private final ArrayDeque<PendingResponse> pendingResponses = new ArrayDeque<>();
 
-    Peer(Channel channel) {
+    Connection(Channel channel) {
       this.channel = channel;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      peers.add(this);
-      if (peers.size() > size.connections) {
+      connections.add(this);
+      if (connections.size() > size.connections) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         ctx.close();
       }
@@ -250,60 +254,60 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      peers.remove(this);
-      open.forEach(c -> ReferenceCountUtil.release(c.message));
-      open.clear();
+      connections.remove(this);
+      pendingResponses.forEach(response -> ReferenceCountUtil.release(response.message));
+      pendingResponses.clear();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      Call call = new Call(this);
-      open.add(call);
+      PendingResponse response = new PendingResponse(this);
+      pendingResponses.add(response);
       try {
-        List<String> words = new ArrayList<>();
+        List<String> elements = new ArrayList<>();
         if (msg instanceof ArrayRedisMessage command && !command.isNull()) {
-          command.children().forEach(part -> words.add(String.valueOf(RespCodec.textOf(part))));
+          command.children().forEach(part -> elements.add(String.valueOf(RespCodec.textOf(part))));
         }
-        command(call, words);
+        handleCommand(response, elements);
       } finally {
         ReferenceCountUtil.release(msg);
       }
     }
 
-    private void command(Call call, List<String> words) {
-      String verb = words.isEmpty() ? "" : words.get(0);
+    private void handleCommand(PendingResponse response, List<String> elements) {
+      String verb = elements.isEmpty() ? "" : elements.get(0);
       if (mood == Mood.NOISE) {
-        call.answer(new SimpleStringRedisMessage("noise"));
+        response.answer(new SimpleStringRedisMessage("noise"));
         return;
       }
       switch (verb) {
         case "PING" -> {
           if (mood != Mood.SILENT) {
-            call.answer(new SimpleStringRedisMessage("PONG"));
+            response.answer(new SimpleStringRedisMessage("PONG"));
           }
         }
-        case "CLIENT", "SELECT" -> call.answer(new SimpleStringRedisMessage("OK"));
+        case "CLIENT", "SELECT" -> response.answer(new SimpleStringRedisMessage("OK"));
         case "CNT.ADD" -> {
-          if (!wellFormed(words)) {
-            call.answer(new ErrorRedisMessage("ERR no such call"));
-          } else if (mood == Mood.FULL || queue.size() >= size.queue) {
-            call.answer(new ErrorRedisMessage("BUSY"));
+          if (!isWellFormedAdd(elements)) {
+            response.answer(new ErrorRedisMessage("ERR no such call"));
+          } else if (mood == Mood.FULL || pendingAdds.size() >= size.queue) {
+            response.answer(new ErrorRedisMessage("BUSY"));
           } else {
-            queue.add(new Turn(call, words));
-            turn();
+            pendingAdds.add(new PendingAdd(response, elements));
+            executeNextAdd();
           }
         }
-        default -> call.answer(new ErrorRedisMessage("ERR no such call"));
+        default -> response.answer(new ErrorRedisMessage("ERR no such call"));
       }
     }
 
-    private void drain() {
-      boolean wrote = false;
-      while (!open.isEmpty() && open.peek().message != null) {
-        channel.write(open.poll().message);
-        wrote = true;
+    private void writeReadyResponses() {
+      boolean hasWritten = false;
+      while (!pendingResponses.isEmpty() && pendingResponses.peek().message != null) {
+        channel.write(pendingResponses.poll().message);
+        hasWritten = true;
       }
-      if (wrote) {
+      if (hasWritten) {
         channel.flush();
       }
     }
--- a/src/main/java/edgenode/emulator/CustomerClients.java
+++ b/src/main/java/edgenode/emulator/CustomerClients.java
@@ -86,26 +86,27 @@
     public static final Habits USUAL = new Habits(2, 200, true, 0);
   }
 
-  private static final int ELEMENTS = 8;
-  private static final int CONNECT = 1000;
+  private static final int MAX_RESPONSE_ELEMENTS = 8;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
   /**
    * Late by more than this (ms), a due arrival is sent at once all the same; never is one left out.
    */
-  private static final double AHEAD = 1;
+  private static final double SEND_AHEAD_MS = 1;
 
   private final EdgeEventLoop loop;
   private final ArrivalProcess arrivals;
   private final Habits habits;
-  private final Heard heard;
+  private final Heard listener;
   private final Route route;
   private final Random random;
-  private final Map<InetSocketAddress, ArrayDeque<Line>> resting = new HashMap<>();
-  private final Set<Line> lines = new LinkedHashSet<>();
-  private double startedAt;
-  private boolean ended;
-  private int open;
-  private long ids;
+  private final Map<InetSocketAddress, ArrayDeque<ClientConnection>> idleByAddress =
+      new HashMap<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+  private double startedAtMs;
+  private boolean isStopped;
+  private int openAttempts;
+  private long issuedIds;
 
   /**
    * @param seed of ids and of the spread of retries
@@ -115,9 +116,9 @@
       ArrivalProcess arrivals,
       Habits habits,
       InetSocketAddress node,
-      Heard heard,
+      Heard listener,
       long seed) {
-    this(loop, arrivals, habits, (of, now) -> new Way(node, 0, 1, 0), heard, seed);
+    this(loop, arrivals, habits, (of, now) -> new Way(node, 0, 1, 0), listener, seed);
   }
 
   /**
@@ -128,219 +129,230 @@
       ArrivalProcess arrivals,
       Habits habits,
       Route route,
-      Heard heard,
+      Heard listener,
       long seed) {
     this.loop = loop;
     this.arrivals = arrivals;
     this.habits = habits;
     this.route = route;
-    this.heard = heard;
+    this.listener = listener;
     random = new Random(seed);
   }
 
   public void start() {
-    startedAt = loop.nowMs();
-    due(arrivals.next());
+    startedAtMs = loop.nowMs();
+    sendDueArrivals(arrivals.next());
   }
 
   /** Asks nothing more; what is open may end. */
   public void stop() {
-    ended = true;
+    isStopped = true;
   }
 
   /** Tries that have no end yet. */
-  public int open() {
-    return open;
+  public int openAttempts() {
+    return openAttempts;
   }
 
   /** Asks nothing more and closes what is open: those tries are told as lost. */
   public void close() {
-    ended = true;
-    for (Line line : lines.toArray(new Line[0])) {
-      line.channel.close();
+    isStopped = true;
+    for (ClientConnection connection : connections.toArray(new ClientConnection[0])) {
+      connection.channel.close();
     }
   }
 
-  private void due(ArrivalProcess.Arrival next) {
-    ArrivalProcess.Arrival a = next;
-    while (!ended && startedAt + a.at() <= loop.nowMs() + AHEAD) {
-      ask(new Try(a, 0, startedAt + a.at()));
-      a = arrivals.next();
+  private void sendDueArrivals(ArrivalProcess.Arrival next) {
+    ArrivalProcess.Arrival arrival = next;
+    while (!isStopped && startedAtMs + arrival.at() <= loop.nowMs() + SEND_AHEAD_MS) {
+      startAttempt(new Attempt(arrival, 0, startedAtMs + arrival.at()));
+      arrival = arrivals.next();
     }
-    ArrivalProcess.Arrival later = a;
-    if (!ended) {
-      loop.schedule(Math.max(0, startedAt + a.at() - loop.nowMs()), () -> due(later));
+    ArrivalProcess.Arrival later = arrival;
+    if (!isStopped) {
+      loop.schedule(
+          Math.max(0, startedAtMs + arrival.at() - loop.nowMs()), () -> sendDueArrivals(later));
     }
   }
 
-  private final class Try {
-    private final ArrivalProcess.Arrival of;
+  private final class Attempt {
+    private final ArrivalProcess.Arrival arrival;
     private final int retry;
-    private final double from;
-    private Line line;
-    private Way way;
-    private Future<?> patience;
-    private boolean over;
-
-    Try(ArrivalProcess.Arrival of, int retry, double from) {
-      this.of = of;
+    private final double startedAtMs;
+    private ClientConnection connection;
+    private Way target;
+    private Future<?> patienceTimer;
+    private boolean isEnded;
+
+    Attempt(ArrivalProcess.Arrival arrival, int retry, double startedAtMs) {
+      this.arrival = arrival;
       this.retry = retry;
-      this.from = from;
+      this.startedAtMs = startedAtMs;
     }
 
-    private boolean lingers() {
-      return habits.lingerMs > 0 && line != null && line.current == this;
+    private boolean isAwaitingLateAnswer() {
+      return habits.lingerMs > 0 && connection != null && connection.current == this;
     }
 
-    void end(Fate fate, double again) {
-      if (over) {
+    void end(Fate fate, double retryAfterMs) {
+      if (isEnded) {
         return;
       }
-      over = true;
-      open--;
-      patience.cancel(false);
-      heard.ended(of, retry, fate, loop.nowMs() - from);
-      if (!ended && retry < habits.retries && again >= 0) {
-        double wait = again * (0.75 + 0.5 * random.nextDouble());
-        loop.schedule(wait, () -> ask(new Try(of, retry + 1, loop.nowMs())));
+      isEnded = true;
+      openAttempts--;
+      patienceTimer.cancel(false);
+      listener.ended(arrival, retry, fate, loop.nowMs() - startedAtMs);
+      if (!isStopped && retry < habits.retries && retryAfterMs >= 0) {
+        double waitMs = retryAfterMs * (0.75 + 0.5 * random.nextDouble());
+        loop.schedule(waitMs, () -> startAttempt(new Attempt(arrival, retry + 1, loop.nowMs())));
       }
     }
   }
 
-  private void ask(Try t) {
-    if (ended) {
+  private void startAttempt(Attempt attempt) {
+    if (isStopped) {
       return;
     }
-    open++;
-    t.patience =
+    openAttempts++;
+    attempt.patienceTimer =
         loop.schedule(
-            t.from + t.of.kind().patienceMs() - loop.nowMs(),
+            attempt.startedAtMs + attempt.arrival.kind().patienceMs() - loop.nowMs(),
             () -> {
-              t.end(Fate.GIVEN_UP, -1);
-              if (t.lingers()) {
-                loop.schedule(habits.lingerMs, () -> leave(t));
-              } else if (t.line != null) {
-                leave(t);
+              attempt.end(Fate.GIVEN_UP, -1);
+              if (attempt.isAwaitingLateAnswer()) {
+                loop.schedule(habits.lingerMs, () -> giveUp(attempt));
+              } else if (attempt.connection != null) {
+                giveUp(attempt);
               }
             });
-    Way way = route.way(t.of, loop.nowMs());
-    t.way = way;
-    ArrayDeque<Line> idle = resting.computeIfAbsent(way.at, at -> new ArrayDeque<>());
-    for (Line line = idle.pollLast(); line != null; line = idle.pollLast()) {
-      if (line.channel.isActive()) {
-        line.write(t);
+    Way target = route.way(attempt.arrival, loop.nowMs());
+    attempt.target = target;
+    ArrayDeque<ClientConnection> idleConnections =
+        idleByAddress.computeIfAbsent(target.at, at -> new ArrayDeque<>());
+    for (ClientConnection connection = idleConnections.pollLast();
+        connection != null;
+        connection = idleConnections.pollLast()) {
+      if (connection.channel.isActive()) {
+        connection.write(attempt);
         return;
       }
     }
-    Line line = new Line(idle);
+    ClientConnection connection = new ClientConnection(idleConnections);
     ChannelFuture connected =
         loop.transport()
-            .newClientBootstrap(loop.group(), CONNECT)
+            .newClientBootstrap(loop.group(), CONNECT_TIMEOUT_MS)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    RespCodec.addCodec(channel.pipeline(), ELEMENTS);
-                    channel.pipeline().addLast(line);
+                    RespCodec.addCodec(channel.pipeline(), MAX_RESPONSE_ELEMENTS);
+                    channel.pipeline().addLast(connection);
                   }
                 })
-            .connect(loop.transport().toSocketAddress(way.at));
+            .connect(loop.transport().toSocketAddress(target.at));
     connected.addListener(
-        f -> {
-          if (f.isSuccess()) {
-            line.channel = connected.channel();
-            lines.add(line);
-            if (t.over) {
-              idle.addLast(line);
+        done -> {
+          if (done.isSuccess()) {
+            connection.channel = connected.channel();
+            connections.add(connection);
+            if (attempt.isEnded) {
+              idleConnections.addLast(connection);
             } else {
-              line.write(t);
+              connection.write(attempt);
             }
           } else {
-            t.end(Fate.NOT_CONNECTED, habits.retryAfterMs);
+            attempt.end(Fate.NOT_CONNECTED, habits.retryAfterMs);
           }
         });
   }
 
-  private static void ended(Line line) {
-    line.current = null;
-    line.channel.close();
+  private static void isStopped(ClientConnection connection) {
+    connection.current = null;
+    connection.channel.close();
   }
 
   /** The client of a try whose time is over goes away, where the answer has not come meanwhile. */
-  private void leave(Try t) {
-    if (t.line.current == t) {
-      heard.gaveUp(loop.nowMs(), t.line.lastId);
-      ended(t.line);
+  private void giveUp(Attempt attempt) {
+    if (attempt.connection.current == attempt) {
+      listener.gaveUp(loop.nowMs(), attempt.connection.lastRequestId);
+      isStopped(attempt.connection);
     }
   }
 
-  private final class Line extends ChannelInboundHandlerAdapter {
+  private final class ClientConnection extends ChannelInboundHandlerAdapter {
     /** Where it rests between requests: with those to the same edge node. */
-    private final ArrayDeque<Line> idle;
+    private final ArrayDeque<ClientConnection> idleConnections;
 
     private Channel channel;
-    private Try current;
-    private String lastId;
+    private Attempt current;
+    private String lastRequestId;
 
-    Line(ArrayDeque<Line> idle) {
-      this.idle = idle;
+    ClientConnection(ArrayDeque<ClientConnection> idleConnections) {
+      this.idleConnections = idleConnections;
     }
 
-    void write(Try t) {
-      current = t;
-      t.line = this;
-      ArrivalProcess.Arrival a = t.of;
-      long left = Math.max(1, Math.round(t.from + a.kind().patienceMs() - loop.nowMs()));
-      String list =
+    void write(Attempt attempt) {
+      current = attempt;
+      attempt.connection = this;
+      ArrivalProcess.Arrival arrival = attempt.arrival;
+      long remainingMs =
+          Math.max(1, Math.round(attempt.startedAtMs + arrival.kind().patienceMs() - loop.nowMs()));
+      String parameters =
           "c="
-              + a.kind().name()
+              + arrival.kind().name()
               + ",t="
-              + a.campus().plan()
+              + arrival.campus().plan()
               + ",d="
-              + left
-              + (a.key() == null ? "" : ",k=" + a.key())
+              + remainingMs
+              + (arrival.key() == null ? "" : ",k=" + arrival.key())
               + ",units=1,spread="
-              + t.way.spread
+              + attempt.target.spread
               + ",first="
-              + t.way.first
-              + (t.retry > 0 ? ",r=1" : "");
-      String id = Long.toHexString(++ids);
-      lastId = id;
-      heard.asked(loop.nowMs(), id, a, t.way, left);
+              + attempt.target.first
+              + (attempt.retry > 0 ? ",r=1" : "");
+      String requestId = Long.toHexString(++issuedIds);
+      lastRequestId = requestId;
+      listener.asked(loop.nowMs(), requestId, arrival, attempt.target, remainingMs);
       ArrayRedisMessage command =
-          a.key() == null
-              ? RespCodec.command(channel.alloc(), "CALL.GET", a.campus().customer(), id, list)
+          arrival.key() == null
+              ? RespCodec.command(
+                  channel.alloc(), "CALL.GET", arrival.campus().customer(), requestId, parameters)
               : RespCodec.command(
-                  channel.alloc(), "CALL.POST", a.campus().customer(), id, list, "body");
+                  channel.alloc(),
+                  "CALL.POST",
+                  arrival.campus().customer(),
+                  requestId,
+                  parameters,
+                  "body");
       channel.writeAndFlush(command);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      Try t = current;
+      Attempt attempt = current;
       current = null;
       try {
         RedisMessage message = (RedisMessage) msg;
-        heard.message(loop.nowMs(), lastId, kind(message), words(message));
-        if (t == null) {
+        listener.message(loop.nowMs(), lastRequestId, fateOf(message), textOf(message));
+        if (attempt == null) {
           ctx.close(); // an answer to nothing
           return;
         }
-        idle.addLast(this);
-        told(t, message);
+        idleConnections.addLast(this);
+        endAttempt(attempt, message);
       } finally {
         ReferenceCountUtil.release(msg);
       }
     }
 
-    private static Fate kind(RedisMessage msg) {
-      boolean value =
+    private static Fate fateOf(RedisMessage msg) {
+      boolean isValue =
           RespCodec.isBulkString(msg)
               || msg instanceof ArrayRedisMessage array
                   && !array.isNull()
                   && !array.children().isEmpty()
                   && RespCodec.isBulkString(array.children().get(0));
-      return value
+      return isValue
           ? Fate.SERVED
           : msg instanceof ErrorRedisMessage error && error.content().startsWith("BUSY")
               ? Fate.REFUSED
@@ -348,7 +360,7 @@
     }
 
     /** What it says: of an array its first part. */
-    private static String words(RedisMessage msg) {
+    private static String textOf(RedisMessage msg) {
       return msg instanceof ErrorRedisMessage error
           ? error.content()
           : msg instanceof ArrayRedisMessage array && !array.isNull() && !array.children().isEmpty()
@@ -356,16 +368,17 @@
               : String.valueOf(RespCodec.textOf(msg));
     }
 
-    private void told(Try t, RedisMessage msg) {
-      switch (kind(msg)) {
-        case SERVED -> t.end(Fate.SERVED, -1);
+    private void endAttempt(Attempt attempt, RedisMessage msg) {
+      switch (fateOf(msg)) {
+        case SERVED -> attempt.end(Fate.SERVED, -1);
         case REFUSED ->
-            t.end(Fate.REFUSED, habits.obeys ? after(((ErrorRedisMessage) msg).content()) : 0);
-        default -> t.end(Fate.FAILED, habits.retryAfterMs);
+            attempt.end(
+                Fate.REFUSED, habits.obeys ? retryAfterMs(((ErrorRedisMessage) msg).content()) : 0);
+        default -> attempt.end(Fate.FAILED, habits.retryAfterMs);
       }
     }
 
-    private double after(String busy) {
+    private double retryAfterMs(String busy) {
       try {
         return busy.length() > 5
             ? Math.max(0, Double.parseDouble(busy.substring(5)))
@@ -377,13 +390,13 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      lines.remove(this);
-      idle.remove(this);
+      connections.remove(this);
+      idleConnections.remove(this);
       if (current != null) {
-        heard.cut(loop.nowMs(), lastId);
-        Try t = current;
+        listener.cut(loop.nowMs(), lastRequestId);
+        Attempt attempt = current;
         current = null;
-        t.end(Fate.LOST, habits.retryAfterMs);
+        attempt.end(Fate.LOST, habits.retryAfterMs);
       }
     }
 
--- a/src/main/java/edgenode/emulator/DiscoveryAgentEmulator.java
+++ b/src/main/java/edgenode/emulator/DiscoveryAgentEmulator.java
@@ -55,21 +55,21 @@
   }
 
   /** A line every so often (ms) while nothing changes, as the protocol has it. */
-  private static final long BEAT = 2000;
+  private static final long HEARTBEAT_MS = 2000;
 
   private final ServerSocket socket;
-  private final List<Line> lines = new ArrayList<>();
+  private final List<Connection> connections = new ArrayList<>();
   private final Map<String, Host> hosts = new LinkedHashMap<>();
   private final List<Change> changes = new ArrayList<>();
   private long seq;
-  private boolean silent;
-  private boolean closed;
-  private Kind stalls;
-  private long stallAt = -1;
+  private boolean isSilent;
+  private boolean isClosed;
+  private Kind stalledKind;
+  private long stallAfterBytes = -1;
   private int stallsLeft;
   private long bytes;
-  private String garbled = "";
-  private int garbles;
+  private String malformedLine = "";
+  private int malformedLineCount;
   private int watches;
   private long flood;
   private int requests;
@@ -92,7 +92,7 @@
     socket = new ServerSocket();
     socket.setReuseAddress(true);
     socket.bind(new InetSocketAddress(InetAddress.getByName(address), port), 128);
-    thread("stand-in discovery", this::accept);
+    startThread("stand-in discovery", this::accept);
   }
 
   public String address() {
@@ -122,7 +122,7 @@
     seq = from;
     changes.clear();
     hosts.clear();
-    list.forEach(h -> hosts.put(h.id(), h));
+    list.forEach(host -> hosts.put(host.id(), host));
     notifyAll();
   }
 
@@ -137,8 +137,8 @@
    * more, while they stay open. For a watch the bytes count from the head of its chunked answer on.
    */
   public synchronized void stall(Kind kind, long offset, int connections) {
-    stalls = kind;
-    stallAt = offset;
+    stalledKind = kind;
+    stallAfterBytes = offset;
     stallsLeft = connections;
   }
 
@@ -149,17 +149,17 @@
 
   /** Stops what is sent on the standing connections of this kind right where it is. */
   public synchronized void stallNow(Kind kind) {
-    for (Line line : lines) {
-      if (line.kind == kind) {
-        line.limit = line.sent;
+    for (Connection connection : connections) {
+      if (connection.kind == kind) {
+        connection.limitBytes = connection.sentBytes;
       }
     }
   }
 
   /** Sends this line on the standing watches, whatever it is. */
   public synchronized void garble(String text) {
-    garbled = text;
-    garbles++;
+    malformedLine = text;
+    malformedLineCount++;
     notifyAll();
   }
 
@@ -174,15 +174,15 @@
    * From here on nothing is sent on any connection, until silence ends. What was to be told is told
    * then.
    */
-  public synchronized void silent(boolean on) {
-    silent = on;
+  public synchronized void setSilent(boolean on) {
+    isSilent = on;
     notifyAll();
   }
 
   /** Closes the standing connections. */
   public synchronized void reset() {
-    for (Line line : lines.toArray(new Line[0])) {
-      line.close();
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      connection.close();
     }
   }
 
@@ -201,7 +201,7 @@
 
   @Override
   public synchronized void close() throws IOException {
-    closed = true;
+    isClosed = true;
     socket.close();
     reset();
     notifyAll();
@@ -209,8 +209,8 @@
 
   // ---- connections ----
 
-  private static void thread(String name, Runnable what) {
-    Thread thread = new Thread(what, name);
+  private static void startThread(String name, Runnable task) {
+    Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     thread.start();
   }
@@ -218,48 +218,48 @@
   private void accept() {
     try {
       while (true) {
-        Line line = new Line(socket.accept());
+        Connection connection = new Connection(socket.accept());
         synchronized (this) {
-          lines.add(line);
+          connections.add(connection);
         }
-        thread("stand-in discovery, a connection", line::serve);
+        startThread("stand-in discovery, a connection", connection::serve);
       }
     } catch (IOException e) {
       // closed
     }
   }
 
-  private synchronized String whole() {
-    StringJoiner all =
+  private synchronized String fullListJson() {
+    StringJoiner json =
         new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[", "]}\n");
-    hosts.values().forEach(h -> all.add(h.json()));
-    return all.toString();
+    hosts.values().forEach(host -> json.add(host.json()));
+    return json.toString();
   }
 
-  private final class Line {
-    private final Socket peer;
+  private final class Connection {
+    private final Socket socket;
     private Kind kind = Kind.LIST;
-    private long sent;
-    private long limit = Long.MAX_VALUE;
+    private long sentBytes;
+    private long limitBytes = Long.MAX_VALUE;
 
-    Line(Socket peer) {
-      this.peer = peer;
+    Connection(Socket socket) {
+      this.socket = socket;
     }
 
     void close() {
       try {
-        peer.close();
+        socket.close();
       } catch (IOException e) {
         // it is gone
       }
     }
 
     void serve() {
-      try (peer) {
-        peer.setTcpNoDelay(true);
+      try (socket) {
+        socket.setTcpNoDelay(true);
         BufferedReader in =
             new BufferedReader(
-                new InputStreamReader(peer.getInputStream(), StandardCharsets.US_ASCII));
+                new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (String request = in.readLine(); request != null; request = in.readLine()) {
           String header = in.readLine();
           while (header != null && !header.isEmpty()) {
@@ -271,7 +271,7 @@
         // the other side has gone
       } finally {
         synchronized (DiscoveryAgentEmulator.this) {
-          lines.remove(this);
+          connections.remove(this);
         }
       }
     }
@@ -281,15 +281,15 @@
       synchronized (DiscoveryAgentEmulator.this) {
         requests++;
         kind = request.contains("follow=1") ? Kind.WATCH : Kind.LIST;
-        sent = 0;
-        limit = Long.MAX_VALUE;
-        if (kind == stalls && stallsLeft > 0) {
+        sentBytes = 0;
+        limitBytes = Long.MAX_VALUE;
+        if (kind == stalledKind && stallsLeft > 0) {
           stallsLeft--;
-          limit = stallAt;
+          limitBytes = stallAfterBytes;
         }
       }
       if (kind == Kind.LIST) {
-        String list = whole();
+        String list = fullListJson();
         write(
             "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: "
                 + list.length()
@@ -311,7 +311,7 @@
       int garbledBefore;
       long floods;
       synchronized (DiscoveryAgentEmulator.this) {
-        garbledBefore = garbles;
+        garbledBefore = malformedLineCount;
         floods = flood;
         flood = 0;
       }
@@ -325,26 +325,26 @@
       while (true) {
         String text;
         synchronized (DiscoveryAgentEmulator.this) {
-          long until = System.nanoTime() / 1_000_000 + BEAT;
+          long until = System.nanoTime() / 1_000_000 + HEARTBEAT_MS;
           while (!first
-              && !closed
+              && !isClosed
               && seq == at
-              && garbles == garbledBefore
+              && malformedLineCount == garbledBefore
               && System.nanoTime() / 1_000_000 < until) {
             DiscoveryAgentEmulator.this.wait(Math.max(1, until - System.nanoTime() / 1_000_000));
           }
-          if (closed) {
+          if (isClosed) {
             return;
           }
-          if (garbles != garbledBefore) {
-            garbledBefore = garbles;
-            text = garbled + "\n";
+          if (malformedLineCount != garbledBefore) {
+            garbledBefore = malformedLineCount;
+            text = malformedLine + "\n";
           } else if (seq == at) {
             text = "\n";
           } else if (seq < at
               || !changes.isEmpty() && changes.get(0).seq > at + 1
               || changes.isEmpty()) {
-            text = whole();
+            text = fullListJson();
           } else {
             StringJoiner all =
                 new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[", "]}\n");
@@ -365,18 +365,18 @@
     }
 
     private void write(String text) throws IOException, InterruptedException {
-      byte[] all = text.getBytes(StandardCharsets.US_ASCII);
-      int n;
+      byte[] data = text.getBytes(StandardCharsets.US_ASCII);
+      int allowed;
       synchronized (DiscoveryAgentEmulator.this) {
-        while (silent && !closed) {
+        while (isSilent && !isClosed) {
           DiscoveryAgentEmulator.this.wait();
         }
-        n = (int) Math.max(0, Math.min(all.length, limit - sent));
-        sent += n;
-        bytes += n;
+        allowed = (int) Math.max(0, Math.min(data.length, limitBytes - sentBytes));
+        sentBytes += allowed;
+        bytes += allowed;
       }
-      OutputStream out = peer.getOutputStream();
-      out.write(all, 0, n);
+      OutputStream out = socket.getOutputStream();
+      out.write(data, 0, allowed);
       out.flush();
     }
   }
--- a/src/main/java/edgenode/emulator/DiscoveryEmulator.java
+++ b/src/main/java/edgenode/emulator/DiscoveryEmulator.java
@@ -44,59 +44,65 @@
     void told(double now, DiscoveryAgentEmulator.Host host);
   }
 
-  private static final int BACKLOG = 128;
-  private static final double BEAT = 2000;
+  private static final int LISTEN_BACKLOG = 128;
+  private static final double HEARTBEAT_MS = 2000;
 
   /**
    * Changes kept for watches that go on from an older version; before them the whole list is sent.
    */
-  private static final int KEPT = 4096;
+  private static final int MAX_CHANGES = 4096;
 
   private record Change(long seq, DiscoveryAgentEmulator.Host host) {}
 
   private final EdgeEventLoop loop;
-  private final Told told;
+  private final Told changeListener;
   private final Map<String, DiscoveryAgentEmulator.Host> hosts = new LinkedHashMap<>();
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
-  private final Set<Line> lines = new LinkedHashSet<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
   private Channel listener;
   private long seq;
   private double lag;
   private boolean silent;
 
   /** What changed while it was silent, and was told to nobody. */
-  private final List<DiscoveryAgentEmulator.Host> untold = new ArrayList<>();
+  private final List<DiscoveryAgentEmulator.Host> unsentChanges = new ArrayList<>();
 
-  private int empties;
-  private long stallAt = -1;
+  private int emptyListsLeft;
+  private long nextStallAfterBytes = -1;
 
-  public DiscoveryEmulator(EdgeEventLoop loop, long seq, Told told) {
+  public DiscoveryEmulator(EdgeEventLoop loop, long seq, Told changeListener) {
     this.loop = loop;
     this.seq = seq;
-    this.told = told;
+    this.changeListener = changeListener;
   }
 
   /** Listens there. */
-  public DiscoveryEmulator start(InetSocketAddress at) throws InterruptedException {
-    ServerBootstrap boot =
+  public DiscoveryEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
+    ServerBootstrap bootstrap =
         loop.transport()
-            .newServerBootstrap(loop.group(), BACKLOG)
+            .newServerBootstrap(loop.group(), LISTEN_BACKLOG)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    Line line = new Line(channel);
-                    channel.pipeline().addLast(line.cut, new HttpServerCodec(), line);
+                    Connection connection = new Connection(channel);
+                    channel
+                        .pipeline()
+                        .addLast(connection.byteLimiter, new HttpServerCodec(), connection);
                   }
                 });
-    boot.bind(loop.transport().toSocketAddress(at))
+    bootstrap
+        .bind(loop.transport().toSocketAddress(bindAddress))
         .addListener(
-            (io.netty.channel.ChannelFuture f) -> {
-              if (f.isSuccess()) {
-                listener = f.channel();
+            (io.netty.channel.ChannelFuture bound) -> {
+              if (bound.isSuccess()) {
+                listener = bound.channel();
               } else {
                 loop.logLine(
-                    "stand-in discovery cannot listen at " + at + ": " + f.cause().getMessage());
+                    "stand-in discovery cannot listen at "
+                        + bindAddress
+                        + ": "
+                        + bound.cause().getMessage());
               }
             });
     return this;
@@ -125,14 +131,14 @@
       hosts.put(host.id(), host);
     }
     changes.add(new Change(seq, host));
-    if (changes.size() > KEPT) {
+    if (changes.size() > MAX_CHANGES) {
       changes.poll();
     }
-    lines.forEach(Line::more);
+    connections.forEach(Connection::sendChanges);
     if (silent) {
-      untold.add(host);
+      unsentChanges.add(host);
     } else {
-      told.told(loop.nowMs(), host);
+      changeListener.told(loop.nowMs(), host);
     }
   }
 
@@ -147,31 +153,31 @@
   public void silent(boolean on) {
     silent = on;
     if (!on) {
-      for (Line line : lines.toArray(new Line[0])) {
-        line.speak();
+      for (Connection connection : connections.toArray(new Connection[0])) {
+        connection.sendDeferred();
       }
-      untold.forEach(host -> told.told(loop.nowMs(), host));
-      untold.clear();
+      unsentChanges.forEach(host -> changeListener.told(loop.nowMs(), host));
+      unsentChanges.clear();
     }
   }
 
   /** The next so many whole lists are empty. */
   public void emptyNext(int lists) {
-    empties = lists;
+    emptyListsLeft = lists;
   }
 
   /** Watches that stand send so many bytes more and then nothing, while they stay open. */
   public void stall(long bytes) {
-    for (Line line : lines) {
-      if (line.at >= 0) {
-        line.cut.left = bytes;
+    for (Connection connection : connections) {
+      if (connection.watchedSeq >= 0) {
+        connection.byteLimiter.remainingBytes = bytes;
       }
     }
   }
 
   /** The next connection's answer stalls after so many bytes. */
   public void stallNext(long bytes) {
-    stallAt = bytes;
+    nextStallAfterBytes = bytes;
   }
 
   /** Its state is lost: versions start again from here, with this list. */
@@ -179,9 +185,9 @@
     seq = from;
     hosts.clear();
     changes.clear();
-    list.forEach(h -> hosts.put(h.id(), h));
-    for (Line line : lines.toArray(new Line[0])) {
-      line.channel.close();
+    list.forEach(host -> hosts.put(host.id(), host));
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      connection.channel.close();
     }
   }
 
@@ -189,88 +195,88 @@
     if (listener != null) {
       listener.close();
     }
-    for (Line line : lines.toArray(new Line[0])) {
-      line.channel.close();
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      connection.channel.close();
     }
   }
 
   // ---- connections ----
 
-  private String whole() {
-    boolean empty = empties > 0;
-    empties -= empty ? 1 : 0;
-    StringJoiner all =
+  private String fullListJson() {
+    boolean empty = emptyListsLeft > 0;
+    emptyListsLeft -= empty ? 1 : 0;
+    StringJoiner json =
         new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":true,\"hosts\":[", "]}\n");
     if (!empty) {
-      hosts.values().forEach(h -> all.add(h.json()));
+      hosts.values().forEach(host -> json.add(host.json()));
     }
-    return all.toString();
+    return json.toString();
   }
 
-  private String since(long version) {
+  private String changesSinceJson(long version) {
     if (version > seq || changes.isEmpty() || changes.peek().seq > version + 1) {
-      return whole();
+      return fullListJson();
     }
-    Map<String, DiscoveryAgentEmulator.Host> last = new LinkedHashMap<>();
-    for (Change c : changes) {
-      if (c.seq > version) {
-        last.put(c.host.id(), c.host);
+    Map<String, DiscoveryAgentEmulator.Host> latestById = new LinkedHashMap<>();
+    for (Change change : changes) {
+      if (change.seq > version) {
+        latestById.put(change.host.id(), change.host);
       }
     }
-    StringJoiner all =
+    StringJoiner json =
         new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[", "]}\n");
-    last.values().forEach(h -> all.add(h.json()));
-    return all.toString();
+    latestById.values().forEach(host -> json.add(host.json()));
+    return json.toString();
   }
 
-  private static ByteBuf bytes(String text) {
+  private static ByteBuf asciiBuffer(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
   /** Lets so many bytes out, and drops the rest. */
-  private static final class Cut extends ChannelOutboundHandlerAdapter {
-    private long left = Long.MAX_VALUE;
+  private static final class ByteLimiter extends ChannelOutboundHandlerAdapter {
+    private long remainingBytes = Long.MAX_VALUE;
 
     @Override
     public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
       ByteBuf out = (ByteBuf) msg;
-      int n = out.readableBytes();
-      if (n <= left) {
-        left -= left == Long.MAX_VALUE ? 0 : n;
+      int length = out.readableBytes();
+      if (length <= remainingBytes) {
+        remainingBytes -= remainingBytes == Long.MAX_VALUE ? 0 : length;
         ctx.write(out, promise);
       } else {
-        ctx.write(out.readRetainedSlice((int) left), promise);
+        ctx.write(out.readRetainedSlice((int) remainingBytes), promise);
         out.release();
-        left = 0;
+        remainingBytes = 0;
       }
     }
   }
 
-  private final class Line extends SimpleChannelInboundHandler<HttpObject> {
+  private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
     private final Channel channel;
-    private final Cut cut = new Cut();
+    private final ByteLimiter byteLimiter = new ByteLimiter();
 
     /** The version that its watch has, or -1 where it is none. */
-    private long at = -1;
+    private long watchedSeq = -1;
 
-    private Runnable held;
+    private Runnable deferredAnswer;
 
-    Line(Channel channel) {
+    Connection(Channel channel) {
       this.channel = channel;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      lines.add(this);
-      if (stallAt >= 0) {
-        cut.left = stallAt;
-        stallAt = -1;
+      connections.add(this);
+      if (nextStallAfterBytes >= 0) {
+        byteLimiter.remainingBytes = nextStallAfterBytes;
+        nextStallAfterBytes = -1;
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      lines.remove(this);
+      connections.remove(this);
     }
 
     @Override
@@ -289,64 +295,64 @@
           query.parameters().containsKey("follow")
               && since != null
               && since.get(0).matches("[0-9]{1,18}");
-      Runnable answer = follow ? () -> watch(Long.parseLong(since.get(0))) : this::list;
+      Runnable answer = follow ? () -> startWatch(Long.parseLong(since.get(0))) : this::sendList;
       if (silent) {
-        held = answer;
+        deferredAnswer = answer;
       } else {
         answer.run();
       }
     }
 
-    private void list() {
-      ByteBuf text = bytes(whole());
-      DefaultFullHttpResponse all =
+    private void sendList() {
+      ByteBuf text = asciiBuffer(fullListJson());
+      DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, text);
-      all.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes());
-      channel.writeAndFlush(all);
+      response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes());
+      channel.writeAndFlush(response);
     }
 
-    private void watch(long version) {
+    private void startWatch(long version) {
       DefaultHttpResponse head =
           new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       channel.write(head);
-      line(version == seq ? "\n" : since(version));
-      at = seq;
-      beat();
+      sendChunk(version == seq ? "\n" : changesSinceJson(version));
+      watchedSeq = seq;
+      scheduleHeartbeat();
     }
 
-    private void beat() {
-      long had = at;
+    private void scheduleHeartbeat() {
+      long seqBefore = watchedSeq;
       loop.schedule(
-          BEAT,
+          HEARTBEAT_MS,
           () -> {
             if (channel.isActive()) {
-              if (!silent && at == had) {
-                line("\n");
+              if (!silent && watchedSeq == seqBefore) {
+                sendChunk("\n");
               }
-              beat();
+              scheduleHeartbeat();
             }
           });
     }
 
-    private void line(String text) {
-      channel.writeAndFlush(new DefaultHttpContent(bytes(text)));
+    private void sendChunk(String text) {
+      channel.writeAndFlush(new DefaultHttpContent(asciiBuffer(text)));
     }
 
     /** The list has changed. */
-    private void more() {
-      if (at >= 0 && !silent) {
-        line(since(at));
-        at = seq;
+    private void sendChanges() {
+      if (watchedSeq >= 0 && !silent) {
+        sendChunk(changesSinceJson(watchedSeq));
+        watchedSeq = seq;
       }
     }
 
-    private void speak() {
-      if (held != null) {
-        held.run();
-        held = null;
-      } else if (at >= 0 && at != seq) {
-        more();
+    private void sendDeferred() {
+      if (deferredAnswer != null) {
+        deferredAnswer.run();
+        deferredAnswer = null;
+      } else if (watchedSeq >= 0 && watchedSeq != seq) {
+        sendChanges();
       }
     }
 
--- a/src/main/java/edgenode/emulator/DnsServerEmulator.java
+++ b/src/main/java/edgenode/emulator/DnsServerEmulator.java
@@ -20,19 +20,19 @@
   /** An SRV record's data; ttl in seconds. */
   public record Srv(int ttl, int priority, int weight, int port, String target) {}
 
-  private static final int A = 1;
-  private static final int SRV = 33;
+  private static final int TYPE_A = 1;
+  private static final int TYPE_SRV = 33;
   private static final int NXDOMAIN = 3;
   private static final int SERVFAIL = 2;
-  private static final int PACKET = 4096;
+  private static final int MAX_PACKET_BYTES = 4096;
   private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-  private final Map<String, List<Srv>> services = new HashMap<>();
-  private final Map<String, String> hosts = new HashMap<>();
-  private boolean silent;
-  private boolean failing;
-  private boolean noise;
+  private final Map<String, List<Srv>> srvRecordsByName = new HashMap<>();
+  private final Map<String, String> addressesByName = new HashMap<>();
+  private boolean isSilent;
+  private boolean isFailing;
+  private boolean isMalformed;
   private boolean additional;
-  private int questions;
+  private int queryCount;
 
   public DnsServerEmulator() throws IOException {
     Thread thread = new Thread(this::serve, "stand-in name server");
@@ -45,18 +45,18 @@
   }
 
   public synchronized void service(String name, Srv... records) {
-    services.put(name, List.of(records));
+    srvRecordsByName.put(name, List.of(records));
   }
 
   public synchronized void host(String name, String address) {
-    hosts.put(name, address);
+    addressesByName.put(name, address);
   }
 
   /** Says nothing; answers SERVFAIL; answers what is no message. */
-  public synchronized void fail(boolean saysNothing, boolean servfail, boolean isNoise) {
-    silent = saysNothing;
-    failing = servfail;
-    noise = isNoise;
+  public synchronized void fail(boolean isSilent, boolean isFailing, boolean isMalformed) {
+    this.isSilent = isSilent;
+    this.isFailing = isFailing;
+    this.isMalformed = isMalformed;
   }
 
   /** Whether the addresses of targets come along. */
@@ -64,8 +64,8 @@
     additional = on;
   }
 
-  public synchronized int questions() {
-    return questions;
+  public synchronized int queryCount() {
+    return queryCount;
   }
 
   @Override
@@ -74,7 +74,7 @@
   }
 
   private void serve() {
-    byte[] buffer = new byte[PACKET];
+    byte[] buffer = new byte[MAX_PACKET_BYTES];
     try {
       while (true) {
         DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
@@ -90,8 +90,8 @@
   }
 
   private synchronized byte[] answer(byte[] in, int length) throws IOException {
-    questions++;
-    if (silent) {
+    queryCount++;
+    if (isSilent) {
       return null;
     }
     StringBuilder name = new StringBuilder();
@@ -104,34 +104,42 @@
     int end = at + 5;
     List<byte[]> records = new ArrayList<>();
     List<byte[]> more = new ArrayList<>();
-    int code = failing ? SERVFAIL : 0;
-    if (!failing && type == SRV && services.containsKey(name.toString())) {
-      for (Srv s : services.get(name.toString())) {
+    int code = isFailing ? SERVFAIL : 0;
+    if (!isFailing && type == TYPE_SRV && srvRecordsByName.containsKey(name.toString())) {
+      for (Srv s : srvRecordsByName.get(name.toString())) {
         ByteArrayOutputStream data = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(data);
         out.writeShort(s.priority);
         out.writeShort(s.weight);
         out.writeShort(s.port);
-        out.write(encoded(s.target));
+        out.write(encodeName(s.target));
         records.add(
-            record(name.toString(), SRV, s.ttl, noise ? new byte[] {1, 2} : data.toByteArray()));
-        if (additional && hosts.containsKey(s.target)) {
+            encodeRecord(
+                name.toString(),
+                TYPE_SRV,
+                s.ttl,
+                isMalformed ? new byte[] {1, 2} : data.toByteArray()));
+        if (additional && addressesByName.containsKey(s.target)) {
           more.add(
-              record(s.target, A, s.ttl, InetAddress.getByName(hosts.get(s.target)).getAddress()));
+              encodeRecord(
+                  s.target,
+                  TYPE_A,
+                  s.ttl,
+                  InetAddress.getByName(addressesByName.get(s.target)).getAddress()));
         }
       }
-    } else if (!failing && type == A && hosts.containsKey(name.toString())) {
+    } else if (!isFailing && type == TYPE_A && addressesByName.containsKey(name.toString())) {
       records.add(
-          record(
+          encodeRecord(
               name.toString(),
-              A,
+              TYPE_A,
               1,
-              InetAddress.getByName(hosts.get(name.toString())).getAddress()));
-    } else if (!failing && !hosts.containsKey(name.toString())) {
+              InetAddress.getByName(addressesByName.get(name.toString())).getAddress()));
+    } else if (!isFailing && !addressesByName.containsKey(name.toString())) {
       code = NXDOMAIN;
     }
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    DataOutputStream out = new DataOutputStream(all);
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(output);
     out.write(in, 0, 2);
     out.writeShort(0x8580 | code);
     out.writeShort(1);
@@ -145,31 +153,32 @@
     for (byte[] record : more) {
       out.write(record);
     }
-    return all.toByteArray();
+    return output.toByteArray();
   }
 
-  private static byte[] record(String name, int type, int ttl, byte[] data) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    DataOutputStream out = new DataOutputStream(all);
-    out.write(encoded(name));
+  private static byte[] encodeRecord(String name, int type, int ttl, byte[] data)
+      throws IOException {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(output);
+    out.write(encodeName(name));
     out.writeShort(type);
     out.writeShort(1);
     out.writeInt(ttl);
     out.writeShort(data.length);
     out.write(data);
-    return all.toByteArray();
+    return output.toByteArray();
   }
 
-  private static byte[] encoded(String name) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+  private static byte[] encodeName(String name) throws IOException {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
     for (String label : name.split("\\.")) {
       if (!label.isEmpty()) {
-        byte[] text = label.getBytes(StandardCharsets.US_ASCII);
-        all.write(text.length);
-        all.write(text);
+        byte[] labelBytes = label.getBytes(StandardCharsets.US_ASCII);
+        output.write(labelBytes.length);
+        output.write(labelBytes);
       }
     }
-    all.write(0);
-    return all.toByteArray();
+    output.write(0);
+    return output.toByteArray();
   }
 }
--- a/src/main/java/edgenode/emulator/EdsEmulator.java
+++ b/src/main/java/edgenode/emulator/EdsEmulator.java
@@ -11,7 +11,7 @@
 public final class EdsEmulator extends HttpEmulatorServer {
   private String version = "";
   private String resources = "";
-  private String type = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+  private String typeUrl = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
   private long nonce;
   private final List<String> asked = new ArrayList<>();
 
@@ -23,8 +23,8 @@
     resources = json;
   }
 
-  public synchronized void type(String url) {
-    type = url;
+  public synchronized void typeUrl(String url) {
+    typeUrl = url;
   }
 
   /** The bodies of the questions so far. */
@@ -34,7 +34,7 @@
 
   /** One locality with endpoints, each {@code address port health weight}. */
   public static String cluster(String name, String... endpoints) {
-    StringBuilder all =
+    StringBuilder json =
         new StringBuilder(
             "[{\"@type\":\"type.googleapis.com/envoy.config.endpoint.v3."
                 + "ClusterLoadAssignment\",\"cluster_name\":\""
@@ -42,28 +42,28 @@
                 + "\",\"endpoints\":[{\"locality\":"
                 + "{\"region\":\"r\",\"zone\":\"z1\"},\"priority\":0,\"lb_endpoints\":[");
     for (int i = 0; i < endpoints.length; i++) {
-      String[] e = endpoints[i].split(" ");
-      all.append(i == 0 ? "" : ",")
+      String[] fields = endpoints[i].split(" ");
+      json.append(i == 0 ? "" : ",")
           .append("{\"endpoint\":{\"address\":{\"socket_address\":{\"address\":\"")
-          .append(e[0])
+          .append(fields[0])
           .append("\",\"port_value\":")
-          .append(e[1])
+          .append(fields[1])
           .append("}}},\"health_status\":\"")
-          .append(e[2])
+          .append(fields[2])
           .append("\",\"load_balancing_weight\":")
-          .append(e[3])
+          .append(fields[3])
           .append('}');
     }
-    return all + "]}]}]";
+    return json + "]}]}]";
   }
 
   @Override
-  protected synchronized Answer answer(Question question) {
-    asked.add(question.method() + " " + question.path() + " " + question.body());
-    if (!question.method().equals("POST") || !question.path().equals("/v3/discovery:endpoints")) {
-      return new Answer(404, "", "");
+  protected synchronized HttpResponse answer(HttpRequest request) {
+    asked.add(request.method() + " " + request.path() + " " + request.body());
+    if (!request.method().equals("POST") || !request.path().equals("/v3/discovery:endpoints")) {
+      return new HttpResponse(404, "", "");
     }
-    return new Answer(
+    return new HttpResponse(
         200,
         "",
         "{\"version_info\":\""
@@ -71,7 +71,7 @@
             + "\",\"resources\":"
             + resources
             + ",\"type_url\":\""
-            + type
+            + typeUrl
             + "\",\"nonce\":\""
             + ++nonce
             + "\"}");
--- a/src/main/java/edgenode/emulator/HttpEmulatorServer.java
+++ b/src/main/java/edgenode/emulator/HttpEmulatorServer.java
@@ -39,28 +39,29 @@
   }
 
   /** A question: method, path with its query, headers by lower-case name, body. */
-  protected record Question(String method, String path, Map<String, String> headers, String body) {}
+  protected record HttpRequest(
+      String method, String path, Map<String, String> headers, String body) {}
 
   /** An answer: status, further header lines (each with CRLF), body. */
-  protected record Answer(int status, String headers, String body) {}
+  protected record HttpResponse(int status, String headers, String body) {}
 
-  private static final int LONGEST = 1 << 20;
-  private static final int ENDLESS = 64 << 20;
+  private static final int MAX_REQUEST_BYTES = 1 << 20;
+  private static final int ENDLESS_BODY_BYTES = 64 << 20;
   private final ServerSocket socket;
-  private final Set<Socket> peers = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
   private Fault fault = Fault.NONE;
-  private int faults;
+  private int faultsLeft;
   private int questions;
 
   protected HttpEmulatorServer() throws IOException {
     socket = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
-    thread(
+    startThread(
         () -> {
           try {
             while (true) {
-              Socket peer = socket.accept();
-              peers.add(peer);
-              thread(() -> serve(peer));
+              Socket connection = socket.accept();
+              connections.add(connection);
+              startThread(() -> serve(connection));
             }
           } catch (IOException e) {
             // closed
@@ -69,7 +70,7 @@
   }
 
   /** Answers a question; may wait. */
-  protected abstract Answer answer(Question question) throws InterruptedException;
+  protected abstract HttpResponse answer(HttpRequest request) throws InterruptedException;
 
   public final String address() {
     return "127.0.0.1:" + socket.getLocalPort();
@@ -78,7 +79,7 @@
   /** So many answers from now on are spoilt. */
   public final synchronized void spoil(Fault how, int answers) {
     fault = how;
-    faults = answers;
+    faultsLeft = answers;
   }
 
   /** Questions so far. */
@@ -86,60 +87,61 @@
     return questions;
   }
 
-  private synchronized Fault next() {
+  private synchronized Fault nextFault() {
     questions++;
-    return faults-- > 0 ? fault : Fault.NONE;
+    return faultsLeft-- > 0 ? fault : Fault.NONE;
   }
 
   @Override
   public void close() throws IOException {
     socket.close();
-    for (Socket peer : peers) {
-      peer.close();
+    for (Socket connection : connections) {
+      connection.close();
     }
   }
 
-  private static void thread(Runnable what) {
-    Thread thread = new Thread(what, "stand-in");
+  private static void startThread(Runnable task) {
+    Thread thread = new Thread(task, "stand-in");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void serve(Socket peer) {
-    try (peer) {
-      InputStream in = new java.io.BufferedInputStream(peer.getInputStream());
-      for (Question q = question(in); q != null; q = question(in)) {
-        Fault spoilt = next();
-        if (spoilt == Fault.STALL) {
+  private void serve(Socket connection) {
+    try (connection) {
+      InputStream in = new java.io.BufferedInputStream(connection.getInputStream());
+      for (HttpRequest request = readRequest(in); request != null; request = readRequest(in)) {
+        Fault injectedFault = nextFault();
+        if (injectedFault == Fault.STALL) {
           continue;
         }
-        Answer a = spoilt == Fault.ERROR ? new Answer(500, "", "no") : answer(q);
-        byte[] body = a.body.getBytes(StandardCharsets.UTF_8);
+        HttpResponse response =
+            injectedFault == Fault.ERROR ? new HttpResponse(500, "", "no") : answer(request);
+        byte[] body = response.body.getBytes(StandardCharsets.UTF_8);
         byte[] head =
             ("HTTP/1.1 "
-                    + a.status
+                    + response.status
                     + " Told\r\ncontent-type: application/json\r\n"
-                    + a.headers
+                    + response.headers
                     + "content-length: "
-                    + (spoilt == Fault.ENDLESS ? ENDLESS : body.length)
+                    + (injectedFault == Fault.ENDLESS ? ENDLESS_BODY_BYTES : body.length)
                     + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
-        OutputStream out = peer.getOutputStream();
-        switch (spoilt) {
+        OutputStream out = connection.getOutputStream();
+        switch (injectedFault) {
           case TRUNCATE -> {
             out.write(head);
             out.write(body, 0, body.length / 2);
             return;
           }
           case RESET -> {
-            peer.setSoLinger(true, 0);
+            connection.setSoLinger(true, 0);
             return;
           }
           case NOISE -> out.write("\u0001\u0002 what\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
           case ENDLESS -> {
             out.write(head);
             byte[] some = "[ ".repeat(1 << 15).getBytes(StandardCharsets.US_ASCII);
-            for (int sent = 0; sent < ENDLESS; sent += some.length) {
+            for (int sent = 0; sent < ENDLESS_BODY_BYTES; sent += some.length) {
               out.write(some);
             }
           }
@@ -153,34 +155,34 @@
     } catch (IOException | InterruptedException e) {
       // the other side has gone
     } finally {
-      peers.remove(peer);
+      connections.remove(connection);
     }
   }
 
-  private static Question question(InputStream in) throws IOException {
-    String first = line(in);
-    if (first == null) {
+  private static HttpRequest readRequest(InputStream in) throws IOException {
+    String requestLine = readLine(in);
+    if (requestLine == null) {
       return null;
     }
     Map<String, String> headers = new TreeMap<>();
-    for (String each = line(in); each != null && !each.isEmpty(); each = line(in)) {
-      int colon = each.indexOf(':');
+    for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
+      int colon = header.indexOf(':');
       headers.put(
-          each.substring(0, colon).toLowerCase(Locale.ROOT), each.substring(colon + 1).trim());
+          header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
     }
     int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-    String[] words = first.split(" ");
-    return new Question(
-        words[0],
-        words[1],
+    String[] parts = requestLine.split(" ");
+    return new HttpRequest(
+        parts[0],
+        parts[1],
         headers,
-        new String(in.readNBytes(Math.min(length, LONGEST)), StandardCharsets.UTF_8));
+        new String(in.readNBytes(Math.min(length, MAX_REQUEST_BYTES)), StandardCharsets.UTF_8));
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     for (int c = in.read(); c != '\n'; c = in.read()) {
-      if (c < 0 || text.size() > LONGEST) {
+      if (c < 0 || text.size() > MAX_REQUEST_BYTES) {
         return null;
       }
       text.write(c);
--- a/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
+++ b/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
@@ -10,27 +10,27 @@
  * use by several threads.
  */
 public final class IdempotencyGroupModel {
-  private record Begun(String key, double at) {}
+  private record StartedRequest(String key, double startedAtMs) {}
 
-  private final String name;
+  private final String site;
   private final int block;
-  private final double window;
-  private final Map<String, Double> begun = new HashMap<>();
-  private final ArrayDeque<Begun> order = new ArrayDeque<>();
+  private final double windowMs;
+  private final Map<String, Double> startedAtByKey = new HashMap<>();
+  private final ArrayDeque<StartedRequest> startedInOrder = new ArrayDeque<>();
 
   /**
-   * @param name of its site
+   * @param site of its site
    * @param block its number, as lists tell it
-   * @param window for how long (ms) a repeat is known
+   * @param windowMs for how long (ms) a repeat is known
    */
-  public IdempotencyGroupModel(String name, int block, double window) {
-    this.name = name;
+  public IdempotencyGroupModel(String site, int block, double windowMs) {
+    this.site = site;
     this.block = block;
-    this.window = window;
+    this.windowMs = windowMs;
   }
 
   public String site() {
-    return name;
+    return site;
   }
 
   public int block() {
@@ -38,21 +38,21 @@
   }
 
   /** A keyed request begins; true where it began within the window before, and so is dropped. */
-  public boolean repeated(double now, String customer, String key) {
-    while (!order.isEmpty() && order.peek().at + window <= now) {
-      Begun old = order.poll();
-      begun.remove(old.key, old.at);
+  public boolean repeated(double nowMs, String customer, String key) {
+    while (!startedInOrder.isEmpty() && startedInOrder.peek().startedAtMs + windowMs <= nowMs) {
+      StartedRequest expired = startedInOrder.poll();
+      startedAtByKey.remove(expired.key, expired.startedAtMs);
     }
-    String whole = customer + '/' + key;
-    if (begun.containsKey(whole)) {
+    String customerKey = customer + '/' + key;
+    if (startedAtByKey.containsKey(customerKey)) {
       return true;
     }
-    begun.put(whole, now);
-    order.add(new Begun(whole, now));
+    startedAtByKey.put(customerKey, nowMs);
+    startedInOrder.add(new StartedRequest(customerKey, nowMs));
     return false;
   }
 
-  int remembered() {
-    return order.size();
+  int cachedKeyCount() {
+    return startedInOrder.size();
   }
 }
--- a/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
@@ -24,29 +24,30 @@
  */
 public final class ThreadedAppServerEmulator implements Closeable {
   private static final byte[] PONG = "+PONG\r\n".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] REPORT = "$9\r\nutil=0.10\r\n".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] LOAD_REPORT =
+      "$9\r\nutil=0.10\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] VALUE =
       "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
 
   /** A command has no more words, and a word no more bytes, than these. */
-  private static final int WORDS = 16;
+  private static final int MAX_COMMAND_ELEMENTS = 16;
 
-  private static final int LONGEST = 64 << 10;
+  private static final int MAX_ELEMENT_BYTES = 64 << 10;
 
   private final InetSocketAddress address;
-  private final Consumer<Long> came;
-  private final Set<Socket> peers = ConcurrentHashMap.newKeySet();
-  private ServerSocket socket;
+  private final Consumer<Long> callListener;
+  private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
+  private ServerSocket serverSocket;
 
   /**
-   * @param came hears {@link System#nanoTime} for each command that has come whole, on the
+   * @param callListener hears {@link System#nanoTime} for each command that has come whole, on the
    *     connection's thread
    */
-  public ThreadedAppServerEmulator(Consumer<Long> came) throws IOException {
-    this.came = came;
-    ServerSocket first = listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-    socket = first;
-    address = (InetSocketAddress) first.getLocalSocketAddress();
+  public ThreadedAppServerEmulator(Consumer<Long> callListener) throws IOException {
+    this.callListener = callListener;
+    ServerSocket listening = listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+    serverSocket = listening;
+    address = (InetSocketAddress) listening.getLocalSocketAddress();
   }
 
   public String address() {
@@ -55,25 +56,25 @@
 
   /** The process dies. */
   public synchronized void die() throws IOException {
-    socket.close();
-    for (Socket peer : peers) {
-      reset(peer);
+    serverSocket.close();
+    for (Socket connection : connections) {
+      reset(connection);
     }
   }
 
   /** Ends a connection with a reset; its reader may have closed it by itself at this moment. */
-  private static void reset(Socket peer) throws IOException {
+  private static void reset(Socket connection) throws IOException {
     try {
-      peer.setSoLinger(true, 0);
+      connection.setSoLinger(true, 0);
     } catch (SocketException alreadyClosed) {
       return;
     }
-    peer.close();
+    connection.close();
   }
 
   /** It starts again at its address. */
   public synchronized void back() throws IOException {
-    socket = listen(address);
+    serverSocket = listen(address);
   }
 
   @Override
@@ -81,17 +82,17 @@
     die();
   }
 
-  private ServerSocket listen(InetSocketAddress at) throws IOException {
+  private ServerSocket listen(InetSocketAddress bindAddress) throws IOException {
     ServerSocket server = new ServerSocket();
     server.setReuseAddress(true);
-    server.bind(at, 128);
-    thread(
+    server.bind(bindAddress, 128);
+    startThread(
         () -> {
           try {
             while (true) {
-              Socket peer = server.accept();
-              peers.add(peer);
-              thread(() -> serve(peer));
+              Socket connection = server.accept();
+              connections.add(connection);
+              startThread(() -> serve(connection));
             }
           } catch (IOException e) {
             // it has died
@@ -100,55 +101,56 @@
     return server;
   }
 
-  private static void thread(Runnable what) {
-    Thread thread = new Thread(what, "stand-in app server");
+  private static void startThread(Runnable task) {
+    Thread thread = new Thread(task, "stand-in app server");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void serve(Socket peer) {
-    try (peer) {
-      peer.setTcpNoDelay(true);
-      InputStream in = new BufferedInputStream(peer.getInputStream());
+  private void serve(Socket connection) {
+    try (connection) {
+      connection.setTcpNoDelay(true);
+      InputStream in = new BufferedInputStream(connection.getInputStream());
       while (true) {
-        List<String> words = command(in);
-        if (words.get(0).startsWith("CALL.")) {
-          came.accept(System.nanoTime());
-          peer.getOutputStream().write(VALUE);
+        List<String> elements = readCommand(in);
+        if (elements.get(0).startsWith("CALL.")) {
+          callListener.accept(System.nanoTime());
+          connection.getOutputStream().write(VALUE);
         } else {
-          peer.getOutputStream().write(words.get(0).equals("INFO") ? REPORT : PONG);
+          connection.getOutputStream().write(elements.get(0).equals("INFO") ? LOAD_REPORT : PONG);
         }
       }
     } catch (IOException e) {
       // the other side has gone, or this one has
     } finally {
-      peers.remove(peer);
+      connections.remove(connection);
     }
   }
 
-  private static List<String> command(InputStream in) throws IOException {
-    List<String> words = new ArrayList<>();
-    int n = number(in, '*', WORDS);
-    for (int i = 0; i < n; i++) {
-      byte[] word = in.readNBytes(number(in, '$', LONGEST) + 2);
-      words.add(new String(word, 0, Math.max(0, word.length - 2), StandardCharsets.ISO_8859_1));
+  private static List<String> readCommand(InputStream in) throws IOException {
+    List<String> elements = new ArrayList<>();
+    int count = readLength(in, '*', MAX_COMMAND_ELEMENTS);
+    for (int i = 0; i < count; i++) {
+      byte[] element = in.readNBytes(readLength(in, '$', MAX_ELEMENT_BYTES) + 2);
+      elements.add(
+          new String(element, 0, Math.max(0, element.length - 2), StandardCharsets.ISO_8859_1));
     }
-    return words;
+    return elements;
   }
 
-  private static int number(InputStream in, char kind, int most) throws IOException {
-    int c = in.read();
-    if (c < 0) {
+  private static int readLength(InputStream in, char kind, int maximum) throws IOException {
+    int prefix = in.read();
+    if (prefix < 0) {
       throw new EOFException();
     }
-    int n = 0;
-    for (int d = in.read(); d != '\r'; d = in.read()) {
-      if (c != kind || d < '0' || d > '9' || n > most) {
+    int length = 0;
+    for (int digit = in.read(); digit != '\r'; digit = in.read()) {
+      if (prefix != kind || digit < '0' || digit > '9' || length > maximum) {
         throw new IOException("no command");
       }
-      n = 10 * n + d - '0';
+      length = 10 * length + digit - '0';
     }
     in.read();
-    return n;
+    return length;
   }
 }
--- a/src/main/java/edgenode/simulation/DemoCommand.java
+++ b/src/main/java/edgenode/simulation/DemoCommand.java
@@ -231,7 +231,7 @@
                         + " 127.0.0.1:"
                         + s.address().getPort()
                         + ", rack "
-                        + s.rack().site()));
+                        + s.idempotencyGroup().site()));
     out.println("discovery   " + world.discovery().address());
     out.println("counter     127.0.0.1:" + world.counter().address().getPort());
     out.println();
--- a/src/main/java/edgenode/simulation/Simulation.java
+++ b/src/main/java/edgenode/simulation/Simulation.java
@@ -315,7 +315,8 @@
     server.start(at);
     servers.add(server);
     events.accept(
-        new Event.Born(day(loop.nowMs()), id, server.rack().block(), scenario.size(), cold));
+        new Event.Born(
+            day(loop.nowMs()), id, server.idempotencyGroup().block(), scenario.size(), cold));
   }
 
   private static InetSocketAddress address(int net, int number) {
@@ -350,7 +351,7 @@
     loop.runUntil(elapsed);
     clients.stop();
     double end = elapsed + SETTLE;
-    while (elapsed < end && clients.open() > 0) {
+    while (elapsed < end && clients.openAttempts() > 0) {
       elapsed += 100;
       loop.runUntil(elapsed);
     }
@@ -445,7 +446,11 @@
           server.back(f.elsewhere() ? address(4, number) : old);
           events.accept(
               new Event.Born(
-                  day(loop.nowMs()), server.id(), server.rack().block(), scenario.size(), true));
+                  day(loop.nowMs()),
+                  server.id(),
+                  server.idempotencyGroup().block(),
+                  scenario.size(),
+                  true));
           shared.schedule(
               f.elsewhere() ? f.lag() : LISTED, () -> discovery.set(server.entry("active")));
           if (f.elsewhere()) {
--- a/src/test/java/edgenode/emulator/ArrivalProcessTest.java
+++ b/src/test/java/edgenode/emulator/ArrivalProcessTest.java
@@ -34,7 +34,7 @@
 
   /** Ten times the load from second 10 on: the counts follow, within four standard deviations. */
   @Test
-  void theRateFollowsItsCurve() {
+  void arrivalRateFollowsItsCurve() {
     List<ArrivalProcess.Arrival> all = draw(5, 20_000, ms -> ms < 10_000 ? 20 : 200, 200);
     long before = all.stream().filter(a -> a.at() < 10_000).count();
     assertEquals(200, before, 4 * Math.sqrt(200));
@@ -52,13 +52,13 @@
   }
 
   @Test
-  void theSameSeedDrawsTheSameAndAnotherDoesNot() {
+  void sameSeedDrawsTheSameArrivalsAndAnotherSeedDoesNot() {
     assertEquals(draw(7, 2000, ms -> 100, 100), draw(7, 2000, ms -> 100, 100));
     assertNotEquals(draw(7, 2000, ms -> 100, 100), draw(8, 2000, ms -> 100, 100));
   }
 
   @Test
-  void whatIsNoCustomerIsRefused() {
+  void invalidCustomersAreRejected() {
     assertThrows(
         IllegalArgumentException.class,
         () -> new ArrivalProcess.Campus("00000002b4d65521", "p", 1));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aRackKnowsRepeatsForTheWindowOnly() {
+  void idempotencyGroupDropsDuplicatesWithinTheWindowOnly() {
     IdempotencyGroupModel rack = new IdempotencyGroupModel("a", 0, 7500);
     assertEquals(false, rack.repeated(0, "c1", "k"));
     assertEquals(false, rack.repeated(10, "c2", "k"), "keys are per customer");
@@ -79,6 +79,6 @@
     for (int i = 0; i < 1000; i++) {
       rack.repeated(20_000 + i * 100, "c1", "k" + i);
     }
-    assertTrue(rack.remembered() <= 76, "bounded by the window: " + rack.remembered());
+    assertTrue(rack.cachedKeyCount() <= 76, "bounded by the window: " + rack.cachedKeyCount());
   }
 }
--- a/src/test/java/edgenode/emulator/CapacityModelTest.java
+++ b/src/test/java/edgenode/emulator/CapacityModelTest.java
@@ -26,37 +26,38 @@
   }
 
   /** Lets all end; the time at which the last did. */
-  private static double drain(CapacityModel c) {
+  private static double drain(CapacityModel capacity) {
     double at = 0;
-    for (double next = c.next(); next < Double.POSITIVE_INFINITY; next = c.next()) {
+    for (double next = capacity.next(); next < Double.POSITIVE_INFINITY; next = capacity.next()) {
       at = next;
-      c.done(next);
+      capacity.done(next);
     }
     return at;
   }
 
   @Test
-  void whatDoesNotFitIsTurnedAway() {
-    CapacityModel c = of(1, 2, 3);
+  void jobsOverTheCapacityAreRejected() {
+    CapacityModel capacity = of(1, 2, 3);
     for (int i = 0; i < 5; i++) {
-      assertNotNull(c.offer(0, i));
+      assertNotNull(capacity.offer(0, i));
     }
-    assertNull(c.offer(0, 5));
-    assertEquals(2, c.running());
-    assertEquals(3, c.waiting());
+    assertNull(capacity.offer(0, 5));
+    assertEquals(2, capacity.running());
+    assertEquals(3, capacity.waiting());
   }
 
   /**
    * All the work is done, no faster than the cores can, and those that wait begin in their order.
    */
   @Test
-  void theCoresAreShared() {
-    CapacityModel c = of(2, 8, 100);
+  void runningJobsShareTheCores() {
+    CapacityModel capacity = of(2, 8, 100);
     for (int i = 0; i < 100; i++) {
-      c.offer(0, i);
+      capacity.offer(0, i);
     }
-    double end = drain(c);
-    assertEquals(end * 2, c.busy(end), 0.05 * end * 2); // only the last few leave a core idle
+    double end = drain(capacity);
+    assertEquals(
+        end * 2, capacity.busy(end), 0.05 * end * 2); // only the last few leave a core idle
     CapacityModel one = of(2, 8, 100);
     one.offer(0, "alone");
     double alone = drain(one);
@@ -64,7 +65,7 @@
   }
 
   @Test
-  void aNeighbourTakesItsShare() {
+  void noisyNeighbourTakesItsShareOfTheCores() {
     CapacityModel free = of(1, 1, 200);
     CapacityModel crowded = of(1, 1, 200);
     crowded.neighbour(0, 0.75);
@@ -81,30 +82,30 @@
    * second.
    */
   @Test
-  void aColdStartIsSlowAndGetsWarm() {
-    CapacityModel c =
+  void coldServerRampsUpToFullSpeed() {
+    CapacityModel capacity =
         new CapacityModel(new CapacityModel.Size(1, 4, 1000, 10, 0.25, 1000), 3, 0, 0);
     for (int i = 0; i < 500; i++) {
-      c.offer(0, i);
+      capacity.offer(0, i);
     }
-    assertEquals(625, c.busy(1000), 25);
-    assertEquals(1625, c.busy(2000), 25);
+    assertEquals(625, capacity.busy(1000), 25);
+    assertEquals(1625, capacity.busy(2000), 25);
   }
 
   @Test
-  void aDroppedJobMakesRoom() {
-    CapacityModel c = of(1, 1, 1);
-    CapacityModel.Job first = c.offer(0, "a");
-    c.offer(0, "b");
-    c.drop(1, first);
-    assertEquals(1, c.running());
-    assertEquals(0, c.waiting());
-    drain(c);
-    assertEquals(0, c.running());
+  void droppedJobFreesItsSlot() {
+    CapacityModel capacity = of(1, 1, 1);
+    CapacityModel.Job first = capacity.offer(0, "a");
+    capacity.offer(0, "b");
+    capacity.drop(1, first);
+    assertEquals(1, capacity.running());
+    assertEquals(0, capacity.waiting());
+    drain(capacity);
+    assertEquals(0, capacity.running());
   }
 
   @Test
-  void sizesOutOfRangeAreRefused() {
+  void sizesOutOfRangeAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(0, 1, 1, 1, 1, 0));
     assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(1, 0, 1, 1, 1, 0));
     assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(1, 1, 1, 1, 0, 0));
@@ -117,12 +118,12 @@
    * the same times.
    */
   @Property(tries = 60, seed = "1")
-  void asANaiveModelHasIt(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
-    Random r = new Random(seed);
-    double cores = 0.5 + r.nextInt(6) * 0.5;
-    int slots = 1 + r.nextInt(6);
+  void completionTimesMatchANaiveModel(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    Random random = new Random(seed);
+    double cores = 0.5 + random.nextInt(6) * 0.5;
+    int slots = 1 + random.nextInt(6);
     CapacityModel.Size size = new CapacityModel.Size(cores, slots, 3, 2, 1, 0);
-    CapacityModel c = new CapacityModel(size, seed, 0, WARM);
+    CapacityModel capacity = new CapacityModel(size, seed, 0, WARM);
     Random work = new Random(seed);
     Map<Integer, Double> ends = new LinkedHashMap<>();
     Map<Integer, Double> naive = new LinkedHashMap<>();
@@ -136,22 +137,23 @@
     for (int tick = 0; busy; tick++) {
       double now = tick * step;
       assertTrue(
-          now < 1000, "at " + now + " jobs are left: " + running.size() + " and " + c.running());
-      if (tick % 50 == 0 && tick < 3000 && r.nextInt(3) == 0) {
-        boolean taken = c.offer(now, tick) != null;
+          now < 1000,
+          "at " + now + " jobs are left: " + running.size() + " and " + capacity.running());
+      if (tick % 50 == 0 && tick < 3000 && random.nextInt(3) == 0) {
+        boolean taken = capacity.offer(now, tick) != null;
         int there =
             running.size() + waiting.size(); // the model's own steps may end a job one step off
         assertTrue(
             taken ? there <= slots + 3 : there >= slots + 2,
             "at " + now + ": " + taken + " of " + there);
         if (taken) {
-          double w = Math.max(1e-3, Math.min(20, -Math.log(1 - work.nextDouble()) * 2));
-          (running.size() < slots ? running : waiting).add(new double[] {tick, w});
+          double workMs = Math.max(1e-3, Math.min(20, -Math.log(1 - work.nextDouble()) * 2));
+          (running.size() < slots ? running : waiting).add(new double[] {tick, workMs});
         }
       }
       if (tick == 1500) {
         neighbour = 0.5;
-        c.neighbour(now, neighbour);
+        capacity.neighbour(now, neighbour);
       }
       double rate = running.isEmpty() ? 0 : Math.min(1, cores * (1 - neighbour) / running.size());
       for (double[] job : running) {
@@ -164,12 +166,12 @@
       while (running.size() < slots && !waiting.isEmpty()) {
         running.add(waiting.remove(0));
       }
-      for (double next = c.next(); next <= now + step; next = c.next()) {
-        for (CapacityModel.Job job : c.done(next)) {
+      for (double next = capacity.next(); next <= now + step; next = capacity.next()) {
+        for (CapacityModel.Job job : capacity.done(next)) {
           ends.put((Integer) job.what, next);
         }
       }
-      busy = tick < 3000 || !running.isEmpty() || c.running() > 0;
+      busy = tick < 3000 || !running.isEmpty() || capacity.running() > 0;
     }
     assertEquals(
         naive.keySet().stream().sorted().toList(), ends.keySet().stream().sorted().toList());
@@ -178,14 +180,14 @@
   }
 
   @Test
-  void theSameSeedGivesTheSame() {
+  void sameSeedGivesTheSameCompletionTime() {
     List<Double> ends = new ArrayList<>();
     for (int turn = 0; turn < 2; turn++) {
-      CapacityModel c = of(1, 3, 50);
+      CapacityModel capacity = of(1, 3, 50);
       for (int i = 0; i < 50; i++) {
-        c.offer(i, i);
+        capacity.offer(i, i);
       }
-      ends.add(drain(c));
+      ends.add(drain(capacity));
     }
     assertEquals(ends.get(0), ends.get(1));
   }
@@ -195,7 +197,7 @@
    * next step (0.24 us); then it was due at once, again and again, and time stood still.
    */
   @Test
-  void whatIsDueNextLiesAheadOfTheClock() {
+  void nextCompletionLiesAheadOfTheClock() {
     double now = 1_700_000_000_000.0;
     CapacityModel capacity =
         new CapacityModel(
--- a/src/test/java/edgenode/emulator/ClientLoadBalancerTest.java
+++ b/src/test/java/edgenode/emulator/ClientLoadBalancerTest.java
@@ -11,54 +11,54 @@
 /** The front deals by customer, unevenly, and knows of a death only after a while. */
 class ClientLoadBalancerTest {
   private static final String CUSTOMER = "00000000b4d65521";
-  private final ClientLoadBalancer front = new ClientLoadBalancer(3, 1000, 5);
+  private final ClientLoadBalancer loadBalancer = new ClientLoadBalancer(3, 1000, 5);
 
-  private int[] deal(double now) {
+  private int[] route(double now) {
     int[] all = new int[3];
     for (int i = 0; i < 3000; i++) {
-      all[front.node(CUSTOMER, now)]++;
+      all[loadBalancer.node(CUSTOMER, now)]++;
     }
     return all;
   }
 
   @Test
-  void aDeathIsNoticedLateAndAReturnAtOnce() {
-    assertTrue(deal(0)[1] > 0);
-    front.down(1, 100);
-    assertTrue(deal(1099)[1] > 0, "not noticed yet");
-    assertEquals(0, deal(1100)[1]);
-    front.up(1);
-    assertTrue(deal(1200)[1] > 0);
+  void failureIsDetectedLateAndARestartAtOnce() {
+    assertTrue(route(0)[1] > 0);
+    loadBalancer.down(1, 100);
+    assertTrue(route(1099)[1] > 0, "not noticed yet");
+    assertEquals(0, route(1100)[1]);
+    loadBalancer.up(1);
+    assertTrue(route(1200)[1] > 0);
   }
 
   @Test
-  void whereItKnowsOfNoneItSendsAllTheSame() {
+  void routesAllRequestsThoughNoNodeIsInRotation() {
     for (int i = 0; i < 3; i++) {
-      front.down(i, 0);
+      loadBalancer.down(i, 0);
     }
-    assertEquals(3000, Arrays.stream(deal(5000)).sum());
+    assertEquals(3000, Arrays.stream(route(5000)).sum());
   }
 
   @Test
-  void aCrowdIsItsShareAndEndsWithIt() {
-    int before = deal(0)[2];
-    front.crowd(2, 0.8);
-    int crowded = deal(0)[2];
+  void hotNodeGetsItsShareUntilItIsReset() {
+    int before = route(0)[2];
+    loadBalancer.crowd(2, 0.8);
+    int crowded = route(0)[2];
     assertTrue(crowded > 0.8 * 3000 - 100 && crowded > before, crowded + " after " + before);
-    front.crowd(2, 0);
-    assertTrue(Math.abs(deal(0)[2] - before) < 200);
+    loadBalancer.crowd(2, 0);
+    assertTrue(Math.abs(route(0)[2] - before) < 200);
   }
 
   /** The same shares until they are drawn anew, and the same draw for the same seed. */
   @Test
-  void aReshuffleMovesACustomersRequests() {
-    int[] one = deal(0);
-    int[] two = deal(0);
+  void reshuffleMovesRequestsOfACustomer() {
+    int[] one = route(0);
+    int[] two = route(0);
     for (int i = 0; i < 3; i++) {
       assertTrue(Math.abs(one[i] - two[i]) < 200, Arrays.toString(one) + Arrays.toString(two));
     }
-    front.reshuffle();
-    int[] three = deal(0);
+    loadBalancer.reshuffle();
+    int[] three = route(0);
     int moved = 0;
     for (int i = 0; i < 3; i++) {
       moved = Math.max(moved, Math.abs(three[i] - one[i]));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void aFrontOfNoNodesIsRefused() {
+  void loadBalancerWithoutNodesIsRejected() {
     assertThrows(IllegalArgumentException.class, () -> new ClientLoadBalancer(0, 1000, 1));
   }
 }
--- a/src/test/java/edgenode/emulator/EmulatorTest.java
+++ b/src/test/java/edgenode/emulator/EmulatorTest.java
@@ -23,17 +23,17 @@
 /** App server and counter by the protocol page, and each of their faults, over sockets. */
 @Timeout(60)
 class EmulatorTest {
-  private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
+  private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
   private static final String CUSTOMER = "00000000b4d65521";
   private final NettyEdgeEventLoop loop =
       new NettyEdgeEventLoop(
-          Transport.newEventLoopGroup(), Transport.SOCKETS, Clock.system(), line -> {});
-  private final List<String> seen = Collections.synchronizedList(new ArrayList<>());
+          Transport.newEventLoopGroup(), Transport.SOCKETS, Clock.system(), connection -> {});
+  private final List<String> events = Collections.synchronizedList(new ArrayList<>());
   private final Effects effects =
       new Effects() {
         @Override
         public void began(double now, String server) {
-          seen.add("began");
+          events.add("began");
         }
 
         @Override
@@ -46,17 +46,17 @@
             String list,
             String key,
             boolean ran) {
-          seen.add("came " + id + (ran ? " ran" : " not"));
+          events.add("came " + id + (ran ? " ran" : " not"));
         }
 
         @Override
         public void answered(double now, String server, String id, String text) {
-          seen.add("answered " + id + " " + text);
+          events.add("answered " + id + " " + text);
         }
 
         @Override
         public void malformed(double now, String server, String what) {
-          seen.add("malformed");
+          events.add("malformed");
         }
       };
 
@@ -64,49 +64,49 @@
       throws InterruptedException {
     return new AppServerEmulator(
             loop, "s0", new IdempotencyGroupModel("a", 0, 7500), size, habits, effects, 1)
-        .start(ANY);
+        .start(ANY_PORT);
   }
 
   private AppServerEmulator server() throws InterruptedException {
     return server(new CapacityModel.Size(1, 1, 1, 0.5, 1, 0), AppServerEmulator.Habits.USUAL);
   }
 
-  private void on(Runnable what) {
+  private void runOnLoop(Runnable what) {
     CompletableFuture.runAsync(what, loop.group()).join();
   }
 
-  private static FakePeer.Connection to(InetSocketAddress at) throws IOException {
+  private static FakePeer.Connection connect(InetSocketAddress at) throws IOException {
     return FakePeer.Connection.connect(at.getPort());
   }
 
-  private static List<String> call(FakePeer.Connection line, String id, String list)
+  private static List<String> call(FakePeer.Connection connection, String id, String list)
       throws IOException {
-    line.writeCommand("CALL.POST", CUSTOMER, id, list, "body");
-    return line.readMessage();
+    connection.writeCommand("CALL.POST", CUSTOMER, id, list, "body");
+    return connection.readMessage();
   }
 
   @AfterEach
-  void end() {
+  void shutDownLoop() {
     loop.group().shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(1000);
   }
 
   @Test
-  void aCallIsAnsweredWithValueAndReport() throws Exception {
+  void callIsAnsweredWithValueAndLoadReport() throws Exception {
     AppServerEmulator server = server();
-    try (FakePeer.Connection line = to(server.address())) {
-      List<String> answer = call(line, "7", "c=w,t=p,d=900,k=1");
+    try (FakePeer.Connection connection = connect(server.address())) {
+      List<String> answer = call(connection, "7", "c=w,t=p,d=900,k=1");
       assertEquals(3, answer.size());
       assertEquals("ok 7 by s0", answer.get(0));
       assertEquals(null, answer.get(1));
       assertTrue(answer.get(2).matches("inflight=\\d+,queue=\\d+,util=[\\d.]+"), answer.get(2));
-      line.writeCommand("PING");
-      assertEquals(List.of("+PONG"), line.readMessage());
-      line.writeCommand("INFO", "load");
-      assertTrue(line.readMessage().get(0).startsWith("inflight="));
-      line.writeCommand("HELLO", "3");
-      assertTrue(line.readMessage().get(0).startsWith("-ERR"));
-      line.writeCommand("CALL.GET", CUSTOMER, "8");
-      assertEquals(List.of("-SYNTAX"), line.readMessage());
+      connection.writeCommand("PING");
+      assertEquals(List.of("+PONG"), connection.readMessage());
+      connection.writeCommand("INFO", "load");
+      assertTrue(connection.readMessage().get(0).startsWith("inflight="));
+      connection.writeCommand("HELLO", "3");
+      assertTrue(connection.readMessage().get(0).startsWith("-ERR"));
+      connection.writeCommand("CALL.GET", CUSTOMER, "8");
+      assertEquals(List.of("-SYNTAX"), connection.readMessage());
     }
     assertEquals(
         List.of(
@@ -118,58 +118,58 @@
             "began",
             "began",
             "malformed"),
-        seen);
+        events);
   }
 
   /** The second one with its key is known in the rack, and has no effect of its own. */
   @Test
-  void aRepeatInTheRackDoesNotRun() throws Exception {
+  void duplicateInTheIdempotencyGroupDoesNotRun() throws Exception {
     AppServerEmulator server = server();
-    try (FakePeer.Connection line = to(server.address())) {
-      call(line, "1", "c=w,t=p,d=900,k=abc");
-      call(line, "2", "c=w,t=p,d=900,k=abc,r=1");
-      call(line, "3", "c=w,t=p,d=900,k=abd");
+    try (FakePeer.Connection connection = connect(server.address())) {
+      call(connection, "1", "c=w,t=p,d=900,k=abc");
+      call(connection, "2", "c=w,t=p,d=900,k=abc,r=1");
+      call(connection, "3", "c=w,t=p,d=900,k=abd");
     }
     assertEquals(
         List.of("came 1 ran", "came 2 not", "came 3 ran"),
-        seen.stream().filter(s -> s.startsWith("came")).toList());
+        events.stream().filter(s -> s.startsWith("came")).toList());
   }
 
   @Test
-  void aFullServerTurnsAway() throws Exception {
+  void fullAppServerRejectsCalls() throws Exception {
     AppServerEmulator server =
         server(new CapacityModel.Size(1, 1, 1, 400, 1, 0), AppServerEmulator.Habits.USUAL);
     InetSocketAddress at = server.address();
-    try (FakePeer.Connection a = to(at);
-        FakePeer.Connection b = to(at);
-        FakePeer.Connection c = to(at)) {
-      a.writeCommand("CALL.GET", CUSTOMER, "1", "c=r,t=p,d=900");
-      b.writeCommand("CALL.GET", CUSTOMER, "2", "c=r,t=p,d=900");
-      while (!seen.contains("came 1 ran") || !seen.contains("came 2 ran")) {
+    try (FakePeer.Connection first = connect(at);
+        FakePeer.Connection second = connect(at);
+        FakePeer.Connection third = connect(at)) {
+      first.writeCommand("CALL.GET", CUSTOMER, "1", "c=r,t=p,d=900");
+      second.writeCommand("CALL.GET", CUSTOMER, "2", "c=r,t=p,d=900");
+      while (!events.contains("came 1 ran") || !events.contains("came 2 ran")) {
         Thread.sleep(1);
       }
-      c.writeCommand("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
-      assertEquals(List.of("-BUSY"), c.readMessage());
-      assertTrue(seen.contains("came 3 not"));
+      third.writeCommand("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
+      assertEquals(List.of("-BUSY"), third.readMessage());
+      assertTrue(events.contains("came 3 not"));
     }
   }
 
   @Test
-  void itDiesAndReturnsColdAtItsAddress() throws Exception {
+  void appServerCrashesAndRestartsAtItsAddress() throws Exception {
     AppServerEmulator server = server();
     InetSocketAddress at = server.address();
     assertEquals(0, server.entry("active").bornMs());
-    try (FakePeer.Connection line = to(at)) {
-      call(line, "1", "c=w,t=p,d=900,k=1");
-      on(server::die);
-      assertTrue(line.isClosedByPeer());
+    try (FakePeer.Connection connection = connect(at)) {
+      call(connection, "1", "c=w,t=p,d=900,k=1");
+      runOnLoop(server::die);
+      assertTrue(connection.isClosedByPeer());
     }
-    assertThrows(IOException.class, () -> to(at).close());
-    on(() -> server.back(at));
+    assertThrows(IOException.class, () -> connect(at).close());
+    runOnLoop(() -> server.back(at));
     FakePeer.Connection again = null;
     while (again == null) {
       try {
-        again = to(at);
+        again = connect(at);
       } catch (IOException e) {
         Thread.sleep(1);
       }
@@ -180,40 +180,40 @@
   }
 
   @Test
-  void itsMoods() throws Exception {
+  void appServerInjectsItsFaults() throws Exception {
     AppServerEmulator server = server();
-    try (FakePeer.Connection line = to(server.address())) {
-      on(() -> server.mood(AppServerEmulator.Mood.FAILING));
-      assertEquals(List.of("-ERR failed"), call(line, "1", "c=w,t=p,d=9,k=1"));
-      on(() -> server.mood(AppServerEmulator.Mood.DRAINING));
-      assertEquals(List.of("-BUSY"), call(line, "2", "c=w,t=p,d=9,k=2"));
-      on(() -> server.mood(AppServerEmulator.Mood.DEAF));
-      line.writeCommand("PING");
-      line.socket().setSoTimeout(200);
-      assertThrows(java.net.SocketTimeoutException.class, line::readMessage);
-      on(() -> server.mood(AppServerEmulator.Mood.WELL));
-      assertEquals(List.of("+PONG"), line.readMessage());
-      on(() -> server.mood(AppServerEmulator.Mood.SILENT));
-      line.writeCommand("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
-      assertThrows(java.net.SocketTimeoutException.class, line::readMessage);
-      assertTrue(seen.contains("came 3 ran"), "silent, and it ran");
+    try (FakePeer.Connection connection = connect(server.address())) {
+      runOnLoop(() -> server.mood(AppServerEmulator.Mood.FAILING));
+      assertEquals(List.of("-ERR failed"), call(connection, "1", "c=w,t=p,d=9,k=1"));
+      runOnLoop(() -> server.mood(AppServerEmulator.Mood.DRAINING));
+      assertEquals(List.of("-BUSY"), call(connection, "2", "c=w,t=p,d=9,k=2"));
+      runOnLoop(() -> server.mood(AppServerEmulator.Mood.DEAF));
+      connection.writeCommand("PING");
+      connection.socket().setSoTimeout(200);
+      assertThrows(java.net.SocketTimeoutException.class, connection::readMessage);
+      runOnLoop(() -> server.mood(AppServerEmulator.Mood.WELL));
+      assertEquals(List.of("+PONG"), connection.readMessage());
+      runOnLoop(() -> server.mood(AppServerEmulator.Mood.SILENT));
+      connection.writeCommand("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
+      assertThrows(java.net.SocketTimeoutException.class, connection::readMessage);
+      assertTrue(events.contains("came 3 ran"), "silent, and it ran");
     }
-    on(() -> server.mood(AppServerEmulator.Mood.NOISE));
-    try (FakePeer.Connection line = to(server.address())) {
-      assertEquals(List.of("\u0001noise"), call(line, "4", "c=w,t=p,d=9,k=4"));
-      assertTrue(line.isClosedByPeer());
+    runOnLoop(() -> server.mood(AppServerEmulator.Mood.NOISE));
+    try (FakePeer.Connection connection = connect(server.address())) {
+      assertEquals(List.of("\u0001noise"), call(connection, "4", "c=w,t=p,d=9,k=4"));
+      assertTrue(connection.isClosedByPeer());
     }
   }
 
   @Test
-  void itHoldsSoManyConnectionsAndClosesIdleOnes() throws Exception {
+  void appServerBoundsConnectionsAndClosesIdleOnes() throws Exception {
     AppServerEmulator server =
         server(
             new CapacityModel.Size(1, 1, 1, 1, 1, 0), new AppServerEmulator.Habits(1, 100, 200, 0));
-    try (FakePeer.Connection first = to(server.address())) {
+    try (FakePeer.Connection first = connect(server.address())) {
       first.writeCommand("PING");
       first.readMessage();
-      try (FakePeer.Connection second = to(server.address())) {
+      try (FakePeer.Connection second = connect(server.address())) {
         assertTrue(second.isClosedByPeer(), "one too many");
       }
       assertTrue(first.isClosedByPeer(), "idle for longer than it holds one");
@@ -224,23 +224,23 @@
 
   private CounterEmulator counter(CounterEmulator.Size size) throws InterruptedException {
     return new CounterEmulator(
-            loop, size, (now, name, amount, total) -> seen.add(name + " " + amount + " " + total))
-        .start(ANY);
+            loop, size, (now, name, amount, total) -> events.add(name + " " + amount + " " + total))
+        .start(ANY_PORT);
   }
 
   @Test
-  void itAddsAndForgetsANameAtItsEnd() throws Exception {
+  void counterAddsAndExpiresNames() throws Exception {
     CounterEmulator counter = counter(CounterEmulator.Size.USUAL);
-    try (FakePeer.Connection line = to(counter.address())) {
+    try (FakePeer.Connection connection = connect(counter.address())) {
       for (String[] step : new String[][] {{"2.5", "60000", "2.5"}, {"-1", "60000", "1.5"}}) {
-        line.writeCommand("CNT.ADD", "n", step[0], step[1]);
-        assertEquals(List.of(step[2]), line.readMessage());
+        connection.writeCommand("CNT.ADD", "n", step[0], step[1]);
+        assertEquals(List.of(step[2]), connection.readMessage());
       }
-      line.writeCommand("CNT.ADD", "short", "1", "1");
-      line.readMessage();
+      connection.writeCommand("CNT.ADD", "short", "1", "1");
+      connection.readMessage();
       Thread.sleep(5);
-      line.writeCommand("CNT.ADD", "short", "1", "1");
-      assertEquals(List.of("1"), line.readMessage());
+      connection.writeCommand("CNT.ADD", "short", "1", "1");
+      assertEquals(List.of("1"), connection.readMessage());
       for (String[] bad :
           new String[][] {
             {"CNT.ADD", "n", "x", "1"},
@@ -250,11 +250,11 @@
             {"CNT.ADD", "n"},
             {"GET", "n"}
           }) {
-        line.writeCommand(bad);
-        assertTrue(line.readMessage().get(0).startsWith("-ERR"), Arrays.toString(bad));
+        connection.writeCommand(bad);
+        assertTrue(connection.readMessage().get(0).startsWith("-ERR"), Arrays.toString(bad));
       }
     }
-    assertEquals(List.of("n 2.5 2.5", "n -1.0 1.5"), seen.subList(0, 2));
+    assertEquals(List.of("n 2.5 2.5", "n -1.0 1.5"), events.subList(0, 2));
   }
 
   /**
@@ -262,19 +262,19 @@
    * order.
    */
   @Test
-  void itTakesSoManyCallsASecond() throws Exception {
+  void counterLimitsCallsPerSecond() throws Exception {
     CounterEmulator counter = counter(new CounterEmulator.Size(100, 5, 8));
-    try (FakePeer.Connection line = to(counter.address())) {
+    try (FakePeer.Connection connection = connect(counter.address())) {
       long from = System.nanoTime();
       StringBuilder all = new StringBuilder();
       for (int i = 0; i < 50; i++) {
         all.append("*4\r\n$7\r\nCNT.ADD\r\n$1\r\nn\r\n$1\r\n1\r\n$4\r\n9000\r\n");
       }
-      line.write(all.toString());
+      connection.write(all.toString());
       int added = 0;
       int busy = 0;
       for (int i = 0; i < 50; i++) {
-        String answer = line.readMessage().get(0);
+        String answer = connection.readMessage().get(0);
         if (answer.equals("-BUSY")) {
           busy++;
         } else {
@@ -289,29 +289,29 @@
   }
 
   @Test
-  void itsFaults() throws Exception {
+  void counterInjectsItsFaults() throws Exception {
     CounterEmulator counter = counter(CounterEmulator.Size.USUAL);
-    try (FakePeer.Connection line = to(counter.address())) {
-      line.writeCommand("CNT.ADD", "n", "5", "60000");
-      assertEquals(List.of("5"), line.readMessage());
-      on(() -> counter.mood(CounterEmulator.Mood.FULL));
-      line.writeCommand("CNT.ADD", "n", "5", "60000");
-      assertEquals(List.of("-BUSY"), line.readMessage());
-      on(() -> counter.mood(CounterEmulator.Mood.NOISE));
-      line.writeCommand("CNT.ADD", "n", "5", "60000");
-      assertEquals(List.of("+noise"), line.readMessage());
-      on(() -> counter.mood(CounterEmulator.Mood.SILENT));
-      line.writeCommand("CNT.ADD", "n", "5", "60000");
-      line.socket().setSoTimeout(200);
-      assertThrows(java.net.SocketTimeoutException.class, line::readMessage);
-      on(() -> counter.mood(CounterEmulator.Mood.WELL)); // however late, a call has its turn
-      assertEquals(List.of("10"), line.readMessage());
-      on(counter::restart);
-      assertTrue(line.isClosedByPeer());
+    try (FakePeer.Connection connection = connect(counter.address())) {
+      connection.writeCommand("CNT.ADD", "n", "5", "60000");
+      assertEquals(List.of("5"), connection.readMessage());
+      runOnLoop(() -> counter.mood(CounterEmulator.Mood.FULL));
+      connection.writeCommand("CNT.ADD", "n", "5", "60000");
+      assertEquals(List.of("-BUSY"), connection.readMessage());
+      runOnLoop(() -> counter.mood(CounterEmulator.Mood.NOISE));
+      connection.writeCommand("CNT.ADD", "n", "5", "60000");
+      assertEquals(List.of("+noise"), connection.readMessage());
+      runOnLoop(() -> counter.mood(CounterEmulator.Mood.SILENT));
+      connection.writeCommand("CNT.ADD", "n", "5", "60000");
+      connection.socket().setSoTimeout(200);
+      assertThrows(java.net.SocketTimeoutException.class, connection::readMessage);
+      runOnLoop(() -> counter.mood(CounterEmulator.Mood.WELL)); // however late, a call has its turn
+      assertEquals(List.of("10"), connection.readMessage());
+      runOnLoop(counter::restart);
+      assertTrue(connection.isClosedByPeer());
     }
-    try (FakePeer.Connection line = to(counter.address())) {
-      line.writeCommand("CNT.ADD", "n", "1", "60000");
-      assertEquals(List.of("1"), line.readMessage(), "started again empty");
+    try (FakePeer.Connection connection = connect(counter.address())) {
+      connection.writeCommand("CNT.ADD", "n", "1", "60000");
+      assertEquals(List.of("1"), connection.readMessage(), "started again empty");
     }
   }
 }
--- a/src/test/java/edgenode/net/discovery/DnsSrvSourceTest.java
+++ b/src/test/java/edgenode/net/discovery/DnsSrvSourceTest.java
@@ -56,8 +56,8 @@
       start(60_000, dns(dns));
       awaitUp("s1.enrol.test.:1001");
       long since = System.nanoTime();
-      int asked = dns.questions();
-      awaitCondition("asked again", () -> dns.questions() > asked);
+      int asked = dns.queryCount();
+      awaitCondition("asked again", () -> dns.queryCount() > asked);
       assertTrue(
           System.nanoTime() - since > 700_000_000L, "before the longest time of the settings");
     }
--- a/src/test/java/edgenode/node/DiscoveryStallTest.java
+++ b/src/test/java/edgenode/node/DiscoveryStallTest.java
@@ -267,7 +267,7 @@
         fixture.agent.set(fixture.host("a" + i, "active"));
       }
       fixture.awaitServing("a3");
-      fixture.agent.silent(true);
+      fixture.agent.setSilent(true);
       for (int i = 0; i < 10; i++) {
         fixture.agent.set(fixture.host("a" + i, "left"));
         fixture.agent.set(fixture.host("b" + i, "active"));
@@ -277,7 +277,7 @@
           fixture.endpointStates.get("a3") == edgenode.policy.EndpointState.UP,
           "nothing was told yet");
       long told = System.nanoTime();
-      fixture.agent.silent(false);
+      fixture.agent.setSilent(false);
       double ms = fixture.awaitDrained("a3", told);
       assertTrue(ms < DiscoveryFixture.DRAIN_GRACE_MS, "took " + ms);
       fixture.awaitServing("b7");
--- a/src/test/java/edgenode/simulation/DemoCommandTest.java
+++ b/src/test/java/edgenode/simulation/DemoCommandTest.java
@@ -214,7 +214,7 @@
       Thread.sleep((long) (seconds * 1000));
       world.loop().execute(clients::stop);
       for (int open = 1; open > 0; ) { // each has its end: an answer, or its client's patience
-        open = CompletableFuture.supplyAsync(clients::open, world.loop().group()).join();
+        open = CompletableFuture.supplyAsync(clients::openAttempts, world.loop().group()).join();
         Thread.sleep(5);
       }
       world.loop().execute(clients::close);
