--- a/src/main/java/edgenode/benchmark/Wires.java
+++ b/src/main/java/edgenode/benchmark/Wires.java
@@ -289,8 +289,8 @@
       double startMs = (System.nanoTime() - began) / 1e6;
       double startCpu = cpuMs(thread) - from;
       Thread.sleep(QUIET_MS / 3); // the first looks
-      long requests = agent.requests();
-      long bytes = agent.bytes();
+      long requests = agent.requestCount();
+      long bytes = agent.sentByteCount();
       from = cpuMs(thread);
       began = System.nanoTime();
       Thread.sleep(QUIET_MS);
@@ -298,8 +298,8 @@
       return new Quiet(
           startMs,
           startCpu,
-          (agent.requests() - requests) / seconds,
-          (agent.bytes() - bytes) / seconds,
+          (agent.requestCount() - requests) / seconds,
+          (agent.sentByteCount() - bytes) / seconds,
           (cpuMs(thread) - from) / seconds);
     } finally {
       loop.group().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
@@ -353,7 +353,7 @@
     try {
       AtomicLong answered = new AtomicLong();
       AtomicLong failed = new AtomicLong();
-      CounterEmulator.Size endless = new CounterEmulator.Size(UNBOUNDED, 1 << 20, 1 << 16);
+      CounterEmulator.Limits endless = new CounterEmulator.Limits(UNBOUNDED, 1 << 20, 1 << 16);
       CounterEmulator counter =
           new CounterEmulator(served, endless, (now, name, amount, sum) -> {})
               .start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
--- a/src/main/java/edgenode/emulator/AppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/AppServerEmulator.java
@@ -26,16 +26,16 @@
 
 /**
  * A stand-in for an app server, from the protocol page, on an event loop that is given: its {@link
- * * * * Capacity}, repeats dropped in its {@link IdempotencyGroupModel}, load reports that are late
- * and noisy, a bound of connections and idle ones closed. It can die and come back cold, vanish,
- * stall, lose cores, answer with noise, stop reading and fall silent. All methods are for the
- * loop's thread.
+ * * * * * Capacity}, repeats dropped in its {@link IdempotencyGroupModel}, load reports that are
+ * late and noisy, a bound of connections and idle ones closed. It can die and come back cold,
+ * vanish, stall, lose cores, answer with noise, stop reading and fall silent. All methods are for
+ * the loop's thread.
  */
 public final class AppServerEmulator {
   /** How it answers from now on. */
-  public enum Mood {
+  public enum FaultMode {
     /** As it should. */
-    WELL,
+    NORMAL,
     /** Takes what comes and never answers. */
     SILENT,
     /** Reads nothing more. */
@@ -49,13 +49,17 @@
   }
 
   /**
-   * @param connections that it holds; one more is closed as it comes
-   * @param idleMs after which one that rests is closed
-   * @param reportEveryMs how old a load report may be
-   * @param noise by what share (0 to 1) a report's figures may be off
+   * @param maxConnections that it holds; one more is closed as it comes
+   * @param idleTimeoutMs after which one that rests is closed
+   * @param loadReportIntervalMs how old a load report may be
+   * @param loadReportNoise by what share (0 to 1) a report's figures may be off
    */
-  public record Habits(int connections, double idleMs, double reportEveryMs, double noise) {
-    public static final Habits USUAL = new Habits(64, 15_000, 200, 0.1);
+  public record ConnectionOptions(
+      int maxConnections,
+      double idleTimeoutMs,
+      double loadReportIntervalMs,
+      double loadReportNoise) {
+    public static final ConnectionOptions DEFAULT = new ConnectionOptions(64, 15_000, 200, 0.1);
   }
 
   private static final int MAX_COMMAND_ELEMENTS = 8;
@@ -66,14 +70,14 @@
   private final String id;
   private final IdempotencyGroupModel idempotencyGroup;
   private final CapacityModel.Size size;
-  private final Habits habits;
-  private final Effects effects;
+  private final ConnectionOptions options;
+  private final AppServerListener listener;
   private final Random random;
   private final Set<Connection> connections = new LinkedHashSet<>();
   private InetSocketAddress address;
-  private Channel listener;
+  private Channel serverChannel;
   private CapacityModel capacity;
-  private Mood mood = Mood.WELL;
+  private FaultMode faultMode = FaultMode.NORMAL;
   private double startedAtMs;
   private Future<?> completionTimer;
   private double completionTimerAtMs = Double.POSITIVE_INFINITY;
@@ -86,15 +90,15 @@
       String id,
       IdempotencyGroupModel idempotencyGroup,
       CapacityModel.Size size,
-      Habits habits,
-      Effects effects,
+      ConnectionOptions options,
+      AppServerListener listener,
       long seed) {
     this.loop = loop;
     this.id = id;
     this.idempotencyGroup = idempotencyGroup;
     this.size = size;
-    this.habits = habits;
-    this.effects = effects;
+    this.options = options;
+    this.listener = listener;
     random = new Random(seed);
   }
 
@@ -106,7 +110,7 @@
     if (bindAddress.getPort() == 0) {
       address = (InetSocketAddress) bound.sync().channel().localAddress();
     }
-    listener = bound.channel();
+    serverChannel = bound.channel();
     loop.execute(() -> loop.schedule(IDLE_SWEEP_MS, this::closeIdleConnections));
     return this;
   }
@@ -152,16 +156,16 @@
 
   // ---- faults ----
 
-  public void mood(Mood newMood) {
-    mood = newMood;
+  public void setFaultMode(FaultMode newMood) {
+    faultMode = newMood;
     for (Connection connection : connections) {
-      connection.channel.config().setAutoRead(newMood != Mood.DEAF);
+      connection.channel.config().setAutoRead(newMood != FaultMode.DEAF);
     }
   }
 
   /** A neighbour takes this share of its cores, 0 to below 1. */
-  public void neighbour(double share) {
-    capacity.neighbour(loop.nowMs(), share);
+  public void setNeighbourShare(double share) {
+    capacity.setNeighbourShare(loop.nowMs(), share);
     scheduleCompletion();
   }
 
@@ -169,9 +173,9 @@
    * The process dies: connections are reset, what ran in it may have had its effect, new ones are
    * refused.
    */
-  public void die() {
+  public void crash() {
     incarnation++;
-    listener.close();
+    serverChannel.close();
     for (Connection connection : connections.toArray(new Connection[0])) {
       connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
       connection.channel.close();
@@ -181,16 +185,16 @@
   }
 
   /** It starts again, cold, at its address or another. */
-  public void back(InetSocketAddress bindAddress) {
+  public void restart(InetSocketAddress bindAddress) {
     startedAtMs = loop.nowMs();
-    mood = Mood.WELL;
+    faultMode = FaultMode.NORMAL;
     capacity = new CapacityModel(size, random.nextLong(), startedAtMs, startedAtMs);
     address = bindAddress;
     bind(bindAddress)
         .addListener(
             (ChannelFuture bound) -> {
               if (bound.isSuccess()) {
-                listener = bound.channel();
+                serverChannel = bound.channel();
               } else {
                 loop.logLine(
                     "stand-in "
@@ -209,7 +213,7 @@
     loop.schedule(IDLE_SWEEP_MS, this::closeIdleConnections);
     for (Connection connection : connections.toArray(new Connection[0])) {
       if (connection.pendingCommands.isEmpty()
-          && loop.nowMs() - connection.lastUsedAtMs > habits.idleMs) {
+          && loop.nowMs() - connection.lastUsedAtMs > options.idleTimeoutMs) {
         connection.channel.close();
       }
     }
@@ -217,7 +221,7 @@
 
   /** One timer for what ends next. */
   private void scheduleCompletion() {
-    double completionAtMs = capacity.next();
+    double completionAtMs = capacity.nextCompletionMs();
     if (completionAtMs >= completionTimerAtMs) {
       return;
     }
@@ -238,18 +242,18 @@
   }
 
   private void answerCompletedJobs() {
-    for (CapacityModel.Job job : capacity.done(loop.nowMs())) {
-      PendingCommand call = (PendingCommand) job.what;
-      if (mood == Mood.FAILING) {
+    for (CapacityModel.Job job : capacity.takeCompleted(loop.nowMs())) {
+      PendingCommand call = (PendingCommand) job.context;
+      if (faultMode == FaultMode.FAILING) {
         call.answer("ERR", new ErrorRedisMessage("ERR failed"));
       } else {
-        call.answer("value", value(call));
+        call.answer("value", callResponse(call));
       }
     }
     scheduleCompletion();
   }
 
-  private RedisMessage value(PendingCommand call) {
+  private RedisMessage callResponse(PendingCommand call) {
     List<RedisMessage> parts = new ArrayList<>(3);
     Channel channel = call.connection.channel;
     parts.add(RespCodec.bulkString(channel.alloc(), "ok " + call.requestId + " by " + id));
@@ -260,13 +264,13 @@
 
   /** Late and noisy, as real ones. */
   private String loadReport() {
-    if (loop.nowMs() - loadReportAtMs >= habits.reportEveryMs) {
+    if (loop.nowMs() - loadReportAtMs >= options.loadReportIntervalMs) {
       loadReportAtMs = loop.nowMs();
       loadReport =
           "inflight="
-              + withNoise(capacity.running())
+              + withNoise(capacity.runningCount())
               + ",queue="
-              + withNoise(capacity.waiting())
+              + withNoise(capacity.waitingCount())
               + ",util="
               + withNoise(100 * capacity.utilization()) / 100.0;
     }
@@ -274,7 +278,8 @@
   }
 
   private long withNoise(double figure) {
-    return Math.max(0, Math.round(figure * (1 + habits.noise * (2 * random.nextDouble() - 1))));
+    return Math.max(
+        0, Math.round(figure * (1 + options.loadReportNoise * (2 * random.nextDouble() - 1))));
   }
 
   /** One command, until its answer is written: answers go in the order of the commands. */
@@ -291,13 +296,13 @@
 
     void answer(String kind, RedisMessage newResponse) {
       if (receivedIncarnation != incarnation
-          || mood == Mood.SILENT
+          || faultMode == FaultMode.SILENT
           || !connection.channel.isActive()) {
         ReferenceCountUtil.release(newResponse);
         return;
       }
       if (requestId != null) {
-        effects.answered(loop.nowMs(), id, requestId, kind);
+        listener.responseSent(loop.nowMs(), id, requestId, kind);
       }
       response = newResponse;
       connection.writeReadyResponses();
@@ -322,7 +327,7 @@
       public void channelRead(ChannelHandlerContext ctx, Object msg) {
         if (!hasSeenFirstByte && ((ByteBuf) msg).isReadable()) {
           hasSeenFirstByte = true;
-          effects.began(loop.nowMs(), id);
+          listener.firstByteReceived(loop.nowMs(), id);
         }
         ctx.fireChannelRead(msg);
       }
@@ -330,12 +335,12 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      if (connections.size() >= habits.connections) {
+      if (connections.size() >= options.maxConnections) {
         ctx.close();
         return;
       }
       connections.add(this);
-      channel.config().setAutoRead(mood != Mood.DEAF);
+      channel.config().setAutoRead(faultMode != FaultMode.DEAF);
     }
 
     @Override
@@ -357,7 +362,7 @@
           command.children().forEach(part -> elements.add(String.valueOf(RespCodec.textOf(part))));
           handleCommand(elements);
         } else {
-          effects.malformed(loop.nowMs(), id, "no command");
+          listener.malformedCommand(loop.nowMs(), id, "no command");
           ctx.close();
         }
       } finally {
@@ -367,7 +372,7 @@
 
     private void handleCommand(List<String> elements) {
       String verb = elements.get(0);
-      if (mood == Mood.NOISE) {
+      if (faultMode == FaultMode.NOISE) {
         channel
             .writeAndFlush(RespCodec.bulkString(channel.alloc(), "\u0001noise"))
             .addListener(f -> channel.close());
@@ -389,21 +394,23 @@
 
     private void handleCall(List<String> elements) {
       if (elements.size() < 4 || elements.size() > 5) {
-        effects.malformed(loop.nowMs(), id, String.join(" ", elements));
+        listener.malformedCommand(loop.nowMs(), id, String.join(" ", elements));
         PendingCommand pending = new PendingCommand(this, null);
         pendingCommands.add(pending);
         pending.answer("", new ErrorRedisMessage("SYNTAX"));
         return;
       }
       String customer = elements.get(1);
-      String key = value(elements.get(3), "k");
+      String key = parameter(elements.get(3), "k");
       PendingCommand pending = new PendingCommand(this, elements.get(2));
       pendingCommands.add(pending);
-      boolean isDraining = mood == Mood.DRAINING;
+      boolean isDraining = faultMode == FaultMode.DRAINING;
       CapacityModel.Job job = isDraining ? null : capacity.offer(loop.nowMs(), pending);
       boolean isDuplicate =
-          job != null && key != null && idempotencyGroup.repeated(loop.nowMs(), customer, key);
-      effects.came(
+          job != null
+              && key != null
+              && idempotencyGroup.startOrFindDuplicate(loop.nowMs(), customer, key);
+      listener.commandReceived(
           loop.nowMs(),
           id,
           elements.get(0),
@@ -433,15 +440,15 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (!(cause instanceof java.io.IOException)) {
-        effects.malformed(loop.nowMs(), id, String.valueOf(cause.getMessage()));
+        listener.malformedCommand(loop.nowMs(), id, String.valueOf(cause.getMessage()));
       }
       ctx.close();
     }
   }
 
   /** The value of a name in a list of names and values, or null. */
-  public static String value(String list, String name) {
-    for (String pair : list.split(",")) {
+  public static String parameter(String parameters, String name) {
+    for (String pair : parameters.split(",")) {
       if (pair.startsWith(name)
           && pair.length() > name.length()
           && pair.charAt(name.length()) == '=') {
--- a/src/main/java/edgenode/emulator/ArrivalProcess.java
+++ b/src/main/java/edgenode/emulator/ArrivalProcess.java
@@ -13,21 +13,21 @@
    * The rate at a time: requests a second at {@code at} ms from the start, never above {@code *
    * most}.
    */
-  public interface Rate {
-    double at(double ms);
+  public interface RateCurve {
+    double ratePerSecond(double ms);
   }
 
   /**
    * A campus that asks.
    *
-   * @param customer 16 hex digits, below 2^33
-   * @param plan named as in the settings
+   * @param id 16 hex digits, below 2^33
+   * @param planName named as in the settings
    * @param weight its part of all requests, against the others'
    */
-  public record Campus(String customer, String plan, double weight) {
-    public Campus {
-      if (!customer.matches("0{7}[01][0-9a-f]{8}") || !(weight > 0)) {
-        throw new IllegalArgumentException("no customer, or no weight: " + customer + " " + weight);
+  public record Customer(String id, String planName, double weight) {
+    public Customer {
+      if (!id.matches("0{7}[01][0-9a-f]{8}") || !(weight > 0)) {
+        throw new IllegalArgumentException("no customer, or no weight: " + id + " " + weight);
       }
     }
   }
@@ -35,18 +35,20 @@
   /**
    * A class of requests.
    *
-   * @param keyed whether each has an idempotency key and goes by CALL.POST
+   * @param hasIdempotencyKey whether each has an idempotency key and goes by CALL.POST
    * @param patienceMs how long its client waits
    * @param weight its part of all requests, against the others'
    */
-  public record Kind(String name, boolean keyed, double patienceMs, double weight) {}
+  public record RequestKind(
+      String name, boolean hasIdempotencyKey, double patienceMs, double weight) {}
 
   /** One request: {@code at} ms from the start; {@code key} is null in a class without. */
-  public record Arrival(long number, double at, Campus campus, Kind kind, String key) {}
+  public record Arrival(
+      long number, double atMs, Customer customer, RequestKind kind, String idempotencyKey) {}
 
-  private final List<Campus> customers;
-  private final List<Kind> requestKinds;
-  private final Rate rate;
+  private final List<Customer> customers;
+  private final List<RequestKind> requestKinds;
+  private final RateCurve rate;
   private final double peakRatePerSecond;
   private final Random random;
   private double nowMs;
@@ -57,9 +59,9 @@
    */
   public ArrivalProcess(
       long seed,
-      List<Campus> customers,
-      List<Kind> requestKinds,
-      Rate rate,
+      List<Customer> customers,
+      List<RequestKind> requestKinds,
+      RateCurve rate,
       double peakRatePerSecond) {
     if (customers.isEmpty() || requestKinds.isEmpty() || !(peakRatePerSecond > 0)) {
       throw new IllegalArgumentException("no campus, no class, or no rate");
@@ -75,27 +77,29 @@
   public Arrival next() {
     do {
       nowMs += -Math.log(1 - random.nextDouble()) / peakRatePerSecond * 1000;
-    } while (random.nextDouble() * peakRatePerSecond > rate.at(nowMs));
+    } while (random.nextDouble() * peakRatePerSecond > rate.ratePerSecond(nowMs));
     double customerDraw =
-        random.nextDouble() * customers.stream().mapToDouble(Campus::weight).sum();
-    double kindDraw = random.nextDouble() * requestKinds.stream().mapToDouble(Kind::weight).sum();
-    Campus chosenCustomer = customers.get(customers.size() - 1);
-    for (Campus candidate : customers) {
+        random.nextDouble() * customers.stream().mapToDouble(Customer::weight).sum();
+    double kindDraw =
+        random.nextDouble() * requestKinds.stream().mapToDouble(RequestKind::weight).sum();
+    Customer chosenCustomer = customers.get(customers.size() - 1);
+    for (Customer candidate : customers) {
       customerDraw -= candidate.weight;
       if (customerDraw < 0) {
         chosenCustomer = candidate;
         break;
       }
     }
-    Kind chosenKind = requestKinds.get(requestKinds.size() - 1);
-    for (Kind candidate : requestKinds) {
+    RequestKind chosenKind = requestKinds.get(requestKinds.size() - 1);
+    for (RequestKind candidate : requestKinds) {
       kindDraw -= candidate.weight;
       if (kindDraw < 0) {
         chosenKind = candidate;
         break;
       }
     }
-    String key = chosenKind.keyed ? Long.toHexString(random.nextLong() | 1L << 63) : null;
+    String key =
+        chosenKind.hasIdempotencyKey ? Long.toHexString(random.nextLong() | 1L << 63) : null;
     return new Arrival(++number, nowMs, chosenCustomer, chosenKind, key);
   }
 }
--- a/src/main/java/edgenode/emulator/CapacityModel.java
+++ b/src/main/java/edgenode/emulator/CapacityModel.java
@@ -15,7 +15,7 @@
  * one core (generalised processor sharing; Parekh and Gallager 1993); the rest wait in order, up to
  * {@code room}. A server that has just started works at {@code coldShare} of its speed, which grows
  * evenly to all of it over {@code warmMs}. What a neighbour takes is taken from the cores. An event
- * costs O(running).
+ * costs O(running jobs).
  */
 public final class CapacityModel {
   /** While the speed changes with time it is taken as steady for so long (ms). */
@@ -66,25 +66,25 @@
   /** A job that was taken. */
   public static final class Job {
     /** What it is for; the caller's. */
-    public final Object what;
+    public final Object context;
 
     private double remainingMs;
 
-    private Job(Object what, double work) {
-      this.what = what;
-      remainingMs = work;
+    private Job(Object context, double workMs) {
+      this.context = context;
+      remainingMs = workMs;
     }
   }
 
   private final Size size;
   private final Random random;
   private final double startedAtMs;
-  private final List<Job> running = new ArrayList<>();
-  private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-  private final List<Job> done = new ArrayList<>();
+  private final List<Job> runningJobs = new ArrayList<>();
+  private final ArrayDeque<Job> waitingJobs = new ArrayDeque<>();
+  private final List<Job> completedJobs = new ArrayList<>();
   private double nowMs;
-  private double neighbour;
-  private double busy;
+  private double neighbourShare;
+  private double workDoneMs;
 
   /**
    * @param startedAtMs when the server started; negative infinity for long ago
@@ -97,42 +97,42 @@
   }
 
   /** A job comes; null where the waiting room is full, and nothing has run then. */
-  public Job offer(double now, Object what) {
-    advance(now);
-    if (running.size() >= size.slots && waiting.size() >= size.room) {
+  public Job offer(double atMs, Object context) {
+    advance(atMs);
+    if (runningJobs.size() >= size.slots && waitingJobs.size() >= size.room) {
       return null;
     }
-    double work = Math.min(10 * size.workMs, -Math.log(1 - random.nextDouble()) * size.workMs);
-    Job job = new Job(what, Math.max(1e-3, work));
-    (running.size() < size.slots ? running : waiting).add(job);
+    double workMs = Math.min(10 * size.workMs, -Math.log(1 - random.nextDouble()) * size.workMs);
+    Job job = new Job(context, Math.max(1e-3, workMs));
+    (runningJobs.size() < size.slots ? runningJobs : waitingJobs).add(job);
     return job;
   }
 
   /** A job is not wanted any more; what has run of it has run. */
-  public void drop(double now, Job job) {
-    advance(now);
-    if (!running.remove(job)) {
-      waiting.remove(job);
+  public void cancel(double atMs, Job job) {
+    advance(atMs);
+    if (!runningJobs.remove(job)) {
+      waitingJobs.remove(job);
     }
     startWaitingJobs();
   }
 
   /** From now on a neighbour takes this share (0 to below 1) of the cores. */
-  public void neighbour(double now, double share) {
+  public void setNeighbourShare(double atMs, double share) {
     if (!(share >= 0 && share < 1)) {
       throw new IllegalArgumentException("a neighbour's share is out of range: " + share);
     }
-    advance(now);
-    neighbour = share;
+    advance(atMs);
+    neighbourShare = share;
   }
 
-  /** When {@link #done} may have something next; infinite where nothing runs. */
-  public double next() {
-    if (!done.isEmpty()) {
+  /** When {@link #takeCompleted} may have something next; infinite where nothing runs. */
+  public double nextCompletionMs() {
+    if (!completedJobs.isEmpty()) {
       return nowMs;
     }
     double leastRemainingMs = NEVER;
-    for (Job job : running) {
+    for (Job job : runningJobs) {
       leastRemainingMs = Math.min(leastRemainingMs, job.remainingMs);
     }
     return leastRemainingMs == NEVER
@@ -141,34 +141,34 @@
   }
 
   /** The jobs that have ended since the last call, in the order in which they did. */
-  public List<Job> done(double now) {
-    advance(now);
-    List<Job> completed = List.copyOf(done);
-    done.clear();
+  public List<Job> takeCompleted(double atMs) {
+    advance(atMs);
+    List<Job> completed = List.copyOf(completedJobs);
+    completedJobs.clear();
     return completed;
   }
 
-  public int running() {
-    return running.size();
+  public int runningCount() {
+    return runningJobs.size();
   }
 
-  public int waiting() {
-    return waiting.size();
+  public int waitingCount() {
+    return waitingJobs.size();
   }
 
   /** Work done so far (ms of one core). */
-  public double busy(double now) {
-    advance(now);
-    return busy;
+  public double workDoneMs(double atMs) {
+    advance(atMs);
+    return workDoneMs;
   }
 
   /** Of the cores that are there now, how much is in use: 0 to 1. */
   public double utilization() {
-    return Math.min(1, running.size() / Math.max(MIN_WORK_MS, availableCores()));
+    return Math.min(1, runningJobs.size() / Math.max(MIN_WORK_MS, availableCores()));
   }
 
   private double availableCores() {
-    return size.cores * (1 - neighbour);
+    return size.cores * (1 - neighbourShare);
   }
 
   /** A core's speed now, as a part of a warm one's. */
@@ -179,7 +179,7 @@
 
   /** Work that each running job gets in a ms. */
   private double workRatePerJob() {
-    return speed() * Math.min(1, availableCores() / running.size());
+    return speed() * Math.min(1, availableCores() / runningJobs.size());
   }
 
   /** Until when the speed is taken as steady. */
@@ -192,12 +192,12 @@
    */
   private void advance(double untilMs) {
     while (nowMs < untilMs) {
-      if (running.isEmpty()) {
+      if (runningJobs.isEmpty()) {
         nowMs = untilMs;
         return;
       }
       double leastRemainingMs = NEVER;
-      for (Job job : running) {
+      for (Job job : runningJobs) {
         leastRemainingMs = Math.min(leastRemainingMs, job.remainingMs);
       }
       double rate = workRatePerJob();
@@ -205,16 +205,16 @@
           Math.min(Math.min(untilMs, speedSteadyUntilMs()), nowMs + leastRemainingMs / rate);
       boolean isJobEnd = stepEndMs >= nowMs + leastRemainingMs / rate;
       double workPerJobMs = isJobEnd ? leastRemainingMs : (stepEndMs - nowMs) * rate;
-      busy += workPerJobMs * running.size();
+      workDoneMs += workPerJobMs * runningJobs.size();
       nowMs = Math.max(stepEndMs, Math.nextUp(nowMs));
       double negligibleMs =
           Math.max(MIN_WORK_MS, Math.ulp(nowMs) * rate); // less than the clock's next step can give
-      for (Iterator<Job> jobs = running.iterator(); jobs.hasNext(); ) {
+      for (Iterator<Job> jobs = runningJobs.iterator(); jobs.hasNext(); ) {
         Job job = jobs.next();
         job.remainingMs -= workPerJobMs;
         if (job.remainingMs <= negligibleMs) {
           jobs.remove();
-          done.add(job);
+          completedJobs.add(job);
         }
       }
       startWaitingJobs();
@@ -222,8 +222,8 @@
   }
 
   private void startWaitingJobs() {
-    while (running.size() < size.slots && !waiting.isEmpty()) {
-      running.add(waiting.poll());
+    while (runningJobs.size() < size.slots && !waitingJobs.isEmpty()) {
+      runningJobs.add(waitingJobs.poll());
     }
   }
 }
--- a/src/main/java/edgenode/emulator/ClientLoadBalancer.java
+++ b/src/main/java/edgenode/emulator/ClientLoadBalancer.java
@@ -38,11 +38,11 @@
     Arrays.fill(downSinceMs, NEVER);
   }
 
-  public void down(int node, double nowMs) {
+  public void nodeDown(int node, double nowMs) {
     downSinceMs[node] = nowMs;
   }
 
-  public void up(int node) {
+  public void nodeUp(int node) {
     downSinceMs[node] = NEVER;
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Where a customer's next request goes. */
-  public int node(String customer, double nowMs) {
+  public int selectNode(String customer, double nowMs) {
     double draw = random.nextDouble();
     double hotNodeDraw = random.nextDouble();
     if (crowd > 0 && hotNodeDraw < crowd && isInRotation(hotNode, nowMs)) {
--- a/src/main/java/edgenode/emulator/ConsulEmulator.java
+++ b/src/main/java/edgenode/emulator/ConsulEmulator.java
@@ -12,33 +12,33 @@
       String id, String address, int port, String status, int passing, int warning) {}
 
   private final Map<String, Instance> instances = new LinkedHashMap<>();
-  private long index = 1;
-  private String token = "";
+  private long currentIndex = 1;
+  private String lastToken = "";
   private String lastPath = "";
 
   public ConsulEmulator() throws IOException {}
 
   public synchronized void set(Instance instance) {
     instances.put(instance.id(), instance);
-    index++;
+    currentIndex++;
     notifyAll();
   }
 
   public synchronized void remove(String id) {
     instances.remove(id);
-    index++;
+    currentIndex++;
     notifyAll();
   }
 
-  /** Goes on from another index, as after a snapshot was restored. */
-  public synchronized void index(long from) {
-    index = from;
+  /** Goes on from another currentIndex, as after a snapshot was restored. */
+  public synchronized void setIndex(long newIndex) {
+    currentIndex = newIndex;
     notifyAll();
   }
 
-  /** The token and the path of the question that came last. */
-  public synchronized String token() {
-    return token;
+  /** The lastToken and the path of the question that came last. */
+  public synchronized String lastToken() {
+    return lastToken;
   }
 
   public synchronized String lastPath() {
@@ -47,12 +47,12 @@
 
   @Override
   protected synchronized HttpResponse answer(HttpRequest request) throws InterruptedException {
-    token = request.headers().getOrDefault("x-consul-token", "");
+    lastToken = request.headers().getOrDefault("x-consul-token", "");
     lastPath = request.path();
     long requestedIndex = queryParameter(request.path(), "index=");
     long deadlineMs = System.nanoTime() / 1_000_000 + queryParameter(request.path(), "wait=");
     while (requestedIndex > 0
-        && index == requestedIndex
+        && currentIndex == requestedIndex
         && System.nanoTime() / 1_000_000 < deadlineMs) {
       wait(Math.max(1, deadlineMs - System.nanoTime() / 1_000_000));
     }
@@ -75,7 +75,7 @@
               + instance.status
               + "\"}]}");
     }
-    return new HttpResponse(200, "X-Consul-Index: " + index + "\r\n", json.toString());
+    return new HttpResponse(200, "X-Consul-Index: " + currentIndex + "\r\n", json.toString());
   }
 
   private static long queryParameter(String path, String name) {
--- a/src/main/java/edgenode/emulator/CounterEmulator.java
+++ b/src/main/java/edgenode/emulator/CounterEmulator.java
@@ -35,40 +35,42 @@
  */
 public final class CounterEmulator {
   /** How it answers from now on. */
-  public enum Mood {
-    WELL,
+  public enum FaultMode {
+    NORMAL,
     FULL,
     SILENT,
     NOISE
   }
 
   /**
-   * @param perSecond calls that have their turn in a second
-   * @param queue calls that wait for theirs; more are turned away
-   * @param connections that it holds; one more is reset
+   * @param callsPerSecond calls that have their turn in a second
+   * @param maxQueuedCalls calls that wait for theirs; more are turned away
+   * @param maxConnections that it holds; one more is reset
    */
-  public record Size(double perSecond, int queue, int connections) {
-    public static final Size USUAL = new Size(1000, 200, 128);
+  public record Limits(double callsPerSecond, int maxQueuedCalls, int maxConnections) {
+    public static final Limits DEFAULT = new Limits(1000, 200, 128);
 
     /** An edge node holds four, and four more while it moves to another address. */
     private static final int CONNECTIONS_PER_NODE = 8;
 
     /** The usual one, with room for the connections of so many edge nodes. */
-    public static Size of(int nodes) {
-      return new Size(
-          USUAL.perSecond, USUAL.queue, Math.max(USUAL.connections, CONNECTIONS_PER_NODE * nodes));
+    public static Limits forNodes(int nodeCount) {
+      return new Limits(
+          DEFAULT.callsPerSecond,
+          DEFAULT.maxQueuedCalls,
+          Math.max(DEFAULT.maxConnections, CONNECTIONS_PER_NODE * nodeCount));
     }
 
-    public Size {
-      if (!(perSecond > 0 && queue >= 0 && connections > 0)) {
+    public Limits {
+      if (!(callsPerSecond > 0 && maxQueuedCalls >= 0 && maxConnections > 0)) {
         throw new IllegalArgumentException("a counter's size is out of range");
       }
     }
   }
 
   /** What passes on its sockets. */
-  public interface Calls {
-    void added(double now, String name, double amount, double total);
+  public interface AddListener {
+    void added(double nowMs, String name, double amount, double total);
   }
 
   private static final int MAX_COMMAND_ELEMENTS = 8;
@@ -88,20 +90,20 @@
   private record PendingAdd(PendingResponse response, List<String> elements) {}
 
   private final EdgeEventLoop loop;
-  private final Size size;
-  private final Calls listener;
+  private final Limits limits;
+  private final AddListener listener;
   private final Map<String, Total> totals = new HashMap<>();
   private final ArrayDeque<PendingAdd> pendingAdds = new ArrayDeque<>();
   private final Set<Connection> connections = new LinkedHashSet<>();
   private Channel serverChannel;
   private InetSocketAddress address;
-  private Mood mood = Mood.WELL;
+  private FaultMode faultMode = FaultMode.NORMAL;
   private double nextAddAtMs;
   private boolean isAddScheduled;
 
-  public CounterEmulator(EdgeEventLoop loop, Size size, Calls listener) {
+  public CounterEmulator(EdgeEventLoop loop, Limits limits, AddListener listener) {
     this.loop = loop;
-    this.size = size;
+    this.limits = limits;
     this.listener = listener;
   }
 
@@ -134,8 +136,8 @@
 
   // ---- faults ----
 
-  public void mood(Mood newMood) {
-    mood = newMood;
+  public void setFaultMode(FaultMode newMood) {
+    faultMode = newMood;
     executeNextAdd();
   }
 
@@ -168,7 +170,7 @@
 
   /** One call in each 1/perSecond: the one that has waited longest. */
   private void executeNextAdd() {
-    if (isAddScheduled || pendingAdds.isEmpty() || mood == Mood.SILENT) {
+    if (isAddScheduled || pendingAdds.isEmpty() || faultMode == FaultMode.SILENT) {
       return;
     }
     double waitMs = nextAddAtMs - loop.nowMs();
@@ -183,7 +185,8 @@
       return;
     }
     nextAddAtMs =
-        Math.max(nextAddAtMs, loop.nowMs() - 1000 / size.perSecond) + 1000 / size.perSecond;
+        Math.max(nextAddAtMs, loop.nowMs() - 1000 / limits.callsPerSecond)
+            + 1000 / limits.callsPerSecond;
     PendingAdd pendingAdd = pendingAdds.poll();
     pendingAdd.response.answer(add(pendingAdd.elements));
     executeNextAdd();
@@ -246,7 +249,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
       connections.add(this);
-      if (connections.size() > size.connections) {
+      if (connections.size() > limits.maxConnections) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         ctx.close();
       }
@@ -276,13 +279,13 @@
 
     private void handleCommand(PendingResponse response, List<String> elements) {
       String verb = elements.isEmpty() ? "" : elements.get(0);
-      if (mood == Mood.NOISE) {
+      if (faultMode == FaultMode.NOISE) {
         response.answer(new SimpleStringRedisMessage("noise"));
         return;
       }
       switch (verb) {
         case "PING" -> {
-          if (mood != Mood.SILENT) {
+          if (faultMode != FaultMode.SILENT) {
             response.answer(new SimpleStringRedisMessage("PONG"));
           }
         }
@@ -290,7 +293,7 @@
         case "CNT.ADD" -> {
           if (!isWellFormedAdd(elements)) {
             response.answer(new ErrorRedisMessage("ERR no such call"));
-          } else if (mood == Mood.FULL || pendingAdds.size() >= size.queue) {
+          } else if (faultMode == FaultMode.FULL || pendingAdds.size() >= limits.maxQueuedCalls) {
             response.answer(new ErrorRedisMessage("BUSY"));
           } else {
             pendingAdds.add(new PendingAdd(response, elements));
--- a/src/main/java/edgenode/emulator/CustomerClients.java
+++ b/src/main/java/edgenode/emulator/CustomerClients.java
@@ -39,15 +39,19 @@
   }
 
   /** Who hears what became of each try, and what passed on the clients' sockets. */
-  public interface Heard {
+  public interface ClientListener {
     /**
      * @param ms since it was due, for a retry since it was sent
      */
-    void ended(ArrivalProcess.Arrival of, int retry, Fate fate, double ms);
+    void attemptEnded(ArrivalProcess.Arrival arrival, int retry, Fate fate, double elapsedMs);
 
     /** A request was written, with this id and this wait (ms). */
-    default void asked(
-        double now, String id, ArrivalProcess.Arrival of, Way way, double patience) {}
+    default void requestSent(
+        double nowMs,
+        String requestId,
+        ArrivalProcess.Arrival arrival,
+        Target target,
+        double patienceMs) {}
 
     /**
      * A message came; for the request that was written last on that connection, whether or not it
@@ -55,35 +59,39 @@
      *
      * @param kind SERVED for a value, REFUSED for {@code -BUSY}, FAILED for all else
      */
-    default void message(double now, String id, Fate kind, String text) {}
+    default void responseReceived(double nowMs, String requestId, Fate kind, String text) {}
 
     /** The edge node ended the connection while the answer was owed. */
-    default void cut(double now, String id) {}
+    default void connectionLost(double nowMs, String requestId) {}
 
     /** The client closed its connection and has no answer. */
-    default void gaveUp(double now, String id) {}
+    default void gaveUp(double nowMs, String requestId) {}
   }
 
   /**
    * Where a request goes: the edge node with its number, and the customer's set as the request
    * names it.
    */
-  public record Way(InetSocketAddress at, int node, int spread, int first) {}
+  public record Target(InetSocketAddress address, int node, int nodeSpread, int firstNode) {}
 
   /** Chooses the edge node of each try. */
-  public interface Route {
-    Way way(ArrivalProcess.Arrival of, double now);
+  public interface TargetSelector {
+    Target select(ArrivalProcess.Arrival arrival, double nowMs);
   }
 
   /**
-   * @param retries at most, of a request that was refused or failed
-   * @param retryAfterMs where the answer says nothing of it
-   * @param obeys whether what an answer says of coming back is heeded
-   * @param lingerMs how long after its patience a client closes its connection: what comes late can
-   *     be seen
+   * @param maxRetries at most, of a request that was refused or failed
+   * @param defaultRetryAfterMs where the answer says nothing of it
+   * @param honoursRetryAfter whether what an answer says of coming back is heeded
+   * @param lateAnswerWaitMs how long after its patience a client closes its connection: what comes
+   *     late can be seen
    */
-  public record Habits(int retries, double retryAfterMs, boolean obeys, double lingerMs) {
-    public static final Habits USUAL = new Habits(2, 200, true, 0);
+  public record RetryOptions(
+      int maxRetries,
+      double defaultRetryAfterMs,
+      boolean honoursRetryAfter,
+      double lateAnswerWaitMs) {
+    public static final RetryOptions DEFAULT = new RetryOptions(2, 200, true, 0);
   }
 
   private static final int MAX_RESPONSE_ELEMENTS = 8;
@@ -96,9 +104,9 @@
 
   private final EdgeEventLoop loop;
   private final ArrivalProcess arrivals;
-  private final Habits habits;
-  private final Heard listener;
-  private final Route route;
+  private final RetryOptions options;
+  private final ClientListener listener;
+  private final TargetSelector targetSelector;
   private final Random random;
   private final Map<InetSocketAddress, ArrayDeque<ClientConnection>> idleByAddress =
       new HashMap<>();
@@ -114,11 +122,11 @@
   public CustomerClients(
       EdgeEventLoop loop,
       ArrivalProcess arrivals,
-      Habits habits,
+      RetryOptions options,
       InetSocketAddress node,
-      Heard listener,
+      ClientListener listener,
       long seed) {
-    this(loop, arrivals, habits, (of, now) -> new Way(node, 0, 1, 0), listener, seed);
+    this(loop, arrivals, options, (of, now) -> new Target(node, 0, 1, 0), listener, seed);
   }
 
   /**
@@ -127,14 +135,14 @@
   public CustomerClients(
       EdgeEventLoop loop,
       ArrivalProcess arrivals,
-      Habits habits,
-      Route route,
-      Heard listener,
+      RetryOptions options,
+      TargetSelector targetSelector,
+      ClientListener listener,
       long seed) {
     this.loop = loop;
     this.arrivals = arrivals;
-    this.habits = habits;
-    this.route = route;
+    this.options = options;
+    this.targetSelector = targetSelector;
     this.listener = listener;
     random = new Random(seed);
   }
@@ -164,14 +172,14 @@
 
   private void sendDueArrivals(ArrivalProcess.Arrival next) {
     ArrivalProcess.Arrival arrival = next;
-    while (!isStopped && startedAtMs + arrival.at() <= loop.nowMs() + SEND_AHEAD_MS) {
-      startAttempt(new Attempt(arrival, 0, startedAtMs + arrival.at()));
+    while (!isStopped && startedAtMs + arrival.atMs() <= loop.nowMs() + SEND_AHEAD_MS) {
+      startAttempt(new Attempt(arrival, 0, startedAtMs + arrival.atMs()));
       arrival = arrivals.next();
     }
     ArrivalProcess.Arrival later = arrival;
     if (!isStopped) {
       loop.schedule(
-          Math.max(0, startedAtMs + arrival.at() - loop.nowMs()), () -> sendDueArrivals(later));
+          Math.max(0, startedAtMs + arrival.atMs() - loop.nowMs()), () -> sendDueArrivals(later));
     }
   }
 
@@ -180,7 +188,7 @@
     private final int retry;
     private final double startedAtMs;
     private ClientConnection connection;
-    private Way target;
+    private Target target;
     private Future<?> patienceTimer;
     private boolean isEnded;
 
@@ -191,7 +199,7 @@
     }
 
     private boolean isAwaitingLateAnswer() {
-      return habits.lingerMs > 0 && connection != null && connection.current == this;
+      return options.lateAnswerWaitMs > 0 && connection != null && connection.current == this;
     }
 
     void end(Fate fate, double retryAfterMs) {
@@ -201,8 +209,8 @@
       isEnded = true;
       openAttempts--;
       patienceTimer.cancel(false);
-      listener.ended(arrival, retry, fate, loop.nowMs() - startedAtMs);
-      if (!isStopped && retry < habits.retries && retryAfterMs >= 0) {
+      listener.attemptEnded(arrival, retry, fate, loop.nowMs() - startedAtMs);
+      if (!isStopped && retry < options.maxRetries && retryAfterMs >= 0) {
         double waitMs = retryAfterMs * (0.75 + 0.5 * random.nextDouble());
         loop.schedule(waitMs, () -> startAttempt(new Attempt(arrival, retry + 1, loop.nowMs())));
       }
@@ -220,15 +228,15 @@
             () -> {
               attempt.end(Fate.GIVEN_UP, -1);
               if (attempt.isAwaitingLateAnswer()) {
-                loop.schedule(habits.lingerMs, () -> giveUp(attempt));
+                loop.schedule(options.lateAnswerWaitMs, () -> giveUp(attempt));
               } else if (attempt.connection != null) {
                 giveUp(attempt);
               }
             });
-    Way target = route.way(attempt.arrival, loop.nowMs());
+    Target target = targetSelector.select(attempt.arrival, loop.nowMs());
     attempt.target = target;
     ArrayDeque<ClientConnection> idleConnections =
-        idleByAddress.computeIfAbsent(target.at, at -> new ArrayDeque<>());
+        idleByAddress.computeIfAbsent(target.address, at -> new ArrayDeque<>());
     for (ClientConnection connection = idleConnections.pollLast();
         connection != null;
         connection = idleConnections.pollLast()) {
@@ -249,7 +257,7 @@
                     channel.pipeline().addLast(connection);
                   }
                 })
-            .connect(loop.transport().toSocketAddress(target.at));
+            .connect(loop.transport().toSocketAddress(target.address));
     connected.addListener(
         done -> {
           if (done.isSuccess()) {
@@ -261,7 +269,7 @@
               connection.write(attempt);
             }
           } else {
-            attempt.end(Fate.NOT_CONNECTED, habits.retryAfterMs);
+            attempt.end(Fate.NOT_CONNECTED, options.defaultRetryAfterMs);
           }
         });
   }
@@ -301,26 +309,26 @@
           "c="
               + arrival.kind().name()
               + ",t="
-              + arrival.campus().plan()
+              + arrival.customer().planName()
               + ",d="
               + remainingMs
-              + (arrival.key() == null ? "" : ",k=" + arrival.key())
+              + (arrival.idempotencyKey() == null ? "" : ",k=" + arrival.idempotencyKey())
               + ",units=1,spread="
-              + attempt.target.spread
+              + attempt.target.nodeSpread
               + ",first="
-              + attempt.target.first
+              + attempt.target.firstNode
               + (attempt.retry > 0 ? ",r=1" : "");
       String requestId = Long.toHexString(++issuedIds);
       lastRequestId = requestId;
-      listener.asked(loop.nowMs(), requestId, arrival, attempt.target, remainingMs);
+      listener.requestSent(loop.nowMs(), requestId, arrival, attempt.target, remainingMs);
       ArrayRedisMessage command =
-          arrival.key() == null
+          arrival.idempotencyKey() == null
               ? RespCodec.command(
-                  channel.alloc(), "CALL.GET", arrival.campus().customer(), requestId, parameters)
+                  channel.alloc(), "CALL.GET", arrival.customer().id(), requestId, parameters)
               : RespCodec.command(
                   channel.alloc(),
                   "CALL.POST",
-                  arrival.campus().customer(),
+                  arrival.customer().id(),
                   requestId,
                   parameters,
                   "body");
@@ -333,7 +341,7 @@
       current = null;
       try {
         RedisMessage message = (RedisMessage) msg;
-        listener.message(loop.nowMs(), lastRequestId, fateOf(message), textOf(message));
+        listener.responseReceived(loop.nowMs(), lastRequestId, fateOf(message), textOf(message));
         if (attempt == null) {
           ctx.close(); // an answer to nothing
           return;
@@ -373,8 +381,9 @@
         case SERVED -> attempt.end(Fate.SERVED, -1);
         case REFUSED ->
             attempt.end(
-                Fate.REFUSED, habits.obeys ? retryAfterMs(((ErrorRedisMessage) msg).content()) : 0);
-        default -> attempt.end(Fate.FAILED, habits.retryAfterMs);
+                Fate.REFUSED,
+                options.honoursRetryAfter ? retryAfterMs(((ErrorRedisMessage) msg).content()) : 0);
+        default -> attempt.end(Fate.FAILED, options.defaultRetryAfterMs);
       }
     }
 
@@ -382,9 +391,9 @@
       try {
         return busy.length() > 5
             ? Math.max(0, Double.parseDouble(busy.substring(5)))
-            : habits.retryAfterMs;
+            : options.defaultRetryAfterMs;
       } catch (NumberFormatException e) {
-        return habits.retryAfterMs;
+        return options.defaultRetryAfterMs;
       }
     }
 
@@ -393,10 +402,10 @@
       connections.remove(this);
       idleConnections.remove(this);
       if (current != null) {
-        listener.cut(loop.nowMs(), lastRequestId);
+        listener.connectionLost(loop.nowMs(), lastRequestId);
         Attempt attempt = current;
         current = null;
-        attempt.end(Fate.LOST, habits.retryAfterMs);
+        attempt.end(Fate.LOST, options.defaultRetryAfterMs);
       }
     }
 
--- a/src/main/java/edgenode/emulator/DiscoveryAgentEmulator.java
+++ b/src/main/java/edgenode/emulator/DiscoveryAgentEmulator.java
@@ -18,9 +18,9 @@
 
 /**
  * A stand-in for discovery's agent, from its protocol page: the whole list, and a watch in chunks.
- * It keeps the list with a version, and can be told to fail: to stall the bytes that it sends on
- * some connections at an offset, to say nothing at all, to lag, to answer with given bytes. Each
- * connection has a thread of its own; for tests and rehearsals, not for load.
+ * It keeps the list with a version, and can be told to fail: to stall the sentByteCount that it
+ * sends on some connections at an offset, to say nothing at all, to lag, to answer with given
+ * sentByteCount. Each connection has a thread of its own; for tests and rehearsals, not for load.
  */
 public final class DiscoveryAgentEmulator implements Closeable {
   /** One server in the list; site and block tell its rack. */
@@ -49,7 +49,7 @@
   }
 
   /** Which of the connections a fault is for. */
-  public enum Kind {
+  public enum ConnectionKind {
     LIST,
     WATCH
   }
@@ -64,15 +64,15 @@
   private long seq;
   private boolean isSilent;
   private boolean isClosed;
-  private Kind stalledKind;
+  private ConnectionKind stalledKind;
   private long stallAfterBytes = -1;
   private int stallsLeft;
-  private long bytes;
+  private long sentByteCount;
   private String malformedLine = "";
   private int malformedLineCount;
-  private int watches;
-  private long flood;
-  private int requests;
+  private int watchCount;
+  private long oversizedLineBytes;
+  private int requestCount;
 
   private record Change(long seq, Host host) {}
 
@@ -118,8 +118,8 @@
   }
 
   /** Goes on from another version with another list, as one that lost its state. */
-  public synchronized void restart(long from, List<Host> list) {
-    seq = from;
+  public synchronized void restart(long firstSeq, List<Host> list) {
+    seq = firstSeq;
     changes.clear();
     hosts.clear();
     list.forEach(host -> hosts.put(host.id(), host));
@@ -133,22 +133,23 @@
   // ---- faults ----
 
   /**
-   * The next so many connections of this kind send so many bytes of their answer and then nothing
-   * more, while they stay open. For a watch the bytes count from the head of its chunked answer on.
+   * The next so many connections of this kind send so many sentByteCount of their answer and then
+   * nothing more, while they stay open. For a watch the sentByteCount count from the head of its
+   * chunked answer on.
    */
-  public synchronized void stall(Kind kind, long offset, int connections) {
+  public synchronized void stall(ConnectionKind kind, long offset, int connections) {
     stalledKind = kind;
     stallAfterBytes = offset;
     stallsLeft = connections;
   }
 
   /** Whether the connections that were to stall have been asked. */
-  public synchronized boolean stalled() {
+  public synchronized boolean hasStalled() {
     return stallsLeft == 0;
   }
 
   /** Stops what is sent on the standing connections of this kind right where it is. */
-  public synchronized void stallNow(Kind kind) {
+  public synchronized void stallNow(ConnectionKind kind) {
     for (Connection connection : connections) {
       if (connection.kind == kind) {
         connection.limitBytes = connection.sentBytes;
@@ -156,18 +157,19 @@
     }
   }
 
-  /** Sends this line on the standing watches, whatever it is. */
-  public synchronized void garble(String text) {
+  /** Sends this line on the standing watchCount, whatever it is. */
+  public synchronized void sendMalformedLine(String text) {
     malformedLine = text;
     malformedLineCount++;
     notifyAll();
   }
 
   /**
-   * The next watch that is asked for gets a line of so many bytes, in chunks and without an end.
+   * The next watch that is asked for gets a line of so many sentByteCount, in chunks and without an
+   * end.
    */
-  public synchronized void flood(long length) {
-    flood = length;
+  public synchronized void sendOversizedLine(long length) {
+    oversizedLineBytes = length;
   }
 
   /**
@@ -187,16 +189,16 @@
   }
 
   /** Watches that have begun, so far. */
-  public synchronized int watches() {
-    return watches;
+  public synchronized int watchCount() {
+    return watchCount;
   }
 
-  public synchronized int requests() {
-    return requests;
+  public synchronized int requestCount() {
+    return requestCount;
   }
 
-  public synchronized long bytes() {
-    return bytes;
+  public synchronized long sentByteCount() {
+    return sentByteCount;
   }
 
   @Override
@@ -238,7 +240,7 @@
 
   private final class Connection {
     private final Socket socket;
-    private Kind kind = Kind.LIST;
+    private ConnectionKind kind = ConnectionKind.LIST;
     private long sentBytes;
     private long limitBytes = Long.MAX_VALUE;
 
@@ -279,8 +281,8 @@
     private void answer(String request) throws IOException, InterruptedException {
       int since = request.indexOf("since=");
       synchronized (DiscoveryAgentEmulator.this) {
-        requests++;
-        kind = request.contains("follow=1") ? Kind.WATCH : Kind.LIST;
+        requestCount++;
+        kind = request.contains("follow=1") ? ConnectionKind.WATCH : ConnectionKind.LIST;
         sentBytes = 0;
         limitBytes = Long.MAX_VALUE;
         if (kind == stalledKind && stallsLeft > 0) {
@@ -288,7 +290,7 @@
           limitBytes = stallAfterBytes;
         }
       }
-      if (kind == Kind.LIST) {
+      if (kind == ConnectionKind.LIST) {
         String list = fullListJson();
         write(
             "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: "
@@ -312,11 +314,11 @@
       long floods;
       synchronized (DiscoveryAgentEmulator.this) {
         garbledBefore = malformedLineCount;
-        floods = flood;
-        flood = 0;
+        floods = oversizedLineBytes;
+        oversizedLineBytes = 0;
       }
       synchronized (DiscoveryAgentEmulator.this) {
-        watches++;
+        watchCount++;
       }
       String some = "x".repeat(1 << 16);
       for (long flooded = 0; flooded < floods; flooded += some.length()) {
@@ -373,7 +375,7 @@
         }
         allowed = (int) Math.max(0, Math.min(data.length, limitBytes - sentBytes));
         sentBytes += allowed;
-        bytes += allowed;
+        sentByteCount += allowed;
       }
       OutputStream out = socket.getOutputStream();
       out.write(data, 0, allowed);
--- a/src/main/java/edgenode/emulator/DiscoveryEmulator.java
+++ b/src/main/java/edgenode/emulator/DiscoveryEmulator.java
@@ -34,14 +34,14 @@
 
 /**
  * A stand-in for discovery and its agents, from the protocol page, on an event loop that is given:
- * the list, its versions and watches. What is set comes to the agents after a lag. It can be
- * silent, stall what is out at a byte, send an empty first list, and lose its state. All methods
+ * the list, its versions and watches. What is set comes to the agents after a lagMs. It can be
+ * isSilent, stall what is out at a byte, send an empty first list, and lose its state. All methods
  * are for the loop's thread.
  */
 public final class DiscoveryEmulator {
   /** What passes: a change that has been written to every watch that stands. */
-  public interface Told {
-    void told(double now, DiscoveryAgentEmulator.Host host);
+  public interface ChangeListener {
+    void changeSent(double nowMs, DiscoveryAgentEmulator.Host host);
   }
 
   private static final int LISTEN_BACKLOG = 128;
@@ -55,22 +55,22 @@
   private record Change(long seq, DiscoveryAgentEmulator.Host host) {}
 
   private final EdgeEventLoop loop;
-  private final Told changeListener;
+  private final ChangeListener changeListener;
   private final Map<String, DiscoveryAgentEmulator.Host> hosts = new LinkedHashMap<>();
   private final ArrayDeque<Change> changes = new ArrayDeque<>();
   private final Set<Connection> connections = new LinkedHashSet<>();
   private Channel listener;
   private long seq;
-  private double lag;
-  private boolean silent;
+  private double lagMs;
+  private boolean isSilent;
 
-  /** What changed while it was silent, and was told to nobody. */
+  /** What changed while it was isSilent, and was told to nobody. */
   private final List<DiscoveryAgentEmulator.Host> unsentChanges = new ArrayList<>();
 
   private int emptyListsLeft;
   private long nextStallAfterBytes = -1;
 
-  public DiscoveryEmulator(EdgeEventLoop loop, long seq, Told changeListener) {
+  public DiscoveryEmulator(EdgeEventLoop loop, long seq, ChangeListener changeListener) {
     this.loop = loop;
     this.seq = seq;
     this.changeListener = changeListener;
@@ -114,10 +114,10 @@
 
   // ---- the list ----
 
-  /** Changes an entry; agents know it after the lag. Health: active, leaving or left. */
+  /** Changes an entry; agents know it after the lagMs. Health: active, leaving or left. */
   public void set(DiscoveryAgentEmulator.Host host) {
-    if (lag > 0) {
-      loop.schedule(lag, () -> apply(host));
+    if (lagMs > 0) {
+      loop.schedule(lagMs, () -> apply(host));
     } else {
       apply(host);
     }
@@ -135,39 +135,39 @@
       changes.poll();
     }
     connections.forEach(Connection::sendChanges);
-    if (silent) {
+    if (isSilent) {
       unsentChanges.add(host);
     } else {
-      changeListener.told(loop.nowMs(), host);
+      changeListener.changeSent(loop.nowMs(), host);
     }
   }
 
   // ---- faults ----
 
   /** From now on a change is known to agents so much later (ms). */
-  public void lag(double ms) {
-    lag = ms;
+  public void setLag(double newLagMs) {
+    lagMs = newLagMs;
   }
 
   /** Nothing is sent until silence ends; what was to be told is told then. */
-  public void silent(boolean on) {
-    silent = on;
+  public void setSilent(boolean on) {
+    isSilent = on;
     if (!on) {
       for (Connection connection : connections.toArray(new Connection[0])) {
         connection.sendDeferred();
       }
-      unsentChanges.forEach(host -> changeListener.told(loop.nowMs(), host));
+      unsentChanges.forEach(host -> changeListener.changeSent(loop.nowMs(), host));
       unsentChanges.clear();
     }
   }
 
   /** The next so many whole lists are empty. */
-  public void emptyNext(int lists) {
+  public void serveEmptyLists(int lists) {
     emptyListsLeft = lists;
   }
 
   /** Watches that stand send so many bytes more and then nothing, while they stay open. */
-  public void stall(long bytes) {
+  public void stallWatches(long bytes) {
     for (Connection connection : connections) {
       if (connection.watchedSeq >= 0) {
         connection.byteLimiter.remainingBytes = bytes;
@@ -176,13 +176,13 @@
   }
 
   /** The next connection's answer stalls after so many bytes. */
-  public void stallNext(long bytes) {
+  public void stallNextConnection(long bytes) {
     nextStallAfterBytes = bytes;
   }
 
   /** Its state is lost: versions start again from here, with this list. */
-  public void restart(long from, List<DiscoveryAgentEmulator.Host> list) {
-    seq = from;
+  public void restart(long firstSeq, List<DiscoveryAgentEmulator.Host> list) {
+    seq = firstSeq;
     hosts.clear();
     changes.clear();
     list.forEach(host -> hosts.put(host.id(), host));
@@ -296,7 +296,7 @@
               && since != null
               && since.get(0).matches("[0-9]{1,18}");
       Runnable answer = follow ? () -> startWatch(Long.parseLong(since.get(0))) : this::sendList;
-      if (silent) {
+      if (isSilent) {
         deferredAnswer = answer;
       } else {
         answer.run();
@@ -327,7 +327,7 @@
           HEARTBEAT_MS,
           () -> {
             if (channel.isActive()) {
-              if (!silent && watchedSeq == seqBefore) {
+              if (!isSilent && watchedSeq == seqBefore) {
                 sendChunk("\n");
               }
               scheduleHeartbeat();
@@ -341,7 +341,7 @@
 
     /** The list has changed. */
     private void sendChanges() {
-      if (watchedSeq >= 0 && !silent) {
+      if (watchedSeq >= 0 && !isSilent) {
         sendChunk(changesSinceJson(watchedSeq));
         watchedSeq = seq;
       }
--- a/src/main/java/edgenode/emulator/DnsServerEmulator.java
+++ b/src/main/java/edgenode/emulator/DnsServerEmulator.java
@@ -31,7 +31,7 @@
   private boolean isSilent;
   private boolean isFailing;
   private boolean isMalformed;
-  private boolean additional;
+  private boolean sendsAdditional;
   private int queryCount;
 
   public DnsServerEmulator() throws IOException {
@@ -44,24 +44,24 @@
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  public synchronized void service(String name, Srv... records) {
+  public synchronized void addService(String name, Srv... records) {
     srvRecordsByName.put(name, List.of(records));
   }
 
-  public synchronized void host(String name, String address) {
+  public synchronized void addHost(String name, String address) {
     addressesByName.put(name, address);
   }
 
   /** Says nothing; answers SERVFAIL; answers what is no message. */
-  public synchronized void fail(boolean isSilent, boolean isFailing, boolean isMalformed) {
+  public synchronized void setFaults(boolean isSilent, boolean isFailing, boolean isMalformed) {
     this.isSilent = isSilent;
     this.isFailing = isFailing;
     this.isMalformed = isMalformed;
   }
 
   /** Whether the addresses of targets come along. */
-  public synchronized void additional(boolean on) {
-    additional = on;
+  public synchronized void setSendsAdditional(boolean on) {
+    sendsAdditional = on;
   }
 
   public synchronized int queryCount() {
@@ -119,7 +119,7 @@
                 TYPE_SRV,
                 s.ttl,
                 isMalformed ? new byte[] {1, 2} : data.toByteArray()));
-        if (additional && addressesByName.containsKey(s.target)) {
+        if (sendsAdditional && addressesByName.containsKey(s.target)) {
           more.add(
               encodeRecord(
                   s.target,
--- a/src/main/java/edgenode/emulator/EdsEmulator.java
+++ b/src/main/java/edgenode/emulator/EdsEmulator.java
@@ -13,7 +13,7 @@
   private String resources = "";
   private String typeUrl = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
   private long nonce;
-  private final List<String> asked = new ArrayList<>();
+  private final List<String> requests = new ArrayList<>();
 
   public EdsEmulator() throws IOException {}
 
@@ -28,12 +28,12 @@
   }
 
   /** The bodies of the questions so far. */
-  public synchronized List<String> asked() {
-    return List.copyOf(asked);
+  public synchronized List<String> requests() {
+    return List.copyOf(requests);
   }
 
   /** One locality with endpoints, each {@code address port health weight}. */
-  public static String cluster(String name, String... endpoints) {
+  public static String clusterJson(String name, String... endpoints) {
     StringBuilder json =
         new StringBuilder(
             "[{\"@type\":\"type.googleapis.com/envoy.config.endpoint.v3."
@@ -59,7 +59,7 @@
 
   @Override
   protected synchronized HttpResponse answer(HttpRequest request) {
-    asked.add(request.method() + " " + request.path() + " " + request.body());
+    requests.add(request.method() + " " + request.path() + " " + request.body());
     if (!request.method().equals("POST") || !request.path().equals("/v3/discovery:endpoints")) {
       return new HttpResponse(404, "", "");
     }
--- a/src/main/java/edgenode/emulator/HttpEmulatorServer.java
+++ b/src/main/java/edgenode/emulator/HttpEmulatorServer.java
@@ -33,7 +33,7 @@
     /** Status 500. */
     ERROR,
     /** A body that never ends. */
-    ENDLESS,
+    ENDLESS_BODY,
     /** Bytes that are no HTTP. */
     NOISE
   }
@@ -51,7 +51,7 @@
   private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
   private Fault fault = Fault.NONE;
   private int faultsLeft;
-  private int questions;
+  private int requestCount;
 
   protected HttpEmulatorServer() throws IOException {
     socket = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
@@ -77,18 +77,18 @@
   }
 
   /** So many answers from now on are spoilt. */
-  public final synchronized void spoil(Fault how, int answers) {
-    fault = how;
+  public final synchronized void injectFault(Fault newFault, int answers) {
+    fault = newFault;
     faultsLeft = answers;
   }
 
   /** Questions so far. */
-  public final synchronized int questions() {
-    return questions;
+  public final synchronized int requestCount() {
+    return requestCount;
   }
 
   private synchronized Fault nextFault() {
-    questions++;
+    requestCount++;
     return faultsLeft-- > 0 ? fault : Fault.NONE;
   }
 
@@ -123,7 +123,7 @@
                     + " Told\r\ncontent-type: application/json\r\n"
                     + response.headers
                     + "content-length: "
-                    + (injectedFault == Fault.ENDLESS ? ENDLESS_BODY_BYTES : body.length)
+                    + (injectedFault == Fault.ENDLESS_BODY ? ENDLESS_BODY_BYTES : body.length)
                     + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
         OutputStream out = connection.getOutputStream();
@@ -138,7 +138,7 @@
             return;
           }
           case NOISE -> out.write("\u0001\u0002 what\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-          case ENDLESS -> {
+          case ENDLESS_BODY -> {
             out.write(head);
             byte[] some = "[ ".repeat(1 << 15).getBytes(StandardCharsets.US_ASCII);
             for (int sent = 0; sent < ENDLESS_BODY_BYTES; sent += some.length) {
--- a/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
+++ b/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
@@ -38,7 +38,7 @@
   }
 
   /** A keyed request begins; true where it began within the window before, and so is dropped. */
-  public boolean repeated(double nowMs, String customer, String key) {
+  public boolean startOrFindDuplicate(double nowMs, String customer, String key) {
     while (!startedInOrder.isEmpty() && startedInOrder.peek().startedAtMs + windowMs <= nowMs) {
       StartedRequest expired = startedInOrder.poll();
       startedAtByKey.remove(expired.key, expired.startedAtMs);
--- a/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
@@ -55,7 +55,7 @@
   }
 
   /** The process dies. */
-  public synchronized void die() throws IOException {
+  public synchronized void crash() throws IOException {
     serverSocket.close();
     for (Socket connection : connections) {
       reset(connection);
@@ -73,13 +73,13 @@
   }
 
   /** It starts again at its address. */
-  public synchronized void back() throws IOException {
+  public synchronized void restart() throws IOException {
     serverSocket = listen(address);
   }
 
   @Override
   public void close() throws IOException {
-    die();
+    crash();
   }
 
   private ServerSocket listen(InetSocketAddress bindAddress) throws IOException {
--- a/src/main/java/edgenode/simulation/DemoCommand.java
+++ b/src/main/java/edgenode/simulation/DemoCommand.java
@@ -1,9 +1,9 @@
 package edgenode.simulation;
 
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.ArrivalProcess;
 import edgenode.emulator.CounterEmulator;
 import edgenode.emulator.CustomerClients;
-import edgenode.emulator.Effects;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -66,7 +66,7 @@
   private long seed;
 
   /** What passes, a line each, so many a second; the rest is counted. */
-  private static final class Told implements Effects {
+  private static final class Told implements AppServerListener {
     private final PrintStream out;
     private long second;
     private int lines;
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void came(
+    public void commandReceived(
         double now,
         String server,
         String verb,
@@ -118,24 +118,25 @@
     }
 
     @Override
-    public void answered(double now, String server, String id, String text) {
+    public void responseSent(double now, String server, String id, String text) {
       line(now, server + " answers " + id + ": " + text);
     }
 
     @Override
-    public void malformed(double now, String server, String what) {
+    public void malformedCommand(double now, String server, String what) {
       line(now, server + " got what is no command: " + what);
     }
   }
 
   /** A second of the stand-in campuses. */
-  private static final class Tally implements CustomerClients.Heard {
+  private static final class Tally implements CustomerClients.ClientListener {
     private final int[] fates = new int[CustomerClients.Fate.values().length];
     private double[] served = new double[64];
     private int n;
 
     @Override
-    public void ended(ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
+    public void attemptEnded(
+        ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
       fates[fate.ordinal()]++;
       if (fate == CustomerClients.Fate.SERVED) {
         served = n == served.length ? Arrays.copyOf(served, 2 * n) : served;
@@ -177,12 +178,17 @@
     check("--rate", rate, 0, MOST_RATE);
     PrintStream out = System.out;
     Told told = new Told(out);
-    CounterEmulator.Calls calls = (now, name, amount, total) -> {};
+    CounterEmulator.AddListener calls = (now, name, amount, total) -> {};
     EmulatedWorld world;
     try {
       world =
           new EmulatedWorld(
-              port, servers, seed, rate == 0 ? told : new Effects() {}, calls, System.err::println);
+              port,
+              servers,
+              seed,
+              rate == 0 ? told : new AppServerListener() {},
+              calls,
+              System.err::println);
     } catch (IOException e) {
       System.err.println("demo: " + e.getMessage());
       return 2;
@@ -219,7 +225,7 @@
   private void greet(PrintStream out, EmulatedWorld world) {
     InetSocketAddress at = world.address();
     String list = "c=seat-lookup,t=estandar,d=900,units=1,spread=1,first=0";
-    String customer = EmulatedWorld.CAMPUSES.get(1).customer();
+    String customer = EmulatedWorld.CAMPUSES.get(1).id();
     out.println("edge node   " + at.getAddress().getHostAddress() + ":" + at.getPort());
     world
         .servers()
@@ -265,7 +271,12 @@
     Tally tally = new Tally();
     CustomerClients clients =
         new CustomerClients(
-            world.loop(), arrivals, CustomerClients.Habits.USUAL, world.address(), tally, seed);
+            world.loop(),
+            arrivals,
+            CustomerClients.RetryOptions.DEFAULT,
+            world.address(),
+            tally,
+            seed);
     world.loop().execute(clients::start);
     world.loop().execute(() -> second(world, tally, told));
   }
--- a/src/main/java/edgenode/simulation/EmulatedWorld.java
+++ b/src/main/java/edgenode/simulation/EmulatedWorld.java
@@ -3,11 +3,11 @@
 import edgenode.config.JsonValue;
 import edgenode.config.NodeConfig;
 import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.ArrivalProcess;
 import edgenode.emulator.CapacityModel;
 import edgenode.emulator.CounterEmulator;
 import edgenode.emulator.DiscoveryAgentEmulator;
-import edgenode.emulator.Effects;
 import edgenode.emulator.IdempotencyGroupModel;
 import edgenode.eventloop.Clock;
 import edgenode.eventloop.NettyEdgeEventLoop;
@@ -32,16 +32,16 @@
  */
 public final class EmulatedWorld implements AutoCloseable {
   /** The campuses that the settings' plans are made for. */
-  public static final List<ArrivalProcess.Campus> CAMPUSES =
+  public static final List<ArrivalProcess.Customer> CAMPUSES =
       List.of(
-          new ArrivalProcess.Campus("00000000b4d65521", "basico", 1),
-          new ArrivalProcess.Campus("0000000012ab34cd", "estandar", 2),
-          new ArrivalProcess.Campus("00000001f00dcafe", "ampliado", 4));
+          new ArrivalProcess.Customer("00000000b4d65521", "basico", 1),
+          new ArrivalProcess.Customer("0000000012ab34cd", "estandar", 2),
+          new ArrivalProcess.Customer("00000001f00dcafe", "ampliado", 4));
 
-  public static final List<ArrivalProcess.Kind> KINDS =
+  public static final List<ArrivalProcess.RequestKind> KINDS =
       List.of(
-          new ArrivalProcess.Kind("seat-lookup", false, 900, 3),
-          new ArrivalProcess.Kind("enrol", true, 1500, 1));
+          new ArrivalProcess.RequestKind("seat-lookup", false, 900, 3),
+          new ArrivalProcess.RequestKind("enrol", true, 1500, 1));
 
   /** A plan of the settings below, for those that draw what is asked. */
   record Plan(String name, double perSecond) {}
@@ -115,8 +115,8 @@
       int port,
       int size,
       long seed,
-      Effects effects,
-      CounterEmulator.Calls calls,
+      AppServerListener effects,
+      CounterEmulator.AddListener calls,
       Consumer<String> log)
       throws IOException {
     loop =
@@ -138,13 +138,13 @@
                     "s" + i,
                     racks[i % racks.length],
                     SERVER,
-                    AppServerEmulator.Habits.USUAL,
+                    AppServerEmulator.ConnectionOptions.DEFAULT,
                     effects,
                     seed * 31 + i)
                 .start(any));
         discovery.set(servers.get(i).entry("active"));
       }
-      counter = new CounterEmulator(loop, CounterEmulator.Size.USUAL, calls).start(any);
+      counter = new CounterEmulator(loop, CounterEmulator.Limits.DEFAULT, calls).start(any);
       String at =
           counter.address().getAddress().getHostAddress() + ":" + counter.address().getPort();
       NodeConfig config =
--- a/src/main/java/edgenode/simulation/Recorder.java
+++ b/src/main/java/edgenode/simulation/Recorder.java
@@ -1,16 +1,17 @@
 package edgenode.simulation;
 
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.ArrivalProcess;
 import edgenode.emulator.CustomerClients;
 import edgenode.emulator.DiscoveryAgentEmulator;
 import edgenode.emulator.DiscoveryEmulator;
-import edgenode.emulator.Effects;
 import edgenode.simulation.invariants.Event;
 import java.util.function.Consumer;
 import java.util.function.DoubleUnaryOperator;
 
 /** Turns what passes on the stand-ins' sockets into the judges' events, on the day's clock. */
-final class Recorder implements Effects, DiscoveryEmulator.Told, CustomerClients.Heard {
+final class Recorder
+    implements AppServerListener, DiscoveryEmulator.ChangeListener, CustomerClients.ClientListener {
   private final Consumer<Event> to;
   private final DoubleUnaryOperator day;
 
@@ -27,7 +28,7 @@
   }
 
   @Override
-  public void came(
+  public void commandReceived(
       double now,
       String server,
       String verb,
@@ -40,38 +41,42 @@
   }
 
   @Override
-  public void answered(double now, String server, String id, String text) {
+  public void responseSent(double now, String server, String id, String text) {
     to.accept(new Event.Replied(at(now), id, server, text));
   }
 
   @Override
-  public void malformed(double now, String server, String what) {
+  public void malformedCommand(double now, String server, String what) {
     to.accept(new Event.Done(at(now), server + " got what is no command: " + what));
   }
 
   @Override
-  public void told(double now, DiscoveryAgentEmulator.Host host) {
+  public void changeSent(double now, DiscoveryAgentEmulator.Host host) {
     to.accept(new Event.Told(at(now), host.id(), host.health()));
   }
 
   @Override
-  public void asked(
-      double now, String id, ArrivalProcess.Arrival of, CustomerClients.Way way, double patience) {
+  public void requestSent(
+      double now,
+      String id,
+      ArrivalProcess.Arrival of,
+      CustomerClients.Target way,
+      double patience) {
     to.accept(
         new Event.Asked(
             at(now),
             id,
             way.node(),
-            of.campus().customer(),
-            of.campus().plan(),
+            of.customer().id(),
+            of.customer().planName(),
             of.kind().name(),
-            of.key(),
+            of.idempotencyKey(),
             patience,
             1));
   }
 
   @Override
-  public void message(double now, String id, CustomerClients.Fate kind, String text) {
+  public void responseReceived(double now, String id, CustomerClients.Fate kind, String text) {
     to.accept(
         new Event.Heard(
             at(now),
@@ -83,7 +88,7 @@
   }
 
   @Override
-  public void cut(double now, String id) {
+  public void connectionLost(double now, String id) {
     to.accept(new Event.Cut(at(now), id));
   }
 
@@ -93,5 +98,6 @@
   }
 
   @Override
-  public void ended(ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {}
+  public void attemptEnded(
+      ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {}
 }
--- a/src/main/java/edgenode/simulation/Simulation.java
+++ b/src/main/java/edgenode/simulation/Simulation.java
@@ -48,8 +48,8 @@
   /** What the platform grants after SIGTERM (ms), beyond the longest deadline. */
   private static final double KILLED_AFTER = 700;
 
-  private static final CustomerClients.Habits HABITS =
-      new CustomerClients.Habits(2, 200, true, 100);
+  private static final CustomerClients.RetryOptions HABITS =
+      new CustomerClients.RetryOptions(2, 200, true, 100);
 
   /** One edge node's place: its address stays, its processes come and go. */
   private final class Place {
@@ -79,7 +79,7 @@
                   log.accept("edge node " + number + ": " + failed);
                 } else if (mine == node) {
                   events.accept(new Event.NodeUp(day(loop.nowMs()), number));
-                  front.up(number);
+                  front.nodeUp(number);
                 }
               });
     }
@@ -104,7 +104,7 @@
       node = null;
       process = null;
       events.accept(new Event.NodeEnded(day(loop.nowMs()), number, how));
-      front.down(number, loop.nowMs());
+      front.nodeDown(number, loop.nowMs());
       gone.kill();
       shared.schedule(startAfter + START, this::start);
     }
@@ -126,7 +126,8 @@
               .mapToDouble(c -> c.deadlineMs())
               .max()
               .orElse(0);
-      front.down(number, loop.nowMs() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
+      front.nodeDown(
+          number, loop.nowMs() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
       leaving
           .shutdownAsync()
           .thenRun(
@@ -226,7 +227,7 @@
     discovery = new DiscoveryEmulator(shared, 0, recorder).start(address(1, 1));
     discovery.start(address(1, 3));
     counter =
-        new CounterEmulator(shared, CounterEmulator.Size.of(scenario.nodes()), trace)
+        new CounterEmulator(shared, CounterEmulator.Limits.forNodes(scenario.nodes()), trace)
             .start(address(1, 2));
     counter.start(address(1, 4));
     for (int i = 0; i < scenario.servers(); i++) {
@@ -256,32 +257,33 @@
             arrivals,
             HABITS,
             this::way,
-            new CustomerClients.Heard() {
+            new CustomerClients.ClientListener() {
               @Override
-              public void ended(
+              public void attemptEnded(
                   ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
                 fates.merge(fate, 1, Integer::sum);
                 trace.ended(shared.nowMs(), of, retry, fate);
               }
 
               @Override
-              public void asked(
+              public void requestSent(
                   double now,
                   String id,
                   ArrivalProcess.Arrival of,
-                  CustomerClients.Way way,
+                  CustomerClients.Target way,
                   double wait) {
-                recorder.asked(now, id, of, way, wait);
+                recorder.requestSent(now, id, of, way, wait);
               }
 
               @Override
-              public void message(double now, String id, CustomerClients.Fate kind, String text) {
-                recorder.message(now, id, kind, text);
+              public void responseReceived(
+                  double now, String id, CustomerClients.Fate kind, String text) {
+                recorder.responseReceived(now, id, kind, text);
               }
 
               @Override
-              public void cut(double now, String id) {
-                recorder.cut(now, id);
+              public void connectionLost(double now, String id) {
+                recorder.connectionLost(now, id);
               }
 
               @Override
@@ -292,9 +294,9 @@
             seed);
   }
 
-  private CustomerClients.Way way(ArrivalProcess.Arrival of, double now) {
-    int node = front.node(of.campus().customer(), now);
-    return new CustomerClients.Way(address(3, node), node, scenario.nodes(), 0);
+  private CustomerClients.Target way(ArrivalProcess.Arrival of, double now) {
+    int node = front.selectNode(of.customer().id(), now);
+    return new CustomerClients.Target(address(3, node), node, scenario.nodes(), 0);
   }
 
   private double day(double now) {
@@ -309,7 +311,7 @@
             id,
             racks[number % racks.length],
             scenario.size(),
-            AppServerEmulator.Habits.USUAL,
+            AppServerEmulator.ConnectionOptions.DEFAULT,
             recorder,
             seed * 31 + number);
     server.start(at);
@@ -328,14 +330,14 @@
   }
 
   /** Most campuses use a part of their quota; some ask far more than it holds. */
-  private List<ArrivalProcess.Campus> campuses() {
+  private List<ArrivalProcess.Customer> campuses() {
     Random draw = new Random(seed * 7 + 1);
-    List<ArrivalProcess.Campus> all = new ArrayList<>();
+    List<ArrivalProcess.Customer> all = new ArrayList<>();
     for (int i = 0; i < scenario.campuses(); i++) {
       EmulatedWorld.Plan plan = EmulatedWorld.PLANS.get(i % EmulatedWorld.PLANS.size());
       double use = draw.nextInt(6) == 0 ? 3 : 0.2 + 0.6 * draw.nextDouble();
       all.add(
-          new ArrivalProcess.Campus(
+          new ArrivalProcess.Customer(
               String.format("%016x", 0x100000000L + (draw.nextLong() & 0xffffffffL)),
               plan.name(),
               plan.perSecond() * use));
@@ -405,12 +407,12 @@
         lifted(f, () -> discovery.set(server.entry("active")));
       }
       case NEIGHBOUR -> {
-        server.neighbour(f.share());
-        lifted(f, () -> server.neighbour(0));
+        server.setNeighbourShare(f.share());
+        lifted(f, () -> server.setNeighbourShare(0));
       }
       default -> {
-        server.mood(AppServerEmulator.Mood.valueOf(f.kind().name()));
-        lifted(f, () -> server.mood(AppServerEmulator.Mood.WELL));
+        server.setFaultMode(AppServerEmulator.FaultMode.valueOf(f.kind().name()));
+        lifted(f, () -> server.setFaultMode(AppServerEmulator.FaultMode.NORMAL));
       }
     }
   }
@@ -427,7 +429,7 @@
   }
 
   private void die(Scenario.Fault f, AppServerEmulator server, int number) {
-    server.die();
+    server.crash();
     events.accept(new Event.Died(day(loop.nowMs()), server.id()));
     DiscoveryAgentEmulator.Host gone = server.entry("left");
     boolean[] back = new boolean[1];
@@ -443,7 +445,7 @@
         () -> {
           InetSocketAddress old = server.address();
           back[0] = !f.elsewhere();
-          server.back(f.elsewhere() ? address(4, number) : old);
+          server.restart(f.elsewhere() ? address(4, number) : old);
           events.accept(
               new Event.Born(
                   day(loop.nowMs()),
@@ -490,21 +492,22 @@
   private void service(Scenario.Fault f) {
     switch (f.kind()) {
       case DISCOVERY_SILENT -> {
-        discovery.silent(true);
-        lifted(f, () -> discovery.silent(false));
+        discovery.setSilent(true);
+        lifted(f, () -> discovery.setSilent(false));
       }
       case DISCOVERY_LAG -> {
-        discovery.lag(f.lag());
-        lifted(f, () -> discovery.lag(0));
+        discovery.setLag(f.lag());
+        lifted(f, () -> discovery.setLag(0));
       }
-      case DISCOVERY_STALL -> discovery.stall(chance.nextInt(300));
-      case DISCOVERY_EMPTY -> discovery.emptyNext(1 + chance.nextInt(scenario.nodes()));
+      case DISCOVERY_STALL -> discovery.stallWatches(chance.nextInt(300));
+      case DISCOVERY_EMPTY -> discovery.serveEmptyLists(1 + chance.nextInt(scenario.nodes()));
       case COUNTER_EMPTY -> counter.restart();
       case COUNTER_RESET -> counter.reset();
       case RESHUFFLE -> front.reshuffle();
       default -> {
-        counter.mood(CounterEmulator.Mood.valueOf(f.kind().name().substring("COUNTER_".length())));
-        lifted(f, () -> counter.mood(CounterEmulator.Mood.WELL));
+        counter.setFaultMode(
+            CounterEmulator.FaultMode.valueOf(f.kind().name().substring("COUNTER_".length())));
+        lifted(f, () -> counter.setFaultMode(CounterEmulator.FaultMode.NORMAL));
       }
     }
   }
--- a/src/main/java/edgenode/simulation/Trace.java
+++ b/src/main/java/edgenode/simulation/Trace.java
@@ -13,7 +13,7 @@
  * Each event on the stand-ins' sockets as a line, and the SHA-256 of all lines: two runs are one if
  * these are.
  */
-final class Trace implements CounterEmulator.Calls {
+final class Trace implements CounterEmulator.AddListener {
   private final MessageDigest digest;
   private long events;
 
--- a/src/test/java/edgenode/benchmark/IdleCost.java
+++ b/src/test/java/edgenode/benchmark/IdleCost.java
@@ -88,7 +88,7 @@
           ask(port, load);
         }
         Map<String, Double> before = cpu(node.pid());
-        int asked = agent.requests();
+        int asked = agent.requestCount();
         for (int s = 1; s <= seconds; s++) {
           long until = System.nanoTime() + 1_000_000_000L;
           for (int c = 0; c < changes; c++) {
@@ -105,9 +105,9 @@
                 "second %d: ms of CPU a second: %s; %.1f questions%n",
                 s,
                 taken(before, now, 5),
-                (agent.requests() - asked) / 5.0);
+                (agent.requestCount() - asked) / 5.0);
             before = now;
-            asked = agent.requests();
+            asked = agent.requestCount();
           }
         }
       } finally {
--- a/src/test/java/edgenode/emulator/ArrivalProcessTest.java
+++ b/src/test/java/edgenode/emulator/ArrivalProcessTest.java
@@ -13,20 +13,20 @@
 
 /** What clients ask, drawn ahead; and what a rack remembers. */
 class ArrivalProcessTest {
-  private static final List<ArrivalProcess.Campus> CAMPUSES =
+  private static final List<ArrivalProcess.Customer> CAMPUSES =
       List.of(
-          new ArrivalProcess.Campus("0000000000000001", "p", 1),
-          new ArrivalProcess.Campus("0000000000000002", "p", 3));
-  private static final List<ArrivalProcess.Kind> KINDS =
+          new ArrivalProcess.Customer("0000000000000001", "p", 1),
+          new ArrivalProcess.Customer("0000000000000002", "p", 3));
+  private static final List<ArrivalProcess.RequestKind> KINDS =
       List.of(
-          new ArrivalProcess.Kind("read", false, 900, 1),
-          new ArrivalProcess.Kind("write", true, 900, 1));
+          new ArrivalProcess.RequestKind("read", false, 900, 1),
+          new ArrivalProcess.RequestKind("write", true, 900, 1));
 
   private static List<ArrivalProcess.Arrival> draw(
-      long seed, double until, ArrivalProcess.Rate rate, double most) {
+      long seed, double until, ArrivalProcess.RateCurve rate, double most) {
     ArrivalProcess arrivals = new ArrivalProcess(seed, CAMPUSES, KINDS, rate, most);
     List<ArrivalProcess.Arrival> all = new ArrayList<>();
-    for (ArrivalProcess.Arrival a = arrivals.next(); a.at() < until; a = arrivals.next()) {
+    for (ArrivalProcess.Arrival a = arrivals.next(); a.atMs() < until; a = arrivals.next()) {
       all.add(a);
     }
     return all;
@@ -36,18 +36,18 @@
   @Test
   void arrivalRateFollowsItsCurve() {
     List<ArrivalProcess.Arrival> all = draw(5, 20_000, ms -> ms < 10_000 ? 20 : 200, 200);
-    long before = all.stream().filter(a -> a.at() < 10_000).count();
+    long before = all.stream().filter(a -> a.atMs() < 10_000).count();
     assertEquals(200, before, 4 * Math.sqrt(200));
     assertEquals(2000, all.size() - before, 4 * Math.sqrt(2000));
-    long second = all.stream().filter(a -> a.campus() == CAMPUSES.get(1)).count();
+    long second = all.stream().filter(a -> a.customer() == CAMPUSES.get(1)).count();
     assertEquals(0.75 * all.size(), second, 4 * Math.sqrt(all.size() * 0.75 * 0.25));
     double at = 0;
     Set<String> keys = new HashSet<>();
     for (ArrivalProcess.Arrival a : all) {
-      assertTrue(a.at() >= at);
-      at = a.at();
-      assertEquals(a.kind().keyed(), a.key() != null);
-      assertTrue(a.key() == null || keys.add(a.key()));
+      assertTrue(a.atMs() >= at);
+      at = a.atMs();
+      assertEquals(a.kind().hasIdempotencyKey(), a.idempotencyKey() != null);
+      assertTrue(a.idempotencyKey() == null || keys.add(a.idempotencyKey()));
     }
   }
 
@@ -61,10 +61,10 @@
   void invalidCustomersAreRejected() {
     assertThrows(
         IllegalArgumentException.class,
-        () -> new ArrivalProcess.Campus("00000002b4d65521", "p", 1));
+        () -> new ArrivalProcess.Customer("00000002b4d65521", "p", 1));
     assertThrows(
         IllegalArgumentException.class,
-        () -> new ArrivalProcess.Campus("0000000000000001", "p", 0));
+        () -> new ArrivalProcess.Customer("0000000000000001", "p", 0));
     assertThrows(
         IllegalArgumentException.class, () -> new ArrivalProcess(1, List.of(), KINDS, ms -> 1, 1));
   }
@@ -72,12 +72,12 @@
   @Test
   void idempotencyGroupDropsDuplicatesWithinTheWindowOnly() {
     IdempotencyGroupModel rack = new IdempotencyGroupModel("a", 0, 7500);
-    assertEquals(false, rack.repeated(0, "c1", "k"));
-    assertEquals(false, rack.repeated(10, "c2", "k"), "keys are per customer");
-    assertEquals(true, rack.repeated(7499, "c1", "k"));
-    assertEquals(false, rack.repeated(7500, "c1", "k"));
+    assertEquals(false, rack.startOrFindDuplicate(0, "c1", "k"));
+    assertEquals(false, rack.startOrFindDuplicate(10, "c2", "k"), "keys are per customer");
+    assertEquals(true, rack.startOrFindDuplicate(7499, "c1", "k"));
+    assertEquals(false, rack.startOrFindDuplicate(7500, "c1", "k"));
     for (int i = 0; i < 1000; i++) {
-      rack.repeated(20_000 + i * 100, "c1", "k" + i);
+      rack.startOrFindDuplicate(20_000 + i * 100, "c1", "k" + i);
     }
     assertTrue(rack.cachedKeyCount() <= 76, "bounded by the window: " + rack.cachedKeyCount());
   }
--- a/src/test/java/edgenode/emulator/CapacityModelTest.java
+++ b/src/test/java/edgenode/emulator/CapacityModelTest.java
@@ -28,9 +28,11 @@
   /** Lets all end; the time at which the last did. */
   private static double drain(CapacityModel capacity) {
     double at = 0;
-    for (double next = capacity.next(); next < Double.POSITIVE_INFINITY; next = capacity.next()) {
+    for (double next = capacity.nextCompletionMs();
+        next < Double.POSITIVE_INFINITY;
+        next = capacity.nextCompletionMs()) {
       at = next;
-      capacity.done(next);
+      capacity.takeCompleted(next);
     }
     return at;
   }
@@ -42,8 +44,8 @@
       assertNotNull(capacity.offer(0, i));
     }
     assertNull(capacity.offer(0, 5));
-    assertEquals(2, capacity.running());
-    assertEquals(3, capacity.waiting());
+    assertEquals(2, capacity.runningCount());
+    assertEquals(3, capacity.waitingCount());
   }
 
   /**
@@ -57,24 +59,24 @@
     }
     double end = drain(capacity);
     assertEquals(
-        end * 2, capacity.busy(end), 0.05 * end * 2); // only the last few leave a core idle
+        end * 2, capacity.workDoneMs(end), 0.05 * end * 2); // only the last few leave a core idle
     CapacityModel one = of(2, 8, 100);
     one.offer(0, "alone");
     double alone = drain(one);
-    assertEquals(alone, one.busy(alone), 1e-6); // no job is faster than one core
+    assertEquals(alone, one.workDoneMs(alone), 1e-6); // no job is faster than one core
   }
 
   @Test
   void noisyNeighbourTakesItsShareOfTheCores() {
     CapacityModel free = of(1, 1, 200);
     CapacityModel crowded = of(1, 1, 200);
-    crowded.neighbour(0, 0.75);
+    crowded.setNeighbourShare(0, 0.75);
     for (int i = 0; i < 200; i++) {
       free.offer(0, i);
       crowded.offer(0, i);
     }
     assertEquals(4 * drain(free), drain(crowded), 1e-3);
-    assertThrows(IllegalArgumentException.class, () -> free.neighbour(0, 1));
+    assertThrows(IllegalArgumentException.class, () -> free.setNeighbourShare(0, 1));
   }
 
   /**
@@ -88,8 +90,8 @@
     for (int i = 0; i < 500; i++) {
       capacity.offer(0, i);
     }
-    assertEquals(625, capacity.busy(1000), 25);
-    assertEquals(1625, capacity.busy(2000), 25);
+    assertEquals(625, capacity.workDoneMs(1000), 25);
+    assertEquals(1625, capacity.workDoneMs(2000), 25);
   }
 
   @Test
@@ -97,11 +99,11 @@
     CapacityModel capacity = of(1, 1, 1);
     CapacityModel.Job first = capacity.offer(0, "a");
     capacity.offer(0, "b");
-    capacity.drop(1, first);
-    assertEquals(1, capacity.running());
-    assertEquals(0, capacity.waiting());
+    capacity.cancel(1, first);
+    assertEquals(1, capacity.runningCount());
+    assertEquals(0, capacity.waitingCount());
     drain(capacity);
-    assertEquals(0, capacity.running());
+    assertEquals(0, capacity.runningCount());
   }
 
   @Test
@@ -138,7 +140,7 @@
       double now = tick * step;
       assertTrue(
           now < 1000,
-          "at " + now + " jobs are left: " + running.size() + " and " + capacity.running());
+          "at " + now + " jobs are left: " + running.size() + " and " + capacity.runningCount());
       if (tick % 50 == 0 && tick < 3000 && random.nextInt(3) == 0) {
         boolean taken = capacity.offer(now, tick) != null;
         int there =
@@ -153,7 +155,7 @@
       }
       if (tick == 1500) {
         neighbour = 0.5;
-        capacity.neighbour(now, neighbour);
+        capacity.setNeighbourShare(now, neighbour);
       }
       double rate = running.isEmpty() ? 0 : Math.min(1, cores * (1 - neighbour) / running.size());
       for (double[] job : running) {
@@ -166,12 +168,14 @@
       while (running.size() < slots && !waiting.isEmpty()) {
         running.add(waiting.remove(0));
       }
-      for (double next = capacity.next(); next <= now + step; next = capacity.next()) {
-        for (CapacityModel.Job job : capacity.done(next)) {
-          ends.put((Integer) job.what, next);
+      for (double next = capacity.nextCompletionMs();
+          next <= now + step;
+          next = capacity.nextCompletionMs()) {
+        for (CapacityModel.Job job : capacity.takeCompleted(next)) {
+          ends.put((Integer) job.context, next);
         }
       }
-      busy = tick < 3000 || !running.isEmpty() || capacity.running() > 0;
+      busy = tick < 3000 || !running.isEmpty() || capacity.runningCount() > 0;
     }
     assertEquals(
         naive.keySet().stream().sorted().toList(), ends.keySet().stream().sorted().toList());
@@ -205,9 +209,9 @@
     java.util.Random random = new java.util.Random(5);
     for (int i = 0; i < 20_000; i++) {
       capacity.offer(now, i);
-      now = Math.max(now, Math.min(capacity.next(), now + 8 * random.nextDouble()));
-      capacity.done(now);
-      assertTrue(capacity.next() > now, "due at " + now + " again");
+      now = Math.max(now, Math.min(capacity.nextCompletionMs(), now + 8 * random.nextDouble()));
+      capacity.takeCompleted(now);
+      assertTrue(capacity.nextCompletionMs() > now, "due at " + now + " again");
     }
   }
 }
--- a/src/test/java/edgenode/emulator/ClientLoadBalancerTest.java
+++ b/src/test/java/edgenode/emulator/ClientLoadBalancerTest.java
@@ -16,7 +16,7 @@
   private int[] route(double now) {
     int[] all = new int[3];
     for (int i = 0; i < 3000; i++) {
-      all[loadBalancer.node(CUSTOMER, now)]++;
+      all[loadBalancer.selectNode(CUSTOMER, now)]++;
     }
     return all;
   }
@@ -24,17 +24,17 @@
   @Test
   void failureIsDetectedLateAndARestartAtOnce() {
     assertTrue(route(0)[1] > 0);
-    loadBalancer.down(1, 100);
+    loadBalancer.nodeDown(1, 100);
     assertTrue(route(1099)[1] > 0, "not noticed yet");
     assertEquals(0, route(1100)[1]);
-    loadBalancer.up(1);
+    loadBalancer.nodeUp(1);
     assertTrue(route(1200)[1] > 0);
   }
 
   @Test
   void routesAllRequestsThoughNoNodeIsInRotation() {
     for (int i = 0; i < 3; i++) {
-      loadBalancer.down(i, 0);
+      loadBalancer.nodeDown(i, 0);
     }
     assertEquals(3000, Arrays.stream(route(5000)).sum());
   }
@@ -69,8 +69,8 @@
     int[] dealt = new int[3];
     int[] otherwise = new int[3];
     for (int i = 0; i < 3000; i++) {
-      dealt[same.node(CUSTOMER, 0)]++;
-      otherwise[other.node(CUSTOMER, 0)]++;
+      dealt[same.selectNode(CUSTOMER, 0)]++;
+      otherwise[other.selectNode(CUSTOMER, 0)]++;
     }
     assertEquals(Arrays.toString(one), Arrays.toString(dealt));
     assertNotEquals(Arrays.toString(one), Arrays.toString(otherwise));
--- a/src/test/java/edgenode/emulator/EmulatorTest.java
+++ b/src/test/java/edgenode/emulator/EmulatorTest.java
@@ -29,15 +29,15 @@
       new NettyEdgeEventLoop(
           Transport.newEventLoopGroup(), Transport.SOCKETS, Clock.system(), connection -> {});
   private final List<String> events = Collections.synchronizedList(new ArrayList<>());
-  private final Effects effects =
-      new Effects() {
+  private final AppServerListener effects =
+      new AppServerListener() {
         @Override
-        public void began(double now, String server) {
+        public void firstByteReceived(double now, String server) {
           events.add("began");
         }
 
         @Override
-        public void came(
+        public void commandReceived(
             double now,
             String server,
             String verb,
@@ -50,17 +50,18 @@
         }
 
         @Override
-        public void answered(double now, String server, String id, String text) {
+        public void responseSent(double now, String server, String id, String text) {
           events.add("answered " + id + " " + text);
         }
 
         @Override
-        public void malformed(double now, String server, String what) {
+        public void malformedCommand(double now, String server, String what) {
           events.add("malformed");
         }
       };
 
-  private AppServerEmulator server(CapacityModel.Size size, AppServerEmulator.Habits habits)
+  private AppServerEmulator server(
+      CapacityModel.Size size, AppServerEmulator.ConnectionOptions habits)
       throws InterruptedException {
     return new AppServerEmulator(
             loop, "s0", new IdempotencyGroupModel("a", 0, 7500), size, habits, effects, 1)
@@ -68,7 +69,8 @@
   }
 
   private AppServerEmulator server() throws InterruptedException {
-    return server(new CapacityModel.Size(1, 1, 1, 0.5, 1, 0), AppServerEmulator.Habits.USUAL);
+    return server(
+        new CapacityModel.Size(1, 1, 1, 0.5, 1, 0), AppServerEmulator.ConnectionOptions.DEFAULT);
   }
 
   private void runOnLoop(Runnable what) {
@@ -138,7 +140,9 @@
   @Test
   void fullAppServerRejectsCalls() throws Exception {
     AppServerEmulator server =
-        server(new CapacityModel.Size(1, 1, 1, 400, 1, 0), AppServerEmulator.Habits.USUAL);
+        server(
+            new CapacityModel.Size(1, 1, 1, 400, 1, 0),
+            AppServerEmulator.ConnectionOptions.DEFAULT);
     InetSocketAddress at = server.address();
     try (FakePeer.Connection first = connect(at);
         FakePeer.Connection second = connect(at);
@@ -161,11 +165,11 @@
     assertEquals(0, server.entry("active").bornMs());
     try (FakePeer.Connection connection = connect(at)) {
       call(connection, "1", "c=w,t=p,d=900,k=1");
-      runOnLoop(server::die);
+      runOnLoop(server::crash);
       assertTrue(connection.isClosedByPeer());
     }
     assertThrows(IOException.class, () -> connect(at).close());
-    runOnLoop(() -> server.back(at));
+    runOnLoop(() -> server.restart(at));
     FakePeer.Connection again = null;
     while (again == null) {
       try {
@@ -183,22 +187,22 @@
   void appServerInjectsItsFaults() throws Exception {
     AppServerEmulator server = server();
     try (FakePeer.Connection connection = connect(server.address())) {
-      runOnLoop(() -> server.mood(AppServerEmulator.Mood.FAILING));
+      runOnLoop(() -> server.setFaultMode(AppServerEmulator.FaultMode.FAILING));
       assertEquals(List.of("-ERR failed"), call(connection, "1", "c=w,t=p,d=9,k=1"));
-      runOnLoop(() -> server.mood(AppServerEmulator.Mood.DRAINING));
+      runOnLoop(() -> server.setFaultMode(AppServerEmulator.FaultMode.DRAINING));
       assertEquals(List.of("-BUSY"), call(connection, "2", "c=w,t=p,d=9,k=2"));
-      runOnLoop(() -> server.mood(AppServerEmulator.Mood.DEAF));
+      runOnLoop(() -> server.setFaultMode(AppServerEmulator.FaultMode.DEAF));
       connection.writeCommand("PING");
       connection.socket().setSoTimeout(200);
       assertThrows(java.net.SocketTimeoutException.class, connection::readMessage);
-      runOnLoop(() -> server.mood(AppServerEmulator.Mood.WELL));
+      runOnLoop(() -> server.setFaultMode(AppServerEmulator.FaultMode.NORMAL));
       assertEquals(List.of("+PONG"), connection.readMessage());
-      runOnLoop(() -> server.mood(AppServerEmulator.Mood.SILENT));
+      runOnLoop(() -> server.setFaultMode(AppServerEmulator.FaultMode.SILENT));
       connection.writeCommand("CALL.GET", CUSTOMER, "3", "c=r,t=p,d=900");
       assertThrows(java.net.SocketTimeoutException.class, connection::readMessage);
       assertTrue(events.contains("came 3 ran"), "silent, and it ran");
     }
-    runOnLoop(() -> server.mood(AppServerEmulator.Mood.NOISE));
+    runOnLoop(() -> server.setFaultMode(AppServerEmulator.FaultMode.NOISE));
     try (FakePeer.Connection connection = connect(server.address())) {
       assertEquals(List.of("\u0001noise"), call(connection, "4", "c=w,t=p,d=9,k=4"));
       assertTrue(connection.isClosedByPeer());
@@ -209,7 +213,8 @@
   void appServerBoundsConnectionsAndClosesIdleOnes() throws Exception {
     AppServerEmulator server =
         server(
-            new CapacityModel.Size(1, 1, 1, 1, 1, 0), new AppServerEmulator.Habits(1, 100, 200, 0));
+            new CapacityModel.Size(1, 1, 1, 1, 1, 0),
+            new AppServerEmulator.ConnectionOptions(1, 100, 200, 0));
     try (FakePeer.Connection first = connect(server.address())) {
       first.writeCommand("PING");
       first.readMessage();
@@ -222,7 +227,7 @@
 
   // ---- the counter ----
 
-  private CounterEmulator counter(CounterEmulator.Size size) throws InterruptedException {
+  private CounterEmulator counter(CounterEmulator.Limits size) throws InterruptedException {
     return new CounterEmulator(
             loop, size, (now, name, amount, total) -> events.add(name + " " + amount + " " + total))
         .start(ANY_PORT);
@@ -230,7 +235,7 @@
 
   @Test
   void counterAddsAndExpiresNames() throws Exception {
-    CounterEmulator counter = counter(CounterEmulator.Size.USUAL);
+    CounterEmulator counter = counter(CounterEmulator.Limits.DEFAULT);
     try (FakePeer.Connection connection = connect(counter.address())) {
       for (String[] step : new String[][] {{"2.5", "60000", "2.5"}, {"-1", "60000", "1.5"}}) {
         connection.writeCommand("CNT.ADD", "n", step[0], step[1]);
@@ -263,7 +268,7 @@
    */
   @Test
   void counterLimitsCallsPerSecond() throws Exception {
-    CounterEmulator counter = counter(new CounterEmulator.Size(100, 5, 8));
+    CounterEmulator counter = counter(new CounterEmulator.Limits(100, 5, 8));
     try (FakePeer.Connection connection = connect(counter.address())) {
       long from = System.nanoTime();
       StringBuilder all = new StringBuilder();
@@ -290,21 +295,24 @@
 
   @Test
   void counterInjectsItsFaults() throws Exception {
-    CounterEmulator counter = counter(CounterEmulator.Size.USUAL);
+    CounterEmulator counter = counter(CounterEmulator.Limits.DEFAULT);
     try (FakePeer.Connection connection = connect(counter.address())) {
       connection.writeCommand("CNT.ADD", "n", "5", "60000");
       assertEquals(List.of("5"), connection.readMessage());
-      runOnLoop(() -> counter.mood(CounterEmulator.Mood.FULL));
+      runOnLoop(() -> counter.setFaultMode(CounterEmulator.FaultMode.FULL));
       connection.writeCommand("CNT.ADD", "n", "5", "60000");
       assertEquals(List.of("-BUSY"), connection.readMessage());
-      runOnLoop(() -> counter.mood(CounterEmulator.Mood.NOISE));
+      runOnLoop(() -> counter.setFaultMode(CounterEmulator.FaultMode.NOISE));
       connection.writeCommand("CNT.ADD", "n", "5", "60000");
       assertEquals(List.of("+noise"), connection.readMessage());
-      runOnLoop(() -> counter.mood(CounterEmulator.Mood.SILENT));
+      runOnLoop(() -> counter.setFaultMode(CounterEmulator.FaultMode.SILENT));
       connection.writeCommand("CNT.ADD", "n", "5", "60000");
       connection.socket().setSoTimeout(200);
       assertThrows(java.net.SocketTimeoutException.class, connection::readMessage);
-      runOnLoop(() -> counter.mood(CounterEmulator.Mood.WELL)); // however late, a call has its turn
+      runOnLoop(
+          () ->
+              counter.setFaultMode(
+                  CounterEmulator.FaultMode.NORMAL)); // however late, a call has its turn
       assertEquals(List.of("10"), connection.readMessage());
       runOnLoop(counter::restart);
       assertTrue(connection.isClosedByPeer());
--- a/src/test/java/edgenode/net/discovery/AgentSourceTest.java
+++ b/src/test/java/edgenode/net/discovery/AgentSourceTest.java
@@ -45,7 +45,7 @@
           log.stream().anyMatch(line -> line.contains("s77 has no address")), log.toString());
       agent.set(host("s5", 1005, "leaving"));
       awaitCondition("the drain", () -> view.get("s5").info().state() == EndpointState.DRAINING);
-      agent.stallNow(DiscoveryAgentEmulator.Kind.WATCH);
+      agent.stallNow(DiscoveryAgentEmulator.ConnectionKind.WATCH);
       agent.set(host("s6", 1006, "leaving"));
       long setAt = System.nanoTime();
       awaitCondition(
@@ -75,17 +75,17 @@
               "\u0001 noise \u0002",
               "\"text\"")) {
         int watchesBefore = watches++;
-        awaitCondition("a watch", () -> agent.watches() > watchesBefore);
+        awaitCondition("a watch", () -> agent.watchCount() > watchesBefore);
         int before = failures.get();
-        agent.garble(malformed);
+        agent.sendMalformedLine(malformed);
         awaitCondition("the watch ends at " + malformed, () -> failures.get() > before);
         assertEquals("a b", upEndpoints());
       }
       int watchesBefore = watches;
-      awaitCondition("a watch", () -> agent.watches() > watchesBefore);
+      awaitCondition("a watch", () -> agent.watchCount() > watchesBefore);
       // a negative version removes nothing and brings nothing up
-      agent.garble("{\"seq\":-4,\"whole\":true,\"hosts\":[]}");
-      agent.garble(
+      agent.sendMalformedLine("{\"seq\":-4,\"whole\":true,\"hosts\":[]}");
+      agent.sendMalformedLine(
           "{\"seq\":-4,\"whole\":false,\"hosts\":[{\"host\":\"q\",\"dial\":\"127.0.0.1:1\","
               + "\"health\":\"active\"}]}");
       agent.set(host("c", 1003, "active"));
@@ -98,14 +98,14 @@
   void lineOfAHundredMegabytesIsCutOff() throws Exception {
     try (DiscoveryAgentEmulator agent = new DiscoveryAgentEmulator(10)) {
       agent.set(host("a", 1001, "active"));
-      agent.flood(100L << 20);
+      agent.sendOversizedLine(100L << 20);
       start(0, sourceOf(agent));
       awaitCondition(
           "cut off",
           () ->
               log.stream()
                   .anyMatch(line -> line.contains("rejected a list of more than 8388608 bytes")));
-      assertTrue(agent.bytes() < 32L << 20, "sent " + agent.bytes());
+      assertTrue(agent.sentByteCount() < 32L << 20, "sent " + agent.sentByteCount());
       agent.set(host("b", 1002, "active"));
       awaitUp("a b");
     }
@@ -170,7 +170,7 @@
         agentA.set(host("a2", 1004, "active"));
         awaitUp("a1 a2");
         Thread.sleep(1200); // by then the connects of the first A are over
-        assertEquals(1, agentA.watches(), "the first A's connect came up and was used");
+        assertEquals(1, agentA.watchCount(), "the first A's connect came up and was used");
       }
     } finally {
       busyListener.close();
--- a/src/test/java/edgenode/net/discovery/ConsulSourceTest.java
+++ b/src/test/java/edgenode/net/discovery/ConsulSourceTest.java
@@ -46,9 +46,9 @@
       assertEquals(EndpointState.DRAINING, view.get("d").info().state());
       assertEquals("127.0.0.9:1005", view.get("e").address());
       assertEquals("dc1", view.get("a").info().zone());
-      awaitCondition("the next question", () -> consul.questions() > 1);
+      awaitCondition("the next question", () -> consul.requestCount() > 1);
       assertEquals("/v1/health/service/enrol%20ment?index=6&wait=5000ms", consul.lastPath());
-      assertEquals("not-to-be-logged", consul.token());
+      assertEquals("not-to-be-logged", consul.lastToken());
       consul.set(instance("a", 1001, "critical"));
       awaitUp("b e");
       consul.remove("b");
@@ -62,7 +62,7 @@
   @Test
   void startsAgainWhenTheIndexGoesBack() throws Exception {
     try (ConsulEmulator consul = new ConsulEmulator()) {
-      consul.index(500);
+      consul.setIndex(500);
       consul.set(instance("a", 1001, "passing"));
       start(
           5000,
@@ -72,7 +72,7 @@
       awaitCondition("it waits", () -> consul.lastPath().contains("index=501"));
       consul.set(instance("b", 1002, "passing"));
       awaitUp("a b");
-      consul.index(3);
+      consul.setIndex(3);
       awaitCondition("it asks from none", () -> consul.lastPath().endsWith("index=3&wait=5000ms"));
       consul.set(instance("c", 1003, "passing"));
       awaitUp("a b c");
@@ -90,9 +90,9 @@
           EndpointSources.consul(
               new OperatorSettings.ConsulSettings(consul.address(), "enrol", 300, null)));
       awaitUp("a");
-      int before = consul.questions();
-      consul.spoil(fault, 1);
-      awaitCondition("a failure", () -> failures.get() > 0 && consul.questions() > before);
+      int before = consul.requestCount();
+      consul.injectFault(fault, 1);
+      awaitCondition("a failure", () -> failures.get() > 0 && consul.requestCount() > before);
       assertEquals("a", upEndpoints());
       consul.set(instance("b", 1002, "passing"));
       awaitUp("a b");
--- a/src/test/java/edgenode/net/discovery/DnsSrvSourceTest.java
+++ b/src/test/java/edgenode/net/discovery/DnsSrvSourceTest.java
@@ -24,10 +24,10 @@
     for (boolean additional : new boolean[] {false, true}) {
       view.clear();
       try (DnsServerEmulator dns = new DnsServerEmulator()) {
-        dns.additional(additional);
-        dns.host("s1.enrol.test.", "127.0.0.11");
-        dns.host("s2.enrol.test.", "127.0.0.12");
-        dns.service(
+        dns.setSendsAdditional(additional);
+        dns.addHost("s1.enrol.test.", "127.0.0.11");
+        dns.addHost("s2.enrol.test.", "127.0.0.12");
+        dns.addService(
             SERVICE,
             new DnsServerEmulator.Srv(0, 1, 7, 1001, "s1.enrol.test."),
             new DnsServerEmulator.Srv(0, 1, 3, 1002, "s2.enrol.test."),
@@ -37,7 +37,7 @@
         awaitUp("s1.enrol.test.:1001 s2.enrol.test.:1002");
         assertEquals("127.0.0.11:1001", view.get("s1.enrol.test.:1001").address());
         assertEquals(7, view.get("s1.enrol.test.:1001").info().weight());
-        dns.service(
+        dns.addService(
             SERVICE,
             new DnsServerEmulator.Srv(0, 1, 7, 1001, "s1.enrol.test."),
             new DnsServerEmulator.Srv(0, 1, 3, 1005, "s2.enrol.test."));
@@ -50,9 +50,9 @@
   @Test
   void queriesAgainWhenTheTimeToLiveHasPassed() throws Exception {
     try (DnsServerEmulator dns = new DnsServerEmulator()) {
-      dns.additional(true);
-      dns.host("s1.enrol.test.", "127.0.0.11");
-      dns.service(SERVICE, new DnsServerEmulator.Srv(3600, 1, 1, 1001, "s1.enrol.test."));
+      dns.setSendsAdditional(true);
+      dns.addHost("s1.enrol.test.", "127.0.0.11");
+      dns.addService(SERVICE, new DnsServerEmulator.Srv(3600, 1, 1, 1001, "s1.enrol.test."));
       start(60_000, dns(dns));
       awaitUp("s1.enrol.test.:1001");
       long since = System.nanoTime();
@@ -66,19 +66,19 @@
   @Test
   void failuresChangeNothing() throws Exception {
     try (DnsServerEmulator dns = new DnsServerEmulator()) {
-      dns.host("s1.enrol.test.", "127.0.0.11");
-      dns.host("s2.enrol.test.", "127.0.0.12");
-      dns.service(SERVICE, new DnsServerEmulator.Srv(0, 1, 1, 1001, "s1.enrol.test."));
+      dns.addHost("s1.enrol.test.", "127.0.0.11");
+      dns.addHost("s2.enrol.test.", "127.0.0.12");
+      dns.addService(SERVICE, new DnsServerEmulator.Srv(0, 1, 1, 1001, "s1.enrol.test."));
       start(60_000, dns(dns));
       awaitUp("s1.enrol.test.:1001");
       for (int kind = 0; kind < 3; kind++) {
         int before = failures.get();
-        dns.fail(kind == 0, kind == 1, kind == 2);
+        dns.setFaults(kind == 0, kind == 1, kind == 2);
         awaitCondition("a failure of kind " + kind, () -> failures.get() > before);
         assertEquals("s1.enrol.test.:1001", upEndpoints());
       }
-      dns.fail(false, false, false);
-      dns.service(
+      dns.setFaults(false, false, false);
+      dns.addService(
           SERVICE,
           new DnsServerEmulator.Srv(0, 1, 1, 1001, "s1.enrol.test."),
           new DnsServerEmulator.Srv(0, 1, 1, 1002, "s2.enrol.test."));
--- a/src/test/java/edgenode/net/discovery/SourceFailOverTest.java
+++ b/src/test/java/edgenode/net/discovery/SourceFailOverTest.java
@@ -16,7 +16,7 @@
     try (ConsulEmulator consul = new ConsulEmulator();
         EdsEmulator eds = new EdsEmulator()) {
       consul.set(new ConsulEmulator.Instance("a", "127.0.0.1", 1001, "passing", 10, 2));
-      eds.set("1", EdsEmulator.cluster("enrol", "127.0.0.1 1001 HEALTHY 1"));
+      eds.set("1", EdsEmulator.clusterJson("enrol", "127.0.0.1 1001 HEALTHY 1"));
       start(
           800,
           EndpointSources.consul(
@@ -24,12 +24,12 @@
           EndpointSources.eds(
               new OperatorSettings.EdsSettings(eds.address(), "enrol", "edge-1", 50)));
       awaitUp("a");
-      consul.spoil(ConsulEmulator.Fault.STALL, Integer.MAX_VALUE);
+      consul.injectFault(ConsulEmulator.Fault.STALL, Integer.MAX_VALUE);
       awaitUp("127.0.0.1:1001");
       assertTrue(
           log.stream().anyMatch(line -> line.contains("failing over to eds")), log.toString());
-      consul.spoil(ConsulEmulator.Fault.NONE, 0);
-      eds.spoil(EdsEmulator.Fault.STALL, Integer.MAX_VALUE);
+      consul.injectFault(ConsulEmulator.Fault.NONE, 0);
+      eds.injectFault(EdsEmulator.Fault.STALL, Integer.MAX_VALUE);
       awaitUp("a");
     }
   }
--- a/src/test/java/edgenode/node/DiscoveryStallTest.java
+++ b/src/test/java/edgenode/node/DiscoveryStallTest.java
@@ -174,9 +174,9 @@
                 fixture,
                 "w" + k + "t" + turn,
                 () -> {
-                  fixture.agent.stall(DiscoveryAgentEmulator.Kind.WATCH, k, 1);
+                  fixture.agent.stall(DiscoveryAgentEmulator.ConnectionKind.WATCH, k, 1);
                   fixture.agent.reset();
-                  DiscoveryFixture.await("a new watch", () -> fixture.agent.stalled());
+                  DiscoveryFixture.await("a new watch", () -> fixture.agent.hasStalled());
                 }));
   }
 
@@ -191,8 +191,8 @@
                 fixture,
                 "l" + k + "t" + turn,
                 () -> {
-                  fixture.agent.stallNow(DiscoveryAgentEmulator.Kind.WATCH);
-                  fixture.agent.stall(DiscoveryAgentEmulator.Kind.LIST, k, 1);
+                  fixture.agent.stallNow(DiscoveryAgentEmulator.ConnectionKind.WATCH);
+                  fixture.agent.stall(DiscoveryAgentEmulator.ConnectionKind.LIST, k, 1);
                 }));
   }
 
@@ -214,10 +214,10 @@
                   () -> {
                     DiscoveryAgentEmulator next = new DiscoveryAgentEmulator(7);
                     next.set(fixture.host(id, "active"));
-                    next.stall(DiscoveryAgentEmulator.Kind.LIST, k, 1);
+                    next.stall(DiscoveryAgentEmulator.ConnectionKind.LIST, k, 1);
                     fixture.moveDiscovery(next);
-                    old.stallNow(DiscoveryAgentEmulator.Kind.WATCH);
-                    DiscoveryFixture.await("the new one is asked", next::stalled);
+                    old.stallNow(DiscoveryAgentEmulator.ConnectionKind.WATCH);
+                    DiscoveryFixture.await("the new one is asked", next::hasStalled);
                   });
           old.close();
           return ms;
@@ -236,12 +236,12 @@
           String id = "f" + k + "t" + turn;
           DiscoveryAgentEmulator agent = new DiscoveryAgentEmulator(7);
           agent.set(fixture.host(id, "active"));
-          agent.stall(DiscoveryAgentEmulator.Kind.LIST, k, 1);
+          agent.stall(DiscoveryAgentEmulator.ConnectionKind.LIST, k, 1);
           CompletableFuture<Long> told =
               CompletableFuture.supplyAsync(
                   () -> {
                     try {
-                      DiscoveryFixture.await("the list is asked", agent::stalled);
+                      DiscoveryFixture.await("the list is asked", agent::hasStalled);
                     } catch (InterruptedException e) {
                       throw new IllegalStateException(e);
                     }
--- a/src/test/java/edgenode/node/EndpointLivenessTest.java
+++ b/src/test/java/edgenode/node/EndpointLivenessTest.java
@@ -33,14 +33,14 @@
       fixture.agent.set(fixture.host("a", "active"));
       fixture.awaitServing("a");
       assertEquals(0, fixture.startedAtMs.get("a"));
-      fixture.appServer.die();
+      fixture.appServer.crash();
       DiscoveryFixture.await("it is known as dead", () -> !isUp(fixture, "a"));
-      long requestsBefore = fixture.agent.requests();
+      long requestsBefore = fixture.agent.requestCount();
       DiscoveryFixture.await(
-          "looks that list it", () -> fixture.agent.requests() > requestsBefore + 4);
+          "looks that list it", () -> fixture.agent.requestCount() > requestsBefore + 4);
       assertTrue(!isUp(fixture, "a"), "the list brought it back, and nobody answers there");
       double downAtMs = System.currentTimeMillis();
-      fixture.appServer.back();
+      fixture.appServer.restart();
       fixture.awaitServing("a");
       assertTrue(
           fixture.startedAtMs.get("a") >= downAtMs - 1,
@@ -60,7 +60,7 @@
       Thread.sleep(1500); // longer than an answer counts: the ones that come meanwhile hold it
       assertTrue(
           isUp(fixture, "a") && fixture.commandCount.get() > commandsBefore + 10, "held, and used");
-      fixture.appServer.die();
+      fixture.appServer.crash();
       DiscoveryFixture.await(
           "it does not answer any more: the list is right", () -> !isUp(fixture, "a"));
     }
@@ -75,11 +75,11 @@
     try (DiscoveryFixture fixture = new DiscoveryFixture(new DiscoveryAgentEmulator(40))) {
       fixture.agent.set(fixture.host("a", "active"));
       fixture.awaitServing("a");
-      int watchesBefore = fixture.agent.watches();
+      int watchesBefore = fixture.agent.watchCount();
       fixture.agent.restart(3, List.of(fixture.host("a", "active"), fixture.host("b", "active")));
       fixture.awaitServing("b");
       DiscoveryFixture.await(
-          "the watch is asked anew", () -> fixture.agent.watches() > watchesBefore);
+          "the watch is asked anew", () -> fixture.agent.watchCount() > watchesBefore);
       long drainingSinceNanos = System.nanoTime();
       fixture.agent.set(fixture.host("b", "leaving"));
       assertTrue(
--- a/src/test/java/edgenode/node/FileDescriptorLimitTest.java
+++ b/src/test/java/edgenode/node/FileDescriptorLimitTest.java
@@ -204,7 +204,7 @@
           long sinceNanos = System.nanoTime();
           connectCrowd(limit / 4);
           DiscoveryFixture.await(
-              "the list is asked for" + log, () -> secondDiscovery.requests() > 0);
+              "the list is asked for" + log, () -> secondDiscovery.requestCount() > 0);
           for (int i = 0; i < 10; i++) {
             assertEquals("ok", sendUntilAnswered());
           }
--- a/src/test/java/edgenode/simulation/DemoCommandTest.java
+++ b/src/test/java/edgenode/simulation/DemoCommandTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.ArrivalProcess;
 import edgenode.emulator.CustomerClients;
-import edgenode.emulator.Effects;
 import edgenode.node.FakePeer;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -157,10 +157,10 @@
     }
     AtomicInteger small = new AtomicInteger();
     Map<String, AtomicInteger> enrolled = new ConcurrentHashMap<>();
-    Effects effects =
-        new Effects() {
+    AppServerListener effects =
+        new AppServerListener() {
           @Override
-          public void came(
+          public void commandReceived(
               double now,
               String server,
               String verb,
@@ -169,7 +169,7 @@
               String list,
               String key,
               boolean ran) {
-            if (ran && customer.equals(EmulatedWorld.CAMPUSES.get(0).customer())) {
+            if (ran && customer.equals(EmulatedWorld.CAMPUSES.get(0).id())) {
               small.incrementAndGet();
             }
             if (key != null && ran) {
@@ -187,7 +187,7 @@
           new CustomerClients(
               world.loop(),
               arrivals,
-              CustomerClients.Habits.USUAL,
+              CustomerClients.RetryOptions.DEFAULT,
               world.address(),
               (of, retry, fate, ms) -> fates.get(fate).incrementAndGet(),
               11);
@@ -201,13 +201,16 @@
                       .schedule(
                           3000,
                           () -> {
-                            world.servers().get(0).die();
+                            world.servers().get(0).crash();
                             world
                                 .loop()
                                 .schedule(
                                     1000,
                                     () -> {
-                                      world.servers().get(0).back(world.servers().get(0).address());
+                                      world
+                                          .servers()
+                                          .get(0)
+                                          .restart(world.servers().get(0).address());
                                       world.discovery().set(world.servers().get(0).entry("active"));
                                     });
                           }));
--- a/src/test/java/edgenode/simulation/EmulatedWorldTest.java
+++ b/src/test/java/edgenode/simulation/EmulatedWorldTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.CapacityModel;
 import edgenode.emulator.DiscoveryAgentEmulator;
 import edgenode.emulator.DiscoveryEmulator;
-import edgenode.emulator.Effects;
 import edgenode.emulator.IdempotencyGroupModel;
 import edgenode.eventloop.NettyEdgeEventLoop;
 import io.netty.channel.Channel;
@@ -42,8 +42,8 @@
                 "s1",
                 new IdempotencyGroupModel("b", 1, 7500),
                 new CapacityModel.Size(1, 1, 1, 1, 1, 0),
-                AppServerEmulator.Habits.USUAL,
-                new Effects() {},
+                AppServerEmulator.ConnectionOptions.DEFAULT,
+                new AppServerListener() {},
                 1)
             .start(at(1));
     String json = server.entry("active").json();
@@ -58,12 +58,12 @@
         new DiscoveryEmulator(shared, 0, (now, host) -> told.add(host.id() + " " + host.health()))
             .start(at(2));
     discovery.set(new DiscoveryAgentEmulator.Host("s0", "10.9.0.1:7000", "active", 0));
-    discovery.silent(true);
+    discovery.setSilent(true);
     discovery.set(new DiscoveryAgentEmulator.Host("s0", "10.9.0.1:7000", "leaving", 0));
     assertEquals(List.of("s0 active"), told);
-    discovery.silent(false);
+    discovery.setSilent(false);
     assertEquals(List.of("s0 active", "s0 leaving"), told);
-    discovery.silent(false);
+    discovery.setSilent(false);
     assertEquals(2, told.size());
   }
 
--- a/src/test/java/edgenode/simulation/EventLoopStallTest.java
+++ b/src/test/java/edgenode/simulation/EventLoopStallTest.java
@@ -76,7 +76,7 @@
   @Test
   void aLineThatWasOfUseIsBackAtOnce() throws Exception {
     CounterEmulator counter =
-        new CounterEmulator(world, CounterEmulator.Size.USUAL, new Trace()).start(COUNTER);
+        new CounterEmulator(world, CounterEmulator.Limits.DEFAULT, new Trace()).start(COUNTER);
     CounterClient client = client();
     loop.runUntil(100);
     callOnEach(client);
@@ -102,7 +102,7 @@
   @Test
   void aFleetOfMoreThanTheCountersUsualRoomHasItsDay() throws Exception {
     Scenario calm = Scenarios.of("calm");
-    int nodes = CounterEmulator.Size.USUAL.connections() / LINES + 1;
+    int nodes = CounterEmulator.Limits.DEFAULT.maxConnections() / LINES + 1;
     ScenarioRun day = ScenarioRun.play(calm.withNodes(nodes).withLength(2000), 880_003);
     assertTrue(
         day.fates().getOrDefault(CustomerClients.Fate.SERVED, 0) > 0, day.fates().toString());
--- a/src/test/java/edgenode/simulation/FleetStartTest.java
+++ b/src/test/java/edgenode/simulation/FleetStartTest.java
@@ -6,10 +6,10 @@
 import edgenode.config.JsonValue;
 import edgenode.config.NodeConfig;
 import edgenode.emulator.AppServerEmulator;
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.CapacityModel;
 import edgenode.emulator.CounterEmulator;
 import edgenode.emulator.DiscoveryEmulator;
-import edgenode.emulator.Effects;
 import edgenode.emulator.IdempotencyGroupModel;
 import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.membership.DiscoveredEndpoint;
@@ -44,7 +44,7 @@
     DiscoveryEmulator discovery =
         new DiscoveryEmulator(world, 0, (now, host) -> {})
             .start(new InetSocketAddress("10.1.0.1", 7000));
-    new CounterEmulator(world, CounterEmulator.Size.USUAL, new Trace())
+    new CounterEmulator(world, CounterEmulator.Limits.DEFAULT, new Trace())
         .start(new InetSocketAddress("10.1.0.2", 7000));
     AppServerEmulator server =
         new AppServerEmulator(
@@ -52,12 +52,12 @@
                 "s0",
                 new IdempotencyGroupModel("a", 0, 7500),
                 new CapacityModel.Size(2, 16, 32, 8, 0.3, 5000),
-                AppServerEmulator.Habits.USUAL,
-                new Effects() {},
+                AppServerEmulator.ConnectionOptions.DEFAULT,
+                new AppServerListener() {},
                 1)
             .start(new InetSocketAddress("10.2.0.1", 7000));
     discovery.set(server.entry("active"));
-    discovery.silent(true);
+    discovery.setSilent(true);
     String list =
         known
             ? "{\"seq\":1,\"whole\":true,\"hosts\":[" + server.entry("active").json() + "]}"
@@ -111,8 +111,8 @@
                 "s0",
                 new IdempotencyGroupModel("a", 0, 7500),
                 new CapacityModel.Size(2, 16, 32, 8, 0.3, 5000),
-                AppServerEmulator.Habits.USUAL,
-                new Effects() {},
+                AppServerEmulator.ConnectionOptions.DEFAULT,
+                new AppServerListener() {},
                 1)
             .start(new InetSocketAddress("10.2.0.1", 7000));
     NodeConfig config =
--- a/src/test/java/edgenode/simulation/RaceScenarios.java
+++ b/src/test/java/edgenode/simulation/RaceScenarios.java
@@ -108,12 +108,12 @@
    * Not DEAF: what is written to a deaf one comes when it reads again, whatever has become of it
    * meanwhile.
    */
-  private static final List<AppServerEmulator.Mood> MOODS =
+  private static final List<AppServerEmulator.FaultMode> MOODS =
       List.of(
-          AppServerEmulator.Mood.SILENT,
-          AppServerEmulator.Mood.NOISE,
-          AppServerEmulator.Mood.FAILING,
-          AppServerEmulator.Mood.DRAINING);
+          AppServerEmulator.FaultMode.SILENT,
+          AppServerEmulator.FaultMode.NOISE,
+          AppServerEmulator.FaultMode.FAILING,
+          AppServerEmulator.FaultMode.DRAINING);
 
   private static final String[] TYPES = {"saldo", "reserva", "cobro"};
 
@@ -183,7 +183,8 @@
     Recorder recorder = new Recorder(this::see, this::day);
     discovery = new DiscoveryEmulator(shared, 0, recorder).start(at(1, 1));
     discovery.start(at(1, 3));
-    counter = new CounterEmulator(shared, CounterEmulator.Size.USUAL, new Trace()).start(at(1, 2));
+    counter =
+        new CounterEmulator(shared, CounterEmulator.Limits.DEFAULT, new Trace()).start(at(1, 2));
     counter.start(at(1, 4));
     IdempotencyGroupModel[] racks = {
       new IdempotencyGroupModel("a", 0, window), new IdempotencyGroupModel("b", 1, window)
@@ -195,7 +196,7 @@
                   "s" + i,
                   racks[i % 2],
                   SIZE,
-                  new AppServerEmulator.Habits(64, keepAlive, 200, 0.1),
+                  new AppServerEmulator.ConnectionOptions(64, keepAlive, 200, 0.1),
                   recorder,
                   seed * 31 + i)
               .start(at(2, i)));
@@ -270,14 +271,14 @@
   /** Plays it; the breaches, in order of the judges. */
   List<Violation> play() {
     boolean silentStart = chance.nextInt(6) == 0;
-    discovery.silent(silentStart);
+    discovery.setSilent(silentStart);
     node.startAsync(part -> {});
     double until = 0;
     while (node.address() == null && until < 10_000) {
       until += 5;
       loop.runUntil(until);
       if (until > 1500) {
-        discovery.silent(false);
+        discovery.setSilent(false);
       }
     }
     began = until;
@@ -358,32 +359,32 @@
             kind == 0 ? lasts : 1; // at once: all connections are reset under their requests
         boolean hangs = lateness.nextBoolean(); // then many are
         if (hangs) {
-          server.mood(AppServerEmulator.Mood.SILENT);
+          server.setFaultMode(AppServerEmulator.FaultMode.SILENT);
         }
         double dies = hangs ? 50 + lateness.nextDouble() * 300 : 0;
         shared.schedule(dies * lateness.nextDouble(), this::leaveTogether);
         shared.schedule(dies, () -> dies(i, back));
       }
       case 2, 3, 4, 5 -> {
-        server.mood(MOODS.get(chance.nextInt(MOODS.size())));
-        shared.schedule(lasts, () -> server.mood(AppServerEmulator.Mood.WELL));
+        server.setFaultMode(MOODS.get(chance.nextInt(MOODS.size())));
+        shared.schedule(lasts, () -> server.setFaultMode(AppServerEmulator.FaultMode.NORMAL));
       }
       case 6, 7 -> {
         discovery.set(server.entry("leaving"));
         shared.schedule(lasts, () -> discovery.set(server.entry(dead[i] ? "left" : "active")));
       }
       case 8 -> {
-        discovery.silent(!stalls);
-        shared.schedule(lasts, () -> discovery.silent(false));
+        discovery.setSilent(!stalls);
+        shared.schedule(lasts, () -> discovery.setSilent(false));
       }
       case 9 -> {
         if (stalls) {
-          discovery.stall(chance.nextInt(200));
+          discovery.stallWatches(chance.nextInt(200));
         }
       }
       case 10 -> {
-        counter.mood(CounterEmulator.Mood.values()[1 + chance.nextInt(3)]);
-        shared.schedule(lasts, () -> counter.mood(CounterEmulator.Mood.WELL));
+        counter.setFaultMode(CounterEmulator.FaultMode.values()[1 + chance.nextInt(3)]);
+        shared.schedule(lasts, () -> counter.setFaultMode(CounterEmulator.FaultMode.NORMAL));
       }
       default -> {
         moved = !moved;
@@ -400,13 +401,13 @@
     AppServerEmulator server = servers.get(i);
     if (!dead[i]) {
       dead[i] = true;
-      server.die();
-      server.mood(AppServerEmulator.Mood.WELL);
+      server.crash();
+      server.setFaultMode(AppServerEmulator.FaultMode.NORMAL);
       shared.schedule(
           back,
           () -> {
             dead[i] = false;
-            server.back(server.address());
+            server.restart(server.address());
             see(new Event.Born(now(), server.id(), i % 2, SIZE, true));
             discovery.set(server.entry("active"));
           });
