--- a/src/main/java/edgenode/emulator/AppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/AppServerEmulator.java
@@ -25,40 +25,43 @@
 import java.util.Set;
 
 /**
- * A stand-in for an app server, from the protocol page, on an event loop that is given: its {@link
- * * * * * Capacity}, repeats dropped in its {@link IdempotencyGroupModel}, load reports that are
- * late and noisy, a bound of connections and idle ones closed. It can die and come back cold,
- * vanish, stall, lose cores, answer with noise, stop reading and fall silent. All methods are for
- * the loop's thread.
+ * Emulates an app server, from the protocol page: its {@link CapacityModel}, duplicates dropped in
+ * its {@link IdempotencyGroupModel}, load reports that are late and noisy, a bound of connections,
+ * an idle timeout. Faults: crash and cold restart, silence, lost cores, malformed answers, a socket
+ * that is not read. Runs on the caller's event loop; after {@link #start} all methods are for that
+ * loop's thread.
  */
 public final class AppServerEmulator {
-  /** How it answers from now on. */
+  /** How the server behaves; scenarios name the constants. */
   public enum FaultMode {
-    /** As it should. */
+    /** As the protocol says. */
     NORMAL,
-    /** Takes what comes and never answers. */
+    /** Runs what it receives and never answers. */
     SILENT,
-    /** Reads nothing more. */
+    /** Does not read its connections. */
     DEAF,
-    /** Answers with bytes that are no message. */
+    /** Answers with bytes that are no valid response, then closes. */
     NOISE,
-    /** Fails everything that it has run. */
+    /** Answers an error to everything that it has run. */
     FAILING,
-    /** Finishes what it has, turns away the rest. */
+    /** Completes what it has, rejects new calls. */
     DRAINING
   }
 
   /**
-   * @param maxConnections that it holds; one more is closed as it comes
-   * @param idleTimeoutMs after which one that rests is closed
+   * Connection limits and the quality of load reports.
+   *
+   * @param maxConnections one more is closed when it is opened
+   * @param idleTimeoutMs after which a connection without open commands is closed
    * @param loadReportIntervalMs how old a load report may be
-   * @param loadReportNoise by what share (0 to 1) a report's figures may be off
+   * @param loadReportNoise largest relative error (0 to 1) of a report's figures
    */
   public record ConnectionOptions(
       int maxConnections,
       double idleTimeoutMs,
       double loadReportIntervalMs,
       double loadReportNoise) {
+    /** What an app server does unless a test says otherwise. */
     public static final ConnectionOptions DEFAULT = new ConnectionOptions(64, 15_000, 200, 0.1);
   }
 
@@ -85,6 +88,14 @@
   private double loadReportAtMs = Double.NEGATIVE_INFINITY;
   private long incarnation;
 
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param loop owned by the caller; times come from its clock
+   * @param id as the endpoint list names it
+   * @param listener receives what passes on the sockets
+   * @param seed of the work of the jobs and the noise of the reports
+   */
   public AppServerEmulator(
       EdgeEventLoop loop,
       String id,
@@ -102,7 +113,12 @@
     random = new Random(seed);
   }
 
-  /** Starts long warm and listens there; port 0 for any, where the kind of channel has such. */
+  /**
+   * Starts fully warmed up and listens.
+   *
+   * @param bindAddress port 0 for any free port, on sockets only; this waits for the bind, so it
+   *     must not run on the loop's thread
+   */
   public AppServerEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
     capacity = new CapacityModel(size, random.nextLong(), loop.nowMs(), Double.NEGATIVE_INFINITY);
     address = bindAddress;
@@ -131,15 +147,17 @@
         .bind(loop.transport().toSocketAddress(bindAddress));
   }
 
+  /** The server's id in the endpoint list. */
   public String id() {
     return id;
   }
 
+  /** Where it listens, or did before a crash. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** As a list names it, with this health. */
+  /** Its entry in the endpoint list, with this health (active, leaving or left). */
   public DiscoveryAgentEmulator.Host entry(String health) {
     return new DiscoveryAgentEmulator.Host(
         id,
@@ -150,28 +168,30 @@
         idempotencyGroup.block());
   }
 
+  /** The group in which duplicates of its keyed requests are known. */
   public IdempotencyGroupModel idempotencyGroup() {
     return idempotencyGroup;
   }
 
   // ---- faults ----
 
-  public void setFaultMode(FaultMode newMood) {
-    faultMode = newMood;
+  /** Changes the behaviour from now on, on open connections too. */
+  public void setFaultMode(FaultMode newMode) {
+    faultMode = newMode;
     for (Connection connection : connections) {
-      connection.channel.config().setAutoRead(newMood != FaultMode.DEAF);
+      connection.channel.config().setAutoRead(newMode != FaultMode.DEAF);
     }
   }
 
-  /** A neighbour takes this share of its cores, 0 to below 1. */
+  /** A noisy neighbour takes this share of the cores from now on: 0 to below 1. */
   public void setNeighbourShare(double share) {
     capacity.setNeighbourShare(loop.nowMs(), share);
     scheduleCompletion();
   }
 
   /**
-   * The process dies: connections are reset, what ran in it may have had its effect, new ones are
-   * refused.
+   * The process crashes: connections are reset, new ones are refused. Jobs that were running may
+   * have had their effect.
    */
   public void crash() {
     incarnation++;
@@ -184,7 +204,7 @@
     completionTimerAtMs = Double.POSITIVE_INFINITY;
   }
 
-  /** It starts again, cold, at its address or another. */
+  /** The process starts again, cold, at its former address or another. */
   public void restart(InetSocketAddress bindAddress) {
     startedAtMs = loop.nowMs();
     faultMode = FaultMode.NORMAL;
@@ -219,7 +239,7 @@
     }
   }
 
-  /** One timer for what ends next. */
+  /** Keeps one timer, for the job that completes next. */
   private void scheduleCompletion() {
     double completionAtMs = capacity.nextCompletionMs();
     if (completionAtMs >= completionTimerAtMs) {
@@ -262,7 +282,7 @@
     return new ArrayRedisMessage(parts);
   }
 
-  /** Late and noisy, as real ones. */
+  /** As late and as noisy as the options allow: real reports are. */
   private String loadReport() {
     if (loop.nowMs() - loadReportAtMs >= options.loadReportIntervalMs) {
       loadReportAtMs = loop.nowMs();
@@ -282,7 +302,7 @@
         0, Math.round(figure * (1 + options.loadReportNoise * (2 * random.nextDouble() - 1))));
   }
 
-  /** One command, until its answer is written: answers go in the order of the commands. */
+  /** A command until its response is written; responses go in the order of the commands. */
   private final class PendingCommand {
     private final Connection connection;
     private final String requestId;
@@ -319,7 +339,7 @@
       this.channel = channel;
     }
 
-    /** Ahead of the codec: when the first byte of a command came. */
+    /** Stands before the codec and notices the first byte of a command. */
     private final class FirstByteHandler extends ChannelInboundHandlerAdapter {
       private boolean hasSeenFirstByte;
 
@@ -413,12 +433,13 @@
       listener.commandReceived(
           loop.nowMs(),
           id,
-          elements.get(0),
-          customer,
-          elements.get(2),
-          elements.get(3),
-          key,
-          job != null && !isDuplicate);
+          new AppServerListener.ReceivedCommand(
+              elements.get(0),
+              customer,
+              elements.get(2),
+              elements.get(3),
+              key,
+              job != null && !isDuplicate));
       if (job == null) {
         pending.answer("BUSY", new ErrorRedisMessage("BUSY"));
       }
@@ -446,7 +467,7 @@
     }
   }
 
-  /** The value of a name in a list of names and values, or null. */
+  /** The value of a name in a list {@code a=1,b=2}; null where it is absent. */
   public static String parameter(String parameters, String name) {
     for (String pair : parameters.split(",")) {
       if (pair.startsWith(name)
--- a/src/main/java/edgenode/emulator/AppServerListener.java
+++ b/src/main/java/edgenode/emulator/AppServerListener.java
@@ -1,22 +1,19 @@
 package edgenode.emulator;
 
 /**
- * What passes on the sockets of stand-in app servers, for those who judge; called on the stand-ins'
- * loop.
+ * Receives what passes on the sockets of emulated app servers. All methods are called on the
+ * emulators' event loop; {@code nowMs} is that loop's clock.
  */
 public interface AppServerListener {
-  /** The first byte of a command came. */
-  default void firstByteReceived(double nowMs, String server) {}
-
   /**
-   * A command came whole.
+   * A command that arrived complete.
    *
-   * @param idempotencyKey the idempotency key, or null
-   * @param isExecuted whether its work began; else it was turned away or dropped as a repeat
+   * @param verb CALL.GET or CALL.POST
+   * @param parameters the list of names and values as it was sent
+   * @param idempotencyKey null for a request without one
+   * @param isExecuted whether its work began; otherwise it was rejected or dropped as a duplicate
    */
-  default void commandReceived(
-      double nowMs,
-      String server,
+  record ReceivedCommand(
       String verb,
       String customer,
       String requestId,
@@ -24,11 +21,19 @@
       String idempotencyKey,
       boolean isExecuted) {}
 
+  /** The first byte of a command was received. */
+  default void firstByteReceived(double nowMs, String server) {}
+
+  /** A call was received, in the protocol's form. */
+  default void commandReceived(double nowMs, String server, ReceivedCommand command) {}
+
   /**
-   * @param kind the answer's kind: value, BUSY, ERR
+   * A response was handed to its connection.
+   *
+   * @param kind value, BUSY or ERR
    */
   default void responseSent(double nowMs, String server, String requestId, String kind) {}
 
-  /** What came was no command in the protocol's form. */
+  /** Input that is no command in the protocol's form; {@code found} says what it was. */
   default void malformedCommand(double nowMs, String server, String found) {}
 }
--- a/src/main/java/edgenode/emulator/ArrivalProcess.java
+++ b/src/main/java/edgenode/emulator/ArrivalProcess.java
@@ -4,40 +4,40 @@
 import java.util.Random;
 
 /**
- * What clients ask, drawn ahead from a seed: a Poisson process whose rate follows a curve
- * (thinning; Lewis and Shedler 1979). No arrival depends on what became of those before, so a slow
- * edge node is not spared. A pure core.
+ * Requests of clients, drawn ahead from a seed: a Poisson process whose rate follows a curve
+ * (thinning; Lewis and Shedler 1979). No arrival depends on the fate of earlier ones, so a slow
+ * edge node gets no less load. No I/O; not safe for use by several threads.
  */
 public final class ArrivalProcess {
-  /**
-   * The rate at a time: requests a second at {@code at} ms from the start, never above {@code *
-   * most}.
-   */
+  /** The arrival rate as a function of time; never above the peak that the process was given. */
   public interface RateCurve {
+    /** Requests per second at {@code ms} from the start. */
     double ratePerSecond(double ms);
   }
 
   /**
-   * A campus that asks.
+   * A customer that sends requests.
    *
    * @param id 16 hex digits, below 2^33
    * @param planName named as in the settings
-   * @param weight its part of all requests, against the others'
+   * @param weight share of all requests, relative to the other customers; above 0
    */
   public record Customer(String id, String planName, double weight) {
+    /** Checks the id and the weight. */
     public Customer {
       if (!id.matches("0{7}[01][0-9a-f]{8}") || !(weight > 0)) {
-        throw new IllegalArgumentException("no customer, or no weight: " + id + " " + weight);
+        throw new IllegalArgumentException("no customer id, or no weight: " + id + " " + weight);
       }
     }
   }
 
   /**
-   * A class of requests.
+   * A kind of requests.
    *
+   * @param name of the request class in the settings
    * @param hasIdempotencyKey whether each has an idempotency key and goes by CALL.POST
    * @param patienceMs how long its client waits
-   * @param weight its part of all requests, against the others'
+   * @param weight share of all requests, relative to the other kinds
    */
   public record RequestKind(
       String name, boolean hasIdempotencyKey, double patienceMs, double weight) {}
@@ -55,7 +55,9 @@
   private long number;
 
   /**
-   * @param peakRatePerSecond the highest rate (a second) that the curve reaches
+   * Creates a process that starts at time 0.
+   *
+   * @param peakRatePerSecond the highest rate that the curve reaches, above 0
    */
   public ArrivalProcess(
       long seed,
@@ -64,7 +66,7 @@
       RateCurve rate,
       double peakRatePerSecond) {
     if (customers.isEmpty() || requestKinds.isEmpty() || !(peakRatePerSecond > 0)) {
-      throw new IllegalArgumentException("no campus, no class, or no rate");
+      throw new IllegalArgumentException("no customer, no request kind, or no rate");
     }
     this.customers = List.copyOf(customers);
     this.requestKinds = List.copyOf(requestKinds);
@@ -73,7 +75,7 @@
     random = new Random(seed);
   }
 
-  /** The next one; the times never go back. */
+  /** Draws the next request; times never decrease. */
   public Arrival next() {
     do {
       nowMs += -Math.log(1 - random.nextDouble()) / peakRatePerSecond * 1000;
--- a/src/main/java/edgenode/emulator/CapacityModel.java
+++ b/src/main/java/edgenode/emulator/CapacityModel.java
@@ -7,36 +7,39 @@
 import java.util.Random;
 
 /**
- * What an app server can do: processor sharing over a part of some cores, a waiting room, a cold
- * start. A pure core: time (ms) is an argument and never goes back, chance comes from the seed; the
- * same calls give the same results.
+ * The capacity of an app server: processor sharing over some cores, a queue, a warm-up after the
+ * start. No I/O: time (ms, never decreasing) is an argument and chance comes from the seed, so the
+ * same calls give the same results. Not safe for use by several threads.
  *
  * <p>Up to {@code slots} jobs run at once and share {@code cores} cores evenly, none faster than
- * one core (generalised processor sharing; Parekh and Gallager 1993); the rest wait in order, up to
- * {@code room}. A server that has just started works at {@code coldShare} of its speed, which grows
- * evenly to all of it over {@code warmMs}. What a neighbour takes is taken from the cores. An event
- * costs O(running jobs).
+ * one core (generalised processor sharing; Parekh and Gallager 1993); up to {@code room} more wait
+ * in order. A server that has just started works at {@code coldShare} of its speed, which grows
+ * linearly to full speed over {@code warmMs}. A noisy neighbour takes a share of the cores. An
+ * event costs O(running jobs).
  */
 public final class CapacityModel {
-  /** While the speed changes with time it is taken as steady for so long (ms). */
+  /** During the warm-up the speed is updated in steps of this length. */
   private static final double RAMP_STEP_MS = 50;
 
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
-  /** A rest of work (ms of one core) that is no work any more. */
+  /** Remaining work (ms of one core) that counts as none. */
   private static final double MIN_WORK_MS = 1e-9;
 
   /**
+   * The size of a server. The names of the components are part of the digests of scenario runs.
+   *
    * @param cores how many, above 0
    * @param slots jobs that run at once, 1 or more
    * @param room jobs that wait, 0 or more
    * @param workMs mean work of a job (ms of one core); drawn from an exponential distribution, at
    *     most ten times this
-   * @param coldShare of the speed that a server has when it starts, above 0 and up to 1
-   * @param warmMs until it has all of it
+   * @param coldShare share of the full speed at the start, above 0 and up to 1
+   * @param warmMs time until full speed
    */
   public record Size(
       double cores, int slots, int room, double workMs, double coldShare, double warmMs) {
+    /** Checks the ranges. */
     public Size {
       if (!(cores > 0
           && slots > 0
@@ -63,9 +66,9 @@
     }
   }
 
-  /** A job that was taken. */
+  /** A job that was accepted. */
   public static final class Job {
-    /** What it is for; the caller's. */
+    /** The caller's own object for the job. */
     public final Object context;
 
     private double remainingMs;
@@ -87,6 +90,8 @@
   private double workDoneMs;
 
   /**
+   * Creates an idle server.
+   *
    * @param startedAtMs when the server started; negative infinity for long ago
    */
   public CapacityModel(Size size, long seed, double nowMs, double startedAtMs) {
@@ -96,7 +101,7 @@
     this.nowMs = nowMs;
   }
 
-  /** A job comes; null where the waiting room is full, and nothing has run then. */
+  /** Accepts a job and returns it; null where the queue is full, and then nothing has run. */
   public Job offer(double atMs, Object context) {
     advance(atMs);
     if (runningJobs.size() >= size.slots && waitingJobs.size() >= size.room) {
@@ -108,7 +113,7 @@
     return job;
   }
 
-  /** A job is not wanted any more; what has run of it has run. */
+  /** Cancels a job; the work that it has done stays done. */
   public void cancel(double atMs, Job job) {
     advance(atMs);
     if (!runningJobs.remove(job)) {
@@ -117,7 +122,7 @@
     startWaitingJobs();
   }
 
-  /** From now on a neighbour takes this share (0 to below 1) of the cores. */
+  /** A noisy neighbour takes this share (0 to below 1) of the cores from now on. */
   public void setNeighbourShare(double atMs, double share) {
     if (!(share >= 0 && share < 1)) {
       throw new IllegalArgumentException("a neighbour's share is out of range: " + share);
@@ -140,7 +145,7 @@
         : Math.min(nowMs + leastRemainingMs / workRatePerJob(), speedSteadyUntilMs());
   }
 
-  /** The jobs that have ended since the last call, in the order in which they did. */
+  /** The jobs that have completed since the last call, in the order of completion. */
   public List<Job> takeCompleted(double atMs) {
     advance(atMs);
     List<Job> completed = List.copyOf(completedJobs);
@@ -148,10 +153,12 @@
     return completed;
   }
 
+  /** Jobs that run now. */
   public int runningCount() {
     return runningJobs.size();
   }
 
+  /** Jobs in the queue. */
   public int waitingCount() {
     return waitingJobs.size();
   }
@@ -162,7 +169,7 @@
     return workDoneMs;
   }
 
-  /** Of the cores that are there now, how much is in use: 0 to 1. */
+  /** The part of the available cores that is in use: 0 to 1. */
   public double utilization() {
     return Math.min(1, runningJobs.size() / Math.max(MIN_WORK_MS, availableCores()));
   }
@@ -171,25 +178,23 @@
     return size.cores * (1 - neighbourShare);
   }
 
-  /** A core's speed now, as a part of a warm one's. */
+  /** The speed of a core now, relative to a warm one. */
   private double speed() {
     double age = nowMs - startedAtMs;
     return age >= size.warmMs ? 1 : size.coldShare + (1 - size.coldShare) * age / size.warmMs;
   }
 
-  /** Work that each running job gets in a ms. */
+  /** Work (ms of one core) that each running job gets in a ms. */
   private double workRatePerJob() {
     return speed() * Math.min(1, availableCores() / runningJobs.size());
   }
 
-  /** Until when the speed is taken as steady. */
+  /** Until when the speed counts as steady. */
   private double speedSteadyUntilMs() {
     return nowMs - startedAtMs >= size.warmMs ? NEVER : nowMs + RAMP_STEP_MS;
   }
 
-  /**
-   * Lets the jobs run until this time; each step goes to the next end of a job or change of speed.
-   */
+  /** Runs the jobs until this time; each step ends at the next completion or change of speed. */
   private void advance(double untilMs) {
     while (nowMs < untilMs) {
       if (runningJobs.isEmpty()) {
@@ -208,7 +213,7 @@
       workDoneMs += workPerJobMs * runningJobs.size();
       nowMs = Math.max(stepEndMs, Math.nextUp(nowMs));
       double negligibleMs =
-          Math.max(MIN_WORK_MS, Math.ulp(nowMs) * rate); // less than the clock's next step can give
+          Math.max(MIN_WORK_MS, Math.ulp(nowMs) * rate); // less work than one step of the clock
       for (Iterator<Job> jobs = runningJobs.iterator(); jobs.hasNext(); ) {
         Job job = jobs.next();
         job.remainingMs -= workPerJobMs;
--- a/src/main/java/edgenode/emulator/ClientLoadBalancer.java
+++ b/src/main/java/edgenode/emulator/ClientLoadBalancer.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 
 /**
- * The front that deals each customer's requests among the edge nodes of its set. It takes in a node
- * as soon as that answers, and notices a death late: until then what it sends there is refused. A
- * pure core.
+ * Emulates a client-side load balancer that spreads each customer's requests over the edge nodes,
+ * with uneven weights. A node is back in rotation as soon as it is up; a crash is detected late,
+ * and until then requests still go there. No I/O; not safe for use by several threads.
  */
 public final class ClientLoadBalancer {
   private static final double NEVER = Double.POSITIVE_INFINITY;
@@ -18,18 +18,20 @@
   private final Random random;
   private final Map<String, double[]> weightsByCustomer = new HashMap<>();
 
-  /** When each node went down, infinite while it is up. */
+  /** When each node went down (ms); infinite while it is up. */
   private final double[] downSinceMs;
 
   private int hotNode = -1;
   private double crowd;
 
   /**
-   * @param detectionDelayMs how long it goes on sending to a node that has died
+   * Creates a load balancer with all nodes up.
+   *
+   * @param detectionDelayMs how long it goes on sending to a node that has crashed
    */
   public ClientLoadBalancer(int nodeCount, double detectionDelayMs, long seed) {
     if (nodeCount < 1) {
-      throw new IllegalArgumentException("a front of no edge nodes");
+      throw new IllegalArgumentException("a load balancer needs at least one edge node");
     }
     this.nodeCount = nodeCount;
     this.detectionDelayMs = detectionDelayMs;
@@ -38,21 +40,23 @@
     Arrays.fill(downSinceMs, NEVER);
   }
 
+  /** The node crashes at this time. */
   public void nodeDown(int node, double nowMs) {
     downSinceMs[node] = nowMs;
   }
 
+  /** The node is in rotation again. */
   public void nodeUp(int node) {
     downSinceMs[node] = NEVER;
   }
 
-  /** That share (0 to 1) of all requests goes to one node; a share of 0 ends it. */
+  /** Sends this share (0 to 1) of all requests to one node; a share of 0 ends that. */
   public void crowd(int node, double share) {
     hotNode = node;
     crowd = share;
   }
 
-  /** All customers' requests move to other nodes at one stroke. */
+  /** Draws the weights of all customers anew: their requests move to other nodes at once. */
   public void reshuffle() {
     weightsByCustomer.clear();
   }
@@ -61,7 +65,7 @@
     return nowMs < downSinceMs[node] + detectionDelayMs;
   }
 
-  /** Where a customer's next request goes. */
+  /** Chooses the node of a customer's next request. */
   public int selectNode(String customer, double nowMs) {
     double draw = random.nextDouble();
     double hotNodeDraw = random.nextDouble();
@@ -74,7 +78,7 @@
       sum += isInRotation(i, nowMs) ? weights[i] : 0;
     }
     if (sum == 0) {
-      return (int) (draw * weights.length); // it knows of none: as it comes
+      return (int) (draw * weights.length); // no node is in rotation: any of them
     }
     double remaining = draw * sum;
     int chosen = 0;
@@ -90,7 +94,7 @@
     return chosen;
   }
 
-  /** Uneven, as clients are. */
+  /** Exponentially distributed, so uneven. */
   private double[] drawWeights() {
     double[] weights = new double[nodeCount];
     for (int i = 0; i < weights.length; i++) {
--- a/src/main/java/edgenode/emulator/CounterEmulator.java
+++ b/src/main/java/edgenode/emulator/CounterEmulator.java
@@ -28,32 +28,39 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for the shared counter, from the protocol page, on an event loop that is given: names
- * with a life, a bound of calls a second with a queue before it, answers in the order of the calls.
- * It can be full, fall silent, answer with noise, reset its connections, and start again empty. All
- * methods are for the loop's thread.
+ * Emulates the shared counter, from the protocol page: totals by name with a time to live, a limit
+ * of calls per second with a queue before it, answers in the order of the calls. Faults: full,
+ * silent, malformed answers, reset connections, a restart with no data. Runs on the caller's event
+ * loop; after {@link #start} all methods are for that loop's thread.
  */
 public final class CounterEmulator {
-  /** How it answers from now on. */
+  /** How the counter behaves; scenarios name the constants. */
   public enum FaultMode {
+    /** As the protocol says. */
     NORMAL,
+    /** Rejects every add with BUSY. */
     FULL,
+    /** Answers nothing; adds stay queued until the mode changes. */
     SILENT,
+    /** Answers with text that is no total. */
     NOISE
   }
 
   /**
-   * @param callsPerSecond calls that have their turn in a second
-   * @param maxQueuedCalls calls that wait for theirs; more are turned away
-   * @param maxConnections that it holds; one more is reset
+   * What the counter can do.
+   *
+   * @param callsPerSecond adds executed in a second, above 0
+   * @param maxQueuedCalls adds that wait; more are rejected with BUSY
+   * @param maxConnections one more is reset when it is opened
    */
   public record Limits(double callsPerSecond, int maxQueuedCalls, int maxConnections) {
+    /** Used unless a test says otherwise. */
     public static final Limits DEFAULT = new Limits(1000, 200, 128);
 
-    /** An edge node holds four, and four more while it moves to another address. */
+    /** An edge node opens four, and four more while it migrates to another address. */
     private static final int CONNECTIONS_PER_NODE = 8;
 
-    /** The usual one, with room for the connections of so many edge nodes. */
+    /** The default limits, with connections enough for so many edge nodes. */
     public static Limits forNodes(int nodeCount) {
       return new Limits(
           DEFAULT.callsPerSecond,
@@ -61,15 +68,17 @@
           Math.max(DEFAULT.maxConnections, CONNECTIONS_PER_NODE * nodeCount));
     }
 
+    /** Checks the ranges. */
     public Limits {
       if (!(callsPerSecond > 0 && maxQueuedCalls >= 0 && maxConnections > 0)) {
-        throw new IllegalArgumentException("a counter's size is out of range");
+        throw new IllegalArgumentException("a counter's limits are out of range");
       }
     }
   }
 
-  /** What passes on its sockets. */
+  /** Receives each add when it is executed, on the loop's thread. */
   public interface AddListener {
+    /** An amount (units) was added to a name, which now has this total. */
     void added(double nowMs, String name, double amount, double total);
   }
 
@@ -101,13 +110,19 @@
   private double nextAddAtMs;
   private boolean isAddScheduled;
 
+  /** Creates a counter that does not listen yet; {@code loop} is the caller's. */
   public CounterEmulator(EdgeEventLoop loop, Limits limits, AddListener listener) {
     this.loop = loop;
     this.limits = limits;
     this.listener = listener;
   }
 
-  /** Listens there; port 0 for any, where the kind of channel has such. */
+  /**
+   * Listens.
+   *
+   * @param bindAddress port 0 for any free port, on sockets only; this waits for the bind, so it
+   *     must not run on the loop's thread
+   */
   public CounterEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
     ChannelFuture bound =
         loop.transport()
@@ -130,18 +145,20 @@
     return this;
   }
 
+  /** Where it listens. */
   public InetSocketAddress address() {
     return address;
   }
 
   // ---- faults ----
 
-  public void setFaultMode(FaultMode newMood) {
-    faultMode = newMood;
+  /** Changes the behaviour from now on. */
+  public void setFaultMode(FaultMode newMode) {
+    faultMode = newMode;
     executeNextAdd();
   }
 
-  /** All connections are reset; what was written may have been added. */
+  /** Resets all connections; calls that were in flight may have been executed. */
   public void reset() {
     for (Connection connection : connections.toArray(new Connection[0])) {
       connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -149,13 +166,14 @@
     }
   }
 
-  /** Replaced by an empty one. */
+  /** Loses all totals and queued calls, and resets all connections. */
   public void restart() {
     totals.clear();
     pendingAdds.clear();
     reset();
   }
 
+  /** Stops listening and resets all connections. */
   public void close() {
     serverChannel.close();
     reset();
@@ -168,7 +186,7 @@
     totals.values().removeIf(total -> total.expiresAtMs <= loop.nowMs());
   }
 
-  /** One call in each 1/perSecond: the one that has waited longest. */
+  /** Executes the oldest add, one in each 1 / callsPerSecond. */
   private void executeNextAdd() {
     if (isAddScheduled || pendingAdds.isEmpty() || faultMode == FaultMode.SILENT) {
       return;
@@ -219,7 +237,7 @@
         && Long.parseLong(elements.get(3)) >= 1;
   }
 
-  /** One call's place on its connection. */
+  /** A response's place in the order of its connection. */
   private static final class PendingResponse {
     private final Connection connection;
     private RedisMessage message;
--- a/src/main/java/edgenode/emulator/CustomerClients.java
+++ b/src/main/java/edgenode/emulator/CustomerClients.java
@@ -21,31 +21,37 @@
 import java.util.Set;
 
 /**
- * Stand-in clients of an edge node, from the protocol page: they ask at the times drawn ahead,
- * whatever became of what they asked before, and a request's time counts from when it was due (no
- * coordinated omission; G. Tene). A refusal is tried again as told, a failure a few times, each
- * with a new id; a client whose patience is over closes its connection. All methods are for the
- * loop's thread.
+ * Emulates the clients of edge nodes, from the protocol page. Requests start at the times drawn
+ * ahead, whatever became of earlier ones, and latency counts from the time when a request was due
+ * (no coordinated omission; G. Tene). A rejected request is retried as Retry-After says, a failed
+ * one a few times, each with a new id; a client whose patience is over closes its connection. Runs
+ * on the caller's event loop; all methods are for that loop's thread.
  */
 public final class CustomerClients {
-  /** What became of a try. */
+  /** How an attempt ended; reports print the names. */
   public enum Fate {
+    /** Answered with a value. */
     SERVED,
+    /** Rejected with BUSY. */
     REFUSED,
+    /** Answered with another error, or with no valid response. */
     FAILED,
+    /** The connection ended before the response. */
     LOST,
+    /** The client's patience was over. */
     GIVEN_UP,
+    /** No connection could be opened. */
     NOT_CONNECTED
   }
 
-  /** Who hears what became of each try, and what passed on the clients' sockets. */
+  /** Receives how each attempt ended and what passed on the clients' sockets. */
   public interface ClientListener {
     /**
      * @param ms since it was due, for a retry since it was sent
      */
     void attemptEnded(ArrivalProcess.Arrival arrival, int retry, Fate fate, double elapsedMs);
 
-    /** A request was written, with this id and this wait (ms). */
+    /** A request was written; its client waits {@code patienceMs} more. */
     default void requestSent(
         double nowMs,
         String requestId,
@@ -54,27 +60,30 @@
         double patienceMs) {}
 
     /**
-     * A message came; for the request that was written last on that connection, whether or not it
-     * had one before.
+     * A response arrived. It counts for the request that was written last on that connection,
+     * whether or not that had a response before.
      *
      * @param kind SERVED for a value, REFUSED for {@code -BUSY}, FAILED for all else
      */
     default void responseReceived(double nowMs, String requestId, Fate kind, String text) {}
 
-    /** The edge node ended the connection while the answer was owed. */
+    /** The edge node closed the connection before it sent the response. */
     default void connectionLost(double nowMs, String requestId) {}
 
-    /** The client closed its connection and has no answer. */
+    /** The client closed its connection without a response. */
     default void gaveUp(double nowMs, String requestId) {}
   }
 
   /**
-   * Where a request goes: the edge node with its number, and the customer's set as the request
-   * names it.
+   * Where a request goes.
+   *
+   * @param node index of the edge node
+   * @param nodeSpread how many nodes the customer's requests go to, as the request says
+   * @param firstNode index of the first of them
    */
   public record Target(InetSocketAddress address, int node, int nodeSpread, int firstNode) {}
 
-  /** Chooses the edge node of each try. */
+  /** Chooses the edge node of each attempt. */
   public interface TargetSelector {
     Target select(ArrivalProcess.Arrival arrival, double nowMs);
   }
@@ -91,15 +100,14 @@
       double defaultRetryAfterMs,
       boolean honoursRetryAfter,
       double lateAnswerWaitMs) {
+    /** What clients do unless a test says otherwise. */
     public static final RetryOptions DEFAULT = new RetryOptions(2, 200, true, 0);
   }
 
   private static final int MAX_RESPONSE_ELEMENTS = 8;
   private static final int CONNECT_TIMEOUT_MS = 1000;
 
-  /**
-   * Late by more than this (ms), a due arrival is sent at once all the same; never is one left out.
-   */
+  /** An arrival that is due within this time is sent at once. */
   private static final double SEND_AHEAD_MS = 1;
 
   private final EdgeEventLoop loop;
@@ -117,7 +125,9 @@
   private long issuedIds;
 
   /**
-   * @param seed of ids and of the spread of retries
+   * Creates clients of one edge node.
+   *
+   * @param seed of the jitter of retries
    */
   public CustomerClients(
       EdgeEventLoop loop,
@@ -130,7 +140,9 @@
   }
 
   /**
-   * @param seed of the spread of retries
+   * Creates clients of several edge nodes.
+   *
+   * @param seed of the jitter of retries
    */
   public CustomerClients(
       EdgeEventLoop loop,
@@ -147,22 +159,23 @@
     random = new Random(seed);
   }
 
+  /** Starts the arrivals now. */
   public void start() {
     startedAtMs = loop.nowMs();
     sendDueArrivals(arrivals.next());
   }
 
-  /** Asks nothing more; what is open may end. */
+  /** Starts no more attempts; open ones may still end. */
   public void stop() {
     isStopped = true;
   }
 
-  /** Tries that have no end yet. */
+  /** Attempts that have not ended. */
   public int openAttempts() {
     return openAttempts;
   }
 
-  /** Asks nothing more and closes what is open: those tries are told as lost. */
+  /** Starts no more attempts and closes the connections; their attempts end as LOST. */
   public void close() {
     isStopped = true;
     for (ClientConnection connection : connections.toArray(new ClientConnection[0])) {
@@ -279,7 +292,9 @@
     connection.channel.close();
   }
 
-  /** The client of a try whose time is over goes away, where the answer has not come meanwhile. */
+  /**
+   * Closes the connection of an attempt whose patience is over, unless its response has arrived.
+   */
   private void giveUp(Attempt attempt) {
     if (attempt.connection.current == attempt) {
       listener.gaveUp(loop.nowMs(), attempt.connection.lastRequestId);
@@ -288,7 +303,7 @@
   }
 
   private final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** Where it rests between requests: with those to the same edge node. */
+    /** Idle connections to the same edge node, this one among them between requests. */
     private final ArrayDeque<ClientConnection> idleConnections;
 
     private Channel channel;
@@ -343,7 +358,7 @@
         RedisMessage message = (RedisMessage) msg;
         listener.responseReceived(loop.nowMs(), lastRequestId, fateOf(message), textOf(message));
         if (attempt == null) {
-          ctx.close(); // an answer to nothing
+          ctx.close(); // a response without a request
           return;
         }
         idleConnections.addLast(this);
@@ -367,7 +382,7 @@
               : Fate.FAILED;
     }
 
-    /** What it says: of an array its first part. */
+    /** The text of a response; of an array its first element. */
     private static String textOf(RedisMessage msg) {
       return msg instanceof ErrorRedisMessage error
           ? error.content()
--- a/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
+++ b/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * What the servers of one rack know together of keyed requests: one that begins there again within
- * the window has no second effect. Memory is bounded by what begins within a window. Not safe for
- * use by several threads.
+ * What the servers of one idempotency group know together of keyed requests: a request that starts
+ * there again within the window has no second effect. Memory is bounded by the requests of one
+ * window. Not safe for use by several threads.
  */
 public final class IdempotencyGroupModel {
   private record StartedRequest(String key, double startedAtMs) {}
@@ -19,9 +19,11 @@
   private final ArrayDeque<StartedRequest> startedInOrder = new ArrayDeque<>();
 
   /**
-   * @param site of its site
-   * @param block its number, as lists tell it
-   * @param windowMs for how long (ms) a repeat is known
+   * Creates a group without requests.
+   *
+   * @param site name of its site in the endpoint list
+   * @param block its number in the endpoint list
+   * @param windowMs how long a duplicate is recognised
    */
   public IdempotencyGroupModel(String site, int block, double windowMs) {
     this.site = site;
@@ -29,15 +31,17 @@
     this.windowMs = windowMs;
   }
 
+  /** Name of the site in the endpoint list. */
   public String site() {
     return site;
   }
 
+  /** Number of the group in the endpoint list. */
   public int block() {
     return block;
   }
 
-  /** A keyed request begins; true where it began within the window before, and so is dropped. */
+  /** Records the start of a keyed request; true where it is a duplicate within the window. */
   public boolean startOrFindDuplicate(double nowMs, String customer, String key) {
     while (!startedInOrder.isEmpty() && startedInOrder.peek().startedAtMs + windowMs <= nowMs) {
       StartedRequest expired = startedInOrder.poll();
--- a/src/main/java/edgenode/simulation/DemoCommand.java
+++ b/src/main/java/edgenode/simulation/DemoCommand.java
@@ -93,28 +93,27 @@
       out.println(LocalTime.now().truncatedTo(ChronoUnit.MILLIS) + "  " + text);
     }
 
+    private static String rejection(ReceivedCommand command) {
+      if (command.isExecuted()) {
+        return "";
+      }
+      return command.idempotencyKey() == null ? ": full" : ": full, or a repeat";
+    }
+
     @Override
-    public void commandReceived(
-        double now,
-        String server,
-        String verb,
-        String customer,
-        String id,
-        String list,
-        String key,
-        boolean ran) {
+    public void commandReceived(double now, String server, ReceivedCommand command) {
       line(
           now,
           server
               + " gets "
-              + verb
+              + command.verb()
               + " "
-              + id
+              + command.requestId()
               + " of "
-              + customer
+              + command.customer()
               + " "
-              + list
-              + (ran ? "" : key == null ? ": full" : ": full, or a repeat"));
+              + command.parameters()
+              + rejection(command));
     }
 
     @Override
--- a/src/main/java/edgenode/simulation/Recorder.java
+++ b/src/main/java/edgenode/simulation/Recorder.java
@@ -28,16 +28,10 @@
   }
 
   @Override
-  public void commandReceived(
-      double now,
-      String server,
-      String verb,
-      String customer,
-      String id,
-      String list,
-      String key,
-      boolean ran) {
-    to.accept(new Event.Came(at(now), id, server, customer, ran));
+  public void commandReceived(double now, String server, ReceivedCommand command) {
+    to.accept(
+        new Event.Came(
+            at(now), command.requestId(), server, command.customer(), command.isExecuted()));
   }
 
   @Override
--- a/src/test/java/edgenode/emulator/EmulatorTest.java
+++ b/src/test/java/edgenode/emulator/EmulatorTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** App server and counter by the protocol page, and each of their faults, over sockets. */
+/**
+ * App server and counter emulators by the protocol page, with each of their faults, over sockets.
+ */
 @Timeout(60)
 class EmulatorTest {
   private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
@@ -37,16 +39,8 @@
         }
 
         @Override
-        public void commandReceived(
-            double now,
-            String server,
-            String verb,
-            String customer,
-            String id,
-            String list,
-            String key,
-            boolean ran) {
-          events.add("came " + id + (ran ? " ran" : " not"));
+        public void commandReceived(double now, String server, ReceivedCommand command) {
+          events.add("came " + command.requestId() + (command.isExecuted() ? " ran" : " not"));
         }
 
         @Override
@@ -123,7 +117,7 @@
         events);
   }
 
-  /** The second one with its key is known in the rack, and has no effect of its own. */
+  /** The second request with the same key is known in the group and has no effect of its own. */
   @Test
   void duplicateInTheIdempotencyGroupDoesNotRun() throws Exception {
     AppServerEmulator server = server();
@@ -263,8 +257,8 @@
   }
 
   /**
-   * 100 calls a second and 5 that wait: of 50 at once 6 have their turn, in 50 ms, and in their
-   * order.
+   * With 100 calls a second and a queue of 5, of 50 calls at once 6 are executed, within 50 ms and
+   * in their order.
    */
   @Test
   void counterLimitsCallsPerSecond() throws Exception {
@@ -287,8 +281,7 @@
         }
       }
       assertTrue(
-          added >= 6 && added <= 7 && busy == 50 - added,
-          added + " added, " + busy + " turned away");
+          added >= 6 && added <= 7 && busy == 50 - added, added + " added, " + busy + " rejected");
       assertTrue(System.nanoTime() - from > 40e6, "faster than it may");
     }
   }
@@ -312,7 +305,7 @@
       runOnLoop(
           () ->
               counter.setFaultMode(
-                  CounterEmulator.FaultMode.NORMAL)); // however late, a call has its turn
+                  CounterEmulator.FaultMode.NORMAL)); // a queued call is executed however late
       assertEquals(List.of("10"), connection.readMessage());
       runOnLoop(counter::restart);
       assertTrue(connection.isClosedByPeer());
--- a/src/test/java/edgenode/simulation/DemoCommandTest.java
+++ b/src/test/java/edgenode/simulation/DemoCommandTest.java
@@ -160,20 +160,15 @@
     AppServerListener effects =
         new AppServerListener() {
           @Override
-          public void commandReceived(
-              double now,
-              String server,
-              String verb,
-              String customer,
-              String id,
-              String list,
-              String key,
-              boolean ran) {
-            if (ran && customer.equals(EmulatedWorld.CAMPUSES.get(0).id())) {
+          public void commandReceived(double now, String server, ReceivedCommand command) {
+            if (command.isExecuted()
+                && command.customer().equals(EmulatedWorld.CAMPUSES.get(0).id())) {
               small.incrementAndGet();
             }
-            if (key != null && ran) {
-              enrolled.computeIfAbsent(id, k -> new AtomicInteger()).incrementAndGet();
+            if (command.idempotencyKey() != null && command.isExecuted()) {
+              enrolled
+                  .computeIfAbsent(command.requestId(), k -> new AtomicInteger())
+                  .incrementAndGet();
             }
           }
         };
