--- a/src/main/java/edgenode/emulator/AppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/AppServerEmulator.java
@@ -217,7 +217,7 @@
                 serverChannel = bound.channel();
               } else {
                 loop.logLine(
-                    "stand-in "
+                    "emulated app server "
                         + id
                         + " cannot listen at "
                         + bindAddress
--- a/src/main/java/edgenode/emulator/ConsulEmulator.java
+++ b/src/main/java/edgenode/emulator/ConsulEmulator.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 import java.util.StringJoiner;
 
-/** A stand-in for Consul's health of a service with blocking queries, from its public pages. */
+/**
+ * Emulates the health of a service in Consul with blocking queries, from its public pages. Safe for
+ * use by several threads.
+ */
 public final class ConsulEmulator extends HttpEmulatorServer {
-  /** An instance: its check is passing, warning, critical or maintenance. */
+  /** An instance; status is passing, warning, critical or maintenance; then the weights. */
   public record Instance(
       String id, String address, int port, String status, int passing, int warning) {}
 
@@ -16,31 +19,35 @@
   private String lastToken = "";
   private String lastPath = "";
 
+  /** Listens with no instances. */
   public ConsulEmulator() throws IOException {}
 
+  /** Adds or replaces an instance and wakes blocking queries. */
   public synchronized void set(Instance instance) {
     instances.put(instance.id(), instance);
     currentIndex++;
     notifyAll();
   }
 
+  /** Removes an instance and wakes blocking queries. */
   public synchronized void remove(String id) {
     instances.remove(id);
     currentIndex++;
     notifyAll();
   }
 
-  /** Goes on from another currentIndex, as after a snapshot was restored. */
+  /** Continues from another index, as after a snapshot was restored. */
   public synchronized void setIndex(long newIndex) {
     currentIndex = newIndex;
     notifyAll();
   }
 
-  /** The lastToken and the path of the question that came last. */
+  /** The token of the last request; empty where it had none. */
   public synchronized String lastToken() {
     return lastToken;
   }
 
+  /** The path of the last request, with its query. */
   public synchronized String lastPath() {
     return lastPath;
   }
--- a/src/main/java/edgenode/emulator/CustomerClients.java
+++ b/src/main/java/edgenode/emulator/CustomerClients.java
@@ -47,7 +47,10 @@
   /** Receives how each attempt ended and what passed on the clients' sockets. */
   public interface ClientListener {
     /**
-     * @param ms since it was due, for a retry since it was sent
+     * An attempt ended.
+     *
+     * @param retry 0 for the first attempt
+     * @param elapsedMs since it was due; for a retry since it was sent
      */
     void attemptEnded(ArrivalProcess.Arrival arrival, int retry, Fate fate, double elapsedMs);
 
@@ -85,15 +88,18 @@
 
   /** Chooses the edge node of each attempt. */
   public interface TargetSelector {
+    /** The target of an attempt that starts now; {@code nowMs} is the loop's clock. */
     Target select(ArrivalProcess.Arrival arrival, double nowMs);
   }
 
   /**
-   * @param maxRetries at most, of a request that was refused or failed
-   * @param defaultRetryAfterMs where the answer says nothing of it
-   * @param honoursRetryAfter whether what an answer says of coming back is heeded
-   * @param lateAnswerWaitMs how long after its patience a client closes its connection: what comes
-   *     late can be seen
+   * How clients retry and give up.
+   *
+   * @param maxRetries of a request that was rejected or failed
+   * @param defaultRetryAfterMs backoff where the response names none
+   * @param honoursRetryAfter whether the backoff in a BUSY response is obeyed
+   * @param lateAnswerWaitMs how long a client whose patience is over keeps its connection, so that
+   *     a late response is seen
    */
   public record RetryOptions(
       int maxRetries,
--- a/src/main/java/edgenode/emulator/DiscoveryAgentEmulator.java
+++ b/src/main/java/edgenode/emulator/DiscoveryAgentEmulator.java
@@ -17,19 +17,26 @@
 import java.util.StringJoiner;
 
 /**
- * A stand-in for discovery's agent, from its protocol page: the whole list, and a watch in chunks.
- * It keeps the list with a version, and can be told to fail: to stall the sentByteCount that it
- * sends on some connections at an offset, to say nothing at all, to lag, to answer with given
- * sentByteCount. Each connection has a thread of its own; for tests and rehearsals, not for load.
+ * Emulates discovery's agent, from its protocol page: the full list, and a watch in chunks. Faults:
+ * responses that stall at an offset, silence, malformed and oversized lines, lost state. Each
+ * connection has a thread of its own: for tests, not for load. Safe for use by several threads;
+ * owns its sockets until {@link #close}.
  */
 public final class DiscoveryAgentEmulator implements Closeable {
-  /** One server in the list; site and block tell its rack. */
+  /**
+   * An entry of the endpoint list; site and block name its idempotency group.
+   *
+   * @param dial address and port
+   * @param health active, leaving or left
+   * @param bornMs start of the server in Unix ms
+   */
   public record Host(String id, String dial, String health, double bornMs, String site, int block) {
+    /** An entry in a default idempotency group. */
     public Host(String id, String dial, String health, double bornMs) {
       this(id, dial, health, bornMs, "a", 3);
     }
 
-    /** As the list has it. */
+    /** The entry as it stands in the list. */
     public String json() {
       return "{\"host\":\""
           + id
@@ -48,13 +55,13 @@
     }
   }
 
-  /** Which of the connections a fault is for. */
+  /** Which of the connections a fault is for: those that poll the list, or watches. */
   public enum ConnectionKind {
     LIST,
     WATCH
   }
 
-  /** A line every so often (ms) while nothing changes, as the protocol has it. */
+  /** Interval of empty lines on a watch without changes. */
   private static final long HEARTBEAT_MS = 2000;
 
   private final ServerSocket socket;
@@ -76,25 +83,30 @@
 
   private record Change(long seq, Host host) {}
 
+  /** Listens on 127.0.0.1 at any free port, with an empty list at this version. */
   public DiscoveryAgentEmulator(long seq) throws IOException {
     this("127.0.0.1", seq);
   }
 
+  /** Listens on this address at any free port. */
   public DiscoveryAgentEmulator(String address, long seq) throws IOException {
     this(address, 0, seq);
   }
 
   /**
-   * @param port 0 for any; one that was in use a moment ago is taken again, as by a restart
+   * Listens on this address.
+   *
+   * @param port 0 for any; one that was in use a moment ago can be bound again, as by a restart
    */
   public DiscoveryAgentEmulator(String address, int port, long seq) throws IOException {
     this.seq = seq;
     socket = new ServerSocket();
     socket.setReuseAddress(true);
     socket.bind(new InetSocketAddress(InetAddress.getByName(address), port), 128);
-    startThread("stand-in discovery", this::accept);
+    startThread("emulated discovery agent", this::accept);
   }
 
+  /** Address and port. */
   public String address() {
     return socket.getInetAddress().getHostAddress() + ":" + socket.getLocalPort();
   }
@@ -102,8 +114,8 @@
   // ---- the list ----
 
   /**
-   * Changes an entry, under a new version, and tells those that watch. Health: active, leaving or
-   * left.
+   * Changes an entry, under a new version that it returns, and notifies the watches. Health:
+   * active, leaving or left.
    */
   public synchronized long set(Host host) {
     seq++;
@@ -117,7 +129,7 @@
     return seq;
   }
 
-  /** Goes on from another version with another list, as one that lost its state. */
+  /** Continues from another version with another list, as after a loss of its state. */
   public synchronized void restart(long firstSeq, List<Host> list) {
     seq = firstSeq;
     changes.clear();
@@ -126,6 +138,7 @@
     notifyAll();
   }
 
+  /** The current version of the list. */
   public synchronized long seq() {
     return seq;
   }
@@ -133,9 +146,8 @@
   // ---- faults ----
 
   /**
-   * The next so many connections of this kind send so many sentByteCount of their answer and then
-   * nothing more, while they stay open. For a watch the sentByteCount count from the head of its
-   * chunked answer on.
+   * The next connections of this kind, so many, send {@code offset} bytes of their response and
+   * then nothing, but stay open. On a watch the bytes count from the head of its response.
    */
   public synchronized void stall(ConnectionKind kind, long offset, int connections) {
     stalledKind = kind;
@@ -143,12 +155,12 @@
     stallsLeft = connections;
   }
 
-  /** Whether the connections that were to stall have been asked. */
+  /** Whether all connections that were to stall have had their request. */
   public synchronized boolean hasStalled() {
     return stallsLeft == 0;
   }
 
-  /** Stops what is sent on the standing connections of this kind right where it is. */
+  /** Sends no more byte on the open connections of this kind. */
   public synchronized void stallNow(ConnectionKind kind) {
     for (Connection connection : connections) {
       if (connection.kind == kind) {
@@ -157,46 +169,42 @@
     }
   }
 
-  /** Sends this line on the standing watchCount, whatever it is. */
+  /** Sends this line on the open watches, whatever it is. */
   public synchronized void sendMalformedLine(String text) {
     malformedLine = text;
     malformedLineCount++;
     notifyAll();
   }
 
-  /**
-   * The next watch that is asked for gets a line of so many sentByteCount, in chunks and without an
-   * end.
-   */
+  /** The next watch gets a line of so many bytes, in chunks and without an end. */
   public synchronized void sendOversizedLine(long length) {
     oversizedLineBytes = length;
   }
 
-  /**
-   * From here on nothing is sent on any connection, until silence ends. What was to be told is told
-   * then.
-   */
+  /** Sends nothing on any connection while on; what is due is sent when it ends. */
   public synchronized void setSilent(boolean on) {
     isSilent = on;
     notifyAll();
   }
 
-  /** Closes the standing connections. */
+  /** Closes the open connections. */
   public synchronized void reset() {
     for (Connection connection : connections.toArray(new Connection[0])) {
       connection.close();
     }
   }
 
-  /** Watches that have begun, so far. */
+  /** Watches started so far. */
   public synchronized int watchCount() {
     return watchCount;
   }
 
+  /** Requests received so far. */
   public synchronized int requestCount() {
     return requestCount;
   }
 
+  /** Bytes sent so far. */
   public synchronized long sentByteCount() {
     return sentByteCount;
   }
@@ -224,7 +232,7 @@
         synchronized (this) {
           connections.add(connection);
         }
-        startThread("stand-in discovery, a connection", connection::serve);
+        startThread("emulated discovery agent, connection", connection::serve);
       }
     } catch (IOException e) {
       // closed
@@ -238,6 +246,36 @@
     return json.toString();
   }
 
+  /** Waits, at most for a heartbeat, until there is something to send on a watch. */
+  private synchronized void awaitChange(long version, int malformedLinesSeen)
+      throws InterruptedException {
+    long untilMs = System.nanoTime() / 1_000_000 + HEARTBEAT_MS;
+    while (!isClosed
+        && seq == version
+        && malformedLineCount == malformedLinesSeen
+        && System.nanoTime() / 1_000_000 < untilMs) {
+      wait(Math.max(1, untilMs - System.nanoTime() / 1_000_000));
+    }
+  }
+
+  private synchronized String changesSinceJson(long version) {
+    if (seq < version
+        || !changes.isEmpty() && changes.get(0).seq > version + 1
+        || changes.isEmpty()) {
+      return fullListJson();
+    }
+    Map<String, Host> latestById = new LinkedHashMap<>();
+    for (Change change : changes) {
+      if (change.seq > version) {
+        latestById.put(change.host.id(), change.host);
+      }
+    }
+    StringJoiner json =
+        new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[", "]}\n");
+    latestById.values().forEach(host -> json.add(host.json()));
+    return json.toString();
+  }
+
   private final class Connection {
     private final Socket socket;
     private ConnectionKind kind = ConnectionKind.LIST;
@@ -252,7 +290,7 @@
       try {
         socket.close();
       } catch (IOException e) {
-        // it is gone
+        // already closed
       }
     }
 
@@ -270,7 +308,7 @@
           answer(request);
         }
       } catch (IOException | InterruptedException e) {
-        // the other side has gone
+        // closed by the peer
       } finally {
         synchronized (DiscoveryAgentEmulator.this) {
           connections.remove(this);
@@ -302,70 +340,50 @@
       }
     }
 
-    /**
-     * The changes after a version, or the whole list where those are not known; then what comes.
-     */
+    /** The changes since a version, or the full list where those are unknown; then what comes. */
     private void watch(long since) throws IOException, InterruptedException {
       write(
           "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n");
       long at = since;
-      boolean first = true;
-      int garbledBefore;
-      long floods;
+      boolean isFirst = true;
+      int malformedLinesSeen;
+      long oversizedBytes;
       synchronized (DiscoveryAgentEmulator.this) {
-        garbledBefore = malformedLineCount;
-        floods = oversizedLineBytes;
+        malformedLinesSeen = malformedLineCount;
+        oversizedBytes = oversizedLineBytes;
         oversizedLineBytes = 0;
-      }
-      synchronized (DiscoveryAgentEmulator.this) {
         watchCount++;
       }
-      String some = "x".repeat(1 << 16);
-      for (long flooded = 0; flooded < floods; flooded += some.length()) {
-        write("10000\r\n" + some + "\r\n");
-      }
+      writeOversizedLine(oversizedBytes);
       while (true) {
         String text;
         synchronized (DiscoveryAgentEmulator.this) {
-          long until = System.nanoTime() / 1_000_000 + HEARTBEAT_MS;
-          while (!first
-              && !isClosed
-              && seq == at
-              && malformedLineCount == garbledBefore
-              && System.nanoTime() / 1_000_000 < until) {
-            DiscoveryAgentEmulator.this.wait(Math.max(1, until - System.nanoTime() / 1_000_000));
+          if (!isFirst) {
+            awaitChange(at, malformedLinesSeen);
           }
           if (isClosed) {
             return;
           }
-          if (malformedLineCount != garbledBefore) {
-            garbledBefore = malformedLineCount;
+          if (malformedLineCount != malformedLinesSeen) {
+            malformedLinesSeen = malformedLineCount;
             text = malformedLine + "\n";
-          } else if (seq == at) {
-            text = "\n";
-          } else if (seq < at
-              || !changes.isEmpty() && changes.get(0).seq > at + 1
-              || changes.isEmpty()) {
-            text = fullListJson();
           } else {
-            StringJoiner all =
-                new StringJoiner(",", "{\"seq\":" + seq + ",\"whole\":false,\"hosts\":[", "]}\n");
-            Map<String, Host> last = new LinkedHashMap<>();
-            for (Change c : changes) {
-              if (c.seq > at) {
-                last.put(c.host.id(), c.host);
-              }
-            }
-            last.values().forEach(h -> all.add(h.json()));
-            text = all.toString();
+            text = seq == at ? "\n" : changesSinceJson(at);
           }
           at = text.startsWith("{\"seq\":" + seq + ",") ? seq : at;
-          first = false;
+          isFirst = false;
         }
         write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
       }
     }
 
+    private void writeOversizedLine(long length) throws IOException, InterruptedException {
+      String chunk = "x".repeat(1 << 16);
+      for (long written = 0; written < length; written += chunk.length()) {
+        write("10000\r\n" + chunk + "\r\n");
+      }
+    }
+
     private void write(String text) throws IOException, InterruptedException {
       byte[] data = text.getBytes(StandardCharsets.US_ASCII);
       int allowed;
--- a/src/main/java/edgenode/emulator/DiscoveryEmulator.java
+++ b/src/main/java/edgenode/emulator/DiscoveryEmulator.java
@@ -33,23 +33,22 @@
 import java.util.StringJoiner;
 
 /**
- * A stand-in for discovery and its agents, from the protocol page, on an event loop that is given:
- * the list, its versions and watches. What is set comes to the agents after a lagMs. It can be
- * isSilent, stall what is out at a byte, send an empty first list, and lose its state. All methods
- * are for the loop's thread.
+ * Emulates discovery and its agents, from the protocol page: the endpoint list, its versions and
+ * watches. Changes reach the agents after a lag. Faults: silence, streams that stall at a byte, an
+ * empty first list, lost state. Runs on the caller's event loop; all methods are for that loop's
+ * thread.
  */
 public final class DiscoveryEmulator {
-  /** What passes: a change that has been written to every watch that stands. */
+  /** Receives each change once it has been written to every open watch. */
   public interface ChangeListener {
+    /** This entry changed; {@code nowMs} is the loop's clock. */
     void changeSent(double nowMs, DiscoveryAgentEmulator.Host host);
   }
 
   private static final int LISTEN_BACKLOG = 128;
   private static final double HEARTBEAT_MS = 2000;
 
-  /**
-   * Changes kept for watches that go on from an older version; before them the whole list is sent.
-   */
+  /** Changes stored for watches that resume; from an older version they get the full list. */
   private static final int MAX_CHANGES = 4096;
 
   private record Change(long seq, DiscoveryAgentEmulator.Host host) {}
@@ -64,19 +63,20 @@
   private double lagMs;
   private boolean isSilent;
 
-  /** What changed while it was isSilent, and was told to nobody. */
+  /** Changes made while silent, not yet reported to the listener. */
   private final List<DiscoveryAgentEmulator.Host> unsentChanges = new ArrayList<>();
 
   private int emptyListsLeft;
   private long nextStallAfterBytes = -1;
 
+  /** Creates an empty list at version {@code seq}; {@code loop} is the caller's. */
   public DiscoveryEmulator(EdgeEventLoop loop, long seq, ChangeListener changeListener) {
     this.loop = loop;
     this.seq = seq;
     this.changeListener = changeListener;
   }
 
-  /** Listens there. */
+  /** Listens at this address; does not wait for the bind. */
   public DiscoveryEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
     ServerBootstrap bootstrap =
         loop.transport()
@@ -99,7 +99,7 @@
                 listener = bound.channel();
               } else {
                 loop.logLine(
-                    "stand-in discovery cannot listen at "
+                    "emulated discovery cannot listen at "
                         + bindAddress
                         + ": "
                         + bound.cause().getMessage());
@@ -108,13 +108,14 @@
     return this;
   }
 
+  /** The current version of the list. */
   public long seq() {
     return seq;
   }
 
   // ---- the list ----
 
-  /** Changes an entry; agents know it after the lagMs. Health: active, leaving or left. */
+  /** Changes an entry; agents see it after the lag. Health: active, leaving or left. */
   public void set(DiscoveryAgentEmulator.Host host) {
     if (lagMs > 0) {
       loop.schedule(lagMs, () -> apply(host));
@@ -144,12 +145,12 @@
 
   // ---- faults ----
 
-  /** From now on a change is known to agents so much later (ms). */
+  /** From now on agents see a change so much later (ms). */
   public void setLag(double newLagMs) {
     lagMs = newLagMs;
   }
 
-  /** Nothing is sent until silence ends; what was to be told is told then. */
+  /** Sends nothing while on; what is due is sent when it ends. */
   public void setSilent(boolean on) {
     isSilent = on;
     if (!on) {
@@ -161,12 +162,12 @@
     }
   }
 
-  /** The next so many whole lists are empty. */
+  /** The next full lists, so many, are empty. */
   public void serveEmptyLists(int lists) {
     emptyListsLeft = lists;
   }
 
-  /** Watches that stand send so many bytes more and then nothing, while they stay open. */
+  /** Open watches send so many bytes more and then nothing, but stay open. */
   public void stallWatches(long bytes) {
     for (Connection connection : connections) {
       if (connection.watchedSeq >= 0) {
@@ -175,12 +176,12 @@
     }
   }
 
-  /** The next connection's answer stalls after so many bytes. */
+  /** The response on the next connection stalls after so many bytes. */
   public void stallNextConnection(long bytes) {
     nextStallAfterBytes = bytes;
   }
 
-  /** Its state is lost: versions start again from here, with this list. */
+  /** Loses its state: versions start again from here, with this list. */
   public void restart(long firstSeq, List<DiscoveryAgentEmulator.Host> list) {
     seq = firstSeq;
     hosts.clear();
@@ -191,6 +192,7 @@
     }
   }
 
+  /** Stops listening and closes all connections. */
   public void close() {
     if (listener != null) {
       listener.close();
@@ -233,7 +235,7 @@
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
-  /** Lets so many bytes out, and drops the rest. */
+  /** Lets so many bytes pass and drops the rest. */
   private static final class ByteLimiter extends ChannelOutboundHandlerAdapter {
     private long remainingBytes = Long.MAX_VALUE;
 
@@ -256,7 +258,7 @@
     private final Channel channel;
     private final ByteLimiter byteLimiter = new ByteLimiter();
 
-    /** The version that its watch has, or -1 where it is none. */
+    /** The version that its watch has; -1 on a connection without a watch. */
     private long watchedSeq = -1;
 
     private Runnable deferredAnswer;
--- a/src/main/java/edgenode/emulator/DnsServerEmulator.java
+++ b/src/main/java/edgenode/emulator/DnsServerEmulator.java
@@ -14,10 +14,11 @@
 import java.util.Map;
 
 /**
- * A stand-in name server over UDP on loopback that knows SRV and A records (RFC 1035, RFC 2782).
+ * Emulates a name server over UDP on loopback that knows SRV and A records (RFC 1035, RFC 2782).
+ * One thread of its own; safe for use by several threads.
  */
 public final class DnsServerEmulator implements Closeable {
-  /** An SRV record's data; ttl in seconds. */
+  /** The data of an SRV record; {@code ttl} in seconds. */
   public record Srv(int ttl, int priority, int weight, int port, String target) {}
 
   private static final int TYPE_A = 1;
@@ -34,36 +35,41 @@
   private boolean sendsAdditional;
   private int queryCount;
 
+  /** Listens on 127.0.0.1 at any free port. */
   public DnsServerEmulator() throws IOException {
-    Thread thread = new Thread(this::serve, "stand-in name server");
+    Thread thread = new Thread(this::serve, "emulated name server");
     thread.setDaemon(true);
     thread.start();
   }
 
+  /** Address and port. */
   public String address() {
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
+  /** Sets the SRV records of a name, which ends with a dot. */
   public synchronized void addService(String name, Srv... records) {
     srvRecordsByName.put(name, List.of(records));
   }
 
+  /** Sets the A record of a name, which ends with a dot. */
   public synchronized void addHost(String name, String address) {
     addressesByName.put(name, address);
   }
 
-  /** Says nothing; answers SERVFAIL; answers what is no message. */
+  /** Sets the faults: no answer, SERVFAIL, SRV data that is malformed. */
   public synchronized void setFaults(boolean isSilent, boolean isFailing, boolean isMalformed) {
     this.isSilent = isSilent;
     this.isFailing = isFailing;
     this.isMalformed = isMalformed;
   }
 
-  /** Whether the addresses of targets come along. */
+  /** Whether answers bring the addresses of targets as additional records. */
   public synchronized void setSendsAdditional(boolean on) {
     sendsAdditional = on;
   }
 
+  /** Queries received so far. */
   public synchronized int queryCount() {
     return queryCount;
   }
@@ -106,35 +112,14 @@
     List<byte[]> more = new ArrayList<>();
     int code = isFailing ? SERVFAIL : 0;
     if (!isFailing && type == TYPE_SRV && srvRecordsByName.containsKey(name.toString())) {
-      for (Srv s : srvRecordsByName.get(name.toString())) {
-        ByteArrayOutputStream data = new ByteArrayOutputStream();
-        DataOutputStream out = new DataOutputStream(data);
-        out.writeShort(s.priority);
-        out.writeShort(s.weight);
-        out.writeShort(s.port);
-        out.write(encodeName(s.target));
-        records.add(
-            encodeRecord(
-                name.toString(),
-                TYPE_SRV,
-                s.ttl,
-                isMalformed ? new byte[] {1, 2} : data.toByteArray()));
-        if (sendsAdditional && addressesByName.containsKey(s.target)) {
-          more.add(
-              encodeRecord(
-                  s.target,
-                  TYPE_A,
-                  s.ttl,
-                  InetAddress.getByName(addressesByName.get(s.target)).getAddress()));
+      for (Srv srv : srvRecordsByName.get(name.toString())) {
+        records.add(encodeSrv(name.toString(), srv));
+        if (sendsAdditional && addressesByName.containsKey(srv.target)) {
+          more.add(encodeAddress(srv.target, srv.ttl));
         }
       }
     } else if (!isFailing && type == TYPE_A && addressesByName.containsKey(name.toString())) {
-      records.add(
-          encodeRecord(
-              name.toString(),
-              TYPE_A,
-              1,
-              InetAddress.getByName(addressesByName.get(name.toString())).getAddress()));
+      records.add(encodeAddress(name.toString(), 1));
     } else if (!isFailing && !addressesByName.containsKey(name.toString())) {
       code = NXDOMAIN;
     }
@@ -156,6 +141,22 @@
     return output.toByteArray();
   }
 
+  private byte[] encodeSrv(String name, Srv srv) throws IOException {
+    ByteArrayOutputStream data = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(data);
+    out.writeShort(srv.priority);
+    out.writeShort(srv.weight);
+    out.writeShort(srv.port);
+    out.write(encodeName(srv.target));
+    byte[] content = isMalformed ? new byte[] {1, 2} : data.toByteArray();
+    return encodeRecord(name, TYPE_SRV, srv.ttl, content);
+  }
+
+  private byte[] encodeAddress(String name, int ttlSeconds) throws IOException {
+    byte[] address = InetAddress.getByName(addressesByName.get(name)).getAddress();
+    return encodeRecord(name, TYPE_A, ttlSeconds, address);
+  }
+
   private static byte[] encodeRecord(String name, int type, int ttl, byte[] data)
       throws IOException {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
--- a/src/main/java/edgenode/emulator/EdsEmulator.java
+++ b/src/main/java/edgenode/emulator/EdsEmulator.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * A stand-in for an xDS management server that serves endpoints over REST, from Envoy's public
- * pages.
+ * Emulates an xDS management server that serves endpoints over REST, from Envoy's public pages.
+ * Safe for use by several threads.
  */
 public final class EdsEmulator extends HttpEmulatorServer {
   private String version = "";
@@ -15,24 +15,26 @@
   private long nonce;
   private final List<String> requests = new ArrayList<>();
 
+  /** Listens; {@link #set} must come before the first request. */
   public EdsEmulator() throws IOException {}
 
-  /** What is served from now on: the JSON of the resources, in an array. */
+  /** What is served from now on: the resources as a JSON array. */
   public synchronized void set(String newVersion, String json) {
     version = newVersion;
     resources = json;
   }
 
+  /** Replaces the type URL of the responses. */
   public synchronized void typeUrl(String url) {
     typeUrl = url;
   }
 
-  /** The bodies of the questions so far. */
+  /** The requests so far: method, path and body. */
   public synchronized List<String> requests() {
     return List.copyOf(requests);
   }
 
-  /** One locality with endpoints, each {@code address port health weight}. */
+  /** Resources with one locality and its endpoints, each {@code address port health weight}. */
   public static String clusterJson(String name, String... endpoints) {
     StringBuilder json =
         new StringBuilder(
--- a/src/main/java/edgenode/emulator/HttpEmulatorServer.java
+++ b/src/main/java/edgenode/emulator/HttpEmulatorServer.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A small HTTP/1.1 server on loopback whose answers can be spoilt. A thread a connection; for tests
- * and rehearsals.
+ * A small HTTP/1.1 server on loopback whose responses can be given faults. A thread for each
+ * connection: for tests, not for load. Owns its sockets until {@link #close}.
  */
 public abstract class HttpEmulatorServer implements Closeable {
-  /** What becomes of the next answer. */
+  /** A fault of a response. */
   public enum Fault {
-    /** As it should be. */
+    /** None. */
     NONE,
-    /** The question is read and nothing is said, the connection stays open. */
+    /** The request is read and not answered; the connection stays open. */
     STALL,
-    /** Half the answer, and the end of the connection. */
+    /** Half of the body, then the end of the connection. */
     TRUNCATE,
     /** The connection is reset. */
     RESET,
@@ -34,15 +34,15 @@
     ERROR,
     /** A body that never ends. */
     ENDLESS_BODY,
-    /** Bytes that are no HTTP. */
+    /** Bytes that are not HTTP. */
     NOISE
   }
 
-  /** A question: method, path with its query, headers by lower-case name, body. */
+  /** A request: method, path with its query, headers by lower-case name, body. */
   protected record HttpRequest(
       String method, String path, Map<String, String> headers, String body) {}
 
-  /** An answer: status, further header lines (each with CRLF), body. */
+  /** A response: status, further header lines (each with CRLF), body. */
   protected record HttpResponse(int status, String headers, String body) {}
 
   private static final int MAX_REQUEST_BYTES = 1 << 20;
@@ -53,6 +53,7 @@
   private int faultsLeft;
   private int requestCount;
 
+  /** Listens on 127.0.0.1 at any free port. */
   protected HttpEmulatorServer() throws IOException {
     socket = new ServerSocket(0, 64, InetAddress.getByName("127.0.0.1"));
     startThread(
@@ -69,20 +70,21 @@
         });
   }
 
-  /** Answers a question; may wait. */
+  /** Answers a request, on its connection's thread; may wait. */
   protected abstract HttpResponse answer(HttpRequest request) throws InterruptedException;
 
+  /** Address and port. */
   public final String address() {
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  /** So many answers from now on are spoilt. */
+  /** Gives this fault to the next responses, so many. */
   public final synchronized void injectFault(Fault newFault, int answers) {
     fault = newFault;
     faultsLeft = answers;
   }
 
-  /** Questions so far. */
+  /** Requests received so far. */
   public final synchronized int requestCount() {
     return requestCount;
   }
@@ -101,7 +103,7 @@
   }
 
   private static void startThread(Runnable task) {
-    Thread thread = new Thread(task, "stand-in");
+    Thread thread = new Thread(task, "emulated HTTP service");
     thread.setDaemon(true);
     thread.start();
   }
@@ -153,7 +155,7 @@
         out.flush();
       }
     } catch (IOException | InterruptedException e) {
-      // the other side has gone
+      // closed by the peer
     } finally {
       connections.remove(connection);
     }
--- a/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/ThreadedAppServerEmulator.java
@@ -18,9 +18,10 @@
 import java.util.function.Consumer;
 
 /**
- * A stand-in for an app server, from the protocol page: answers each command at once with a value,
- * and tells when one came. It can die, which resets its connections and refuses new ones, and come
- * back at the same address. A thread for each connection; for tests and rehearsals, not for load.
+ * Emulates an app server, from the protocol page: answers each command at once with a value and
+ * reports when it was received. It can crash, which resets its connections and refuses new ones,
+ * and restart at the same address. A thread for each connection: for tests, not for load. Owns its
+ * sockets until {@link #close}.
  */
 public final class ThreadedAppServerEmulator implements Closeable {
   private static final byte[] PONG = "+PONG\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -29,7 +30,7 @@
   private static final byte[] VALUE =
       "*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** A command has no more words, and a word no more bytes, than these. */
+  /** Bounds of a command and of each of its elements. */
   private static final int MAX_COMMAND_ELEMENTS = 16;
 
   private static final int MAX_ELEMENT_BYTES = 64 << 10;
@@ -40,7 +41,9 @@
   private ServerSocket serverSocket;
 
   /**
-   * @param callListener hears {@link System#nanoTime} for each command that has come whole, on the
+   * Listens on 127.0.0.1 at any free port.
+   *
+   * @param callListener receives {@link System#nanoTime} for each call that is complete, on the
    *     connection's thread
    */
   public ThreadedAppServerEmulator(Consumer<Long> callListener) throws IOException {
@@ -50,11 +53,12 @@
     address = (InetSocketAddress) listening.getLocalSocketAddress();
   }
 
+  /** Address and port. */
   public String address() {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** The process dies. */
+  /** The process crashes. */
   public synchronized void crash() throws IOException {
     serverSocket.close();
     for (Socket connection : connections) {
@@ -62,7 +66,7 @@
     }
   }
 
-  /** Ends a connection with a reset; its reader may have closed it by itself at this moment. */
+  /** Resets a connection; its reader may have closed it at the same moment. */
   private static void reset(Socket connection) throws IOException {
     try {
       connection.setSoLinger(true, 0);
@@ -72,7 +76,7 @@
     connection.close();
   }
 
-  /** It starts again at its address. */
+  /** The process starts again at its address. */
   public synchronized void restart() throws IOException {
     serverSocket = listen(address);
   }
@@ -95,14 +99,14 @@
               startThread(() -> serve(connection));
             }
           } catch (IOException e) {
-            // it has died
+            // crashed
           }
         });
     return server;
   }
 
   private static void startThread(Runnable task) {
-    Thread thread = new Thread(task, "stand-in app server");
+    Thread thread = new Thread(task, "emulated app server");
     thread.setDaemon(true);
     thread.start();
   }
@@ -121,7 +125,7 @@
         }
       }
     } catch (IOException e) {
-      // the other side has gone, or this one has
+      // closed by the peer or by a crash
     } finally {
       connections.remove(connection);
     }
@@ -146,7 +150,7 @@
     int length = 0;
     for (int digit = in.read(); digit != '\r'; digit = in.read()) {
       if (prefix != kind || digit < '0' || digit > '9' || length > maximum) {
-        throw new IOException("no command");
+        throw new IOException("malformed command");
       }
       length = 10 * length + digit - '0';
     }
--- a/src/test/java/edgenode/emulator/ArrivalProcessTest.java
+++ b/src/test/java/edgenode/emulator/ArrivalProcessTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What clients ask, drawn ahead; and what a rack remembers. */
+/** Arrivals drawn ahead, and duplicates in an idempotency group. */
 class ArrivalProcessTest {
   private static final List<ArrivalProcess.Customer> CAMPUSES =
       List.of(
--- a/src/test/java/edgenode/emulator/CapacityModelTest.java
+++ b/src/test/java/edgenode/emulator/CapacityModelTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** A server's capacity: what runs, what waits, what a cold start and a neighbour take. */
+/** Processor sharing, queue, warm-up and noisy neighbour of an emulated server. */
 class CapacityModelTest {
   private static final double WARM = Double.NEGATIVE_INFINITY;
 
@@ -25,7 +25,7 @@
         new CapacityModel.Size(cores, slots, room, 10, 0.25, 1000), 1, 0, WARM);
   }
 
-  /** Lets all end; the time at which the last did. */
+  /** Runs all jobs to completion; the time of the last completion. */
   private static double drain(CapacityModel capacity) {
     double at = 0;
     for (double next = capacity.nextCompletionMs();
@@ -59,7 +59,9 @@
     }
     double end = drain(capacity);
     assertEquals(
-        end * 2, capacity.workDoneMs(end), 0.05 * end * 2); // only the last few leave a core idle
+        end * 2,
+        capacity.workDoneMs(end),
+        0.05 * end * 2); // only the last few jobs leave a core idle
     CapacityModel one = of(2, 8, 100);
     one.offer(0, "alone");
     double alone = drain(one);
@@ -115,6 +117,18 @@
         IllegalArgumentException.class, () -> new CapacityModel.Size(1, 1, 1, Double.NaN, 1, 0));
   }
 
+  /** Adds the time of completion of each job that completes until this time. */
+  private static void takeCompletedUntil(
+      CapacityModel capacity, double untilMs, Map<Integer, Double> ends) {
+    for (double next = capacity.nextCompletionMs();
+        next <= untilMs;
+        next = capacity.nextCompletionMs()) {
+      for (CapacityModel.Job job : capacity.takeCompleted(next)) {
+        ends.put((Integer) job.context, next);
+      }
+    }
+  }
+
   /**
    * Against a naive model that goes forward in steps of a hundredth of a ms: the same jobs end at
    * the same times.
@@ -140,7 +154,7 @@
       double now = tick * step;
       assertTrue(
           now < 1000,
-          "at " + now + " jobs are left: " + running.size() + " and " + capacity.runningCount());
+          "at " + now + " jobs remain: " + running.size() + " and " + capacity.runningCount());
       if (tick % 50 == 0 && tick < 3000 && random.nextInt(3) == 0) {
         boolean taken = capacity.offer(now, tick) != null;
         int there =
@@ -168,13 +182,7 @@
       while (running.size() < slots && !waiting.isEmpty()) {
         running.add(waiting.remove(0));
       }
-      for (double next = capacity.nextCompletionMs();
-          next <= now + step;
-          next = capacity.nextCompletionMs()) {
-        for (CapacityModel.Job job : capacity.takeCompleted(next)) {
-          ends.put((Integer) job.context, next);
-        }
-      }
+      takeCompletedUntil(capacity, now + step, ends);
       busy = tick < 3000 || !running.isEmpty() || capacity.runningCount() > 0;
     }
     assertEquals(
--- a/src/test/java/edgenode/emulator/ClientLoadBalancerTest.java
+++ b/src/test/java/edgenode/emulator/ClientLoadBalancerTest.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The front deals by customer, unevenly, and knows of a death only after a while. */
+/** Requests are spread by customer, unevenly; a crash is detected only after a while. */
 class ClientLoadBalancerTest {
   private static final String CUSTOMER = "00000000b4d65521";
   private final ClientLoadBalancer loadBalancer = new ClientLoadBalancer(3, 1000, 5);
