--- a/src/main/java/edgenode/emulator/AppServerEmulator.java
+++ b/src/main/java/edgenode/emulator/AppServerEmulator.java
@@ -25,296 +25,329 @@
 import java.util.Set;
 
 /**
- * A stand-in for an app server, from the protocol page, on an event loop that is given: its {@link
- * * * Capacity}, repeats dropped in its {@link IdempotencyGroupModel}, load reports that are late
- * and noisy, a bound of connections and idle ones closed. It can die and come back cold, vanish,
- * stall, lose cores, answer with noise, stop reading and fall silent. All methods are for the
+ * Emulates an app server, from the protocol page: its {@link CapacityModel}, duplicates dropped in
+ * its {@link IdempotencyGroupModel}, load reports that are late and noisy, a bound of connections,
+ * an idle timeout. Faults: crash and cold restart, silence, lost cores, malformed answers, a socket
+ * that is not read. Runs on the caller's event loop; after {@link #start} all methods are for that
  * loop's thread.
  */
 public final class AppServerEmulator {
-  /** How it answers from now on. */
-  public enum Mood {
-    /** As it should. */
-    WELL,
-    /** Takes what comes and never answers. */
+  /** How the server behaves; scenarios name the constants. */
+  public enum FaultMode {
+    /** As the protocol says. */
+    NORMAL,
+    /** Runs what it receives and never answers. */
     SILENT,
-    /** Reads nothing more. */
+    /** Does not read its connections. */
     DEAF,
-    /** Answers with bytes that are no message. */
+    /** Answers with bytes that are no valid response, then closes. */
     NOISE,
-    /** Fails everything that it has run. */
+    /** Answers an error to everything that it has run. */
     FAILING,
-    /** Finishes what it has, turns away the rest. */
+    /** Completes what it has, rejects new calls. */
     DRAINING
   }
 
   /**
-   * @param connections that it holds; one more is closed as it comes
-   * @param idleMs after which one that rests is closed
-   * @param reportEveryMs how old a load report may be
-   * @param noise by what share (0 to 1) a report's figures may be off
+   * Connection limits and the quality of load reports.
+   *
+   * @param maxConnections one more is closed when it is opened
+   * @param idleTimeoutMs after which a connection without open commands is closed
+   * @param loadReportIntervalMs how old a load report may be
+   * @param loadReportNoise largest relative error (0 to 1) of a report's figures
    */
-  public record Habits(int connections, double idleMs, double reportEveryMs, double noise) {
-    public static final Habits USUAL = new Habits(64, 15_000, 200, 0.1);
+  public record ConnectionOptions(
+      int maxConnections,
+      double idleTimeoutMs,
+      double loadReportIntervalMs,
+      double loadReportNoise) {
+    /** What an app server does unless a test says otherwise. */
+    public static final ConnectionOptions DEFAULT = new ConnectionOptions(64, 15_000, 200, 0.1);
   }
 
-  private static final int WORDS = 8;
-  private static final int BACKLOG = 256;
-  private static final double SWEEP = 500;
+  private static final int MAX_COMMAND_ELEMENTS = 8;
+  private static final int LISTEN_BACKLOG = 256;
+  private static final double IDLE_SWEEP_MS = 500;
 
   private final EdgeEventLoop loop;
   private final String id;
-  private final IdempotencyGroupModel rack;
+  private final IdempotencyGroupModel idempotencyGroup;
   private final CapacityModel.Size size;
-  private final Habits habits;
-  private final Effects effects;
+  private final ConnectionOptions options;
+  private final AppServerListener listener;
   private final Random random;
-  private final Set<Peer> peers = new LinkedHashSet<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
   private InetSocketAddress address;
-  private Channel listener;
+  private Channel serverChannel;
   private CapacityModel capacity;
-  private Mood mood = Mood.WELL;
-  private double bornAt;
-  private Future<?> timer;
-  private double timerAt = Double.POSITIVE_INFINITY;
-  private String report = "";
-  private double reportedAt = Double.NEGATIVE_INFINITY;
-  private long lives;
+  private FaultMode faultMode = FaultMode.NORMAL;
+  private double startedAtMs;
+  private Future<?> completionTimer;
+  private double completionTimerAtMs = Double.POSITIVE_INFINITY;
+  private String loadReport = "";
+  private double loadReportAtMs = Double.NEGATIVE_INFINITY;
+  private long incarnation;
 
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param loop owned by the caller; times come from its clock
+   * @param id as the endpoint list names it
+   * @param listener receives what passes on the sockets
+   * @param seed of the work of the jobs and the noise of the reports
+   */
   public AppServerEmulator(
       EdgeEventLoop loop,
       String id,
-      IdempotencyGroupModel rack,
+      IdempotencyGroupModel idempotencyGroup,
       CapacityModel.Size size,
-      Habits habits,
-      Effects effects,
+      ConnectionOptions options,
+      AppServerListener listener,
       long seed) {
     this.loop = loop;
     this.id = id;
-    this.rack = rack;
+    this.idempotencyGroup = idempotencyGroup;
     this.size = size;
-    this.habits = habits;
-    this.effects = effects;
+    this.options = options;
+    this.listener = listener;
     random = new Random(seed);
   }
 
-  /** Starts long warm and listens there; port 0 for any, where the kind of channel has such. */
-  public AppServerEmulator start(InetSocketAddress at) throws InterruptedException {
+  /**
+   * Starts fully warmed up and listens.
+   *
+   * @param bindAddress port 0 for any free port, on sockets only; this waits for the bind, so it
+   *     must not run on the loop's thread
+   */
+  public AppServerEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
     capacity = new CapacityModel(size, random.nextLong(), loop.nowMs(), Double.NEGATIVE_INFINITY);
-    address = at;
-    ChannelFuture bound = bind(at);
-    if (at.getPort() == 0) {
+    address = bindAddress;
+    ChannelFuture bound = bind(bindAddress);
+    if (bindAddress.getPort() == 0) {
       address = (InetSocketAddress) bound.sync().channel().localAddress();
     }
-    listener = bound.channel();
-    loop.execute(() -> loop.schedule(SWEEP, this::sweep));
+    serverChannel = bound.channel();
+    loop.execute(() -> loop.schedule(IDLE_SWEEP_MS, this::closeIdleConnections));
     return this;
   }
 
-  private ChannelFuture bind(InetSocketAddress at) {
+  private ChannelFuture bind(InetSocketAddress bindAddress) {
     return loop.transport()
-        .newServerBootstrap(loop.group(), BACKLOG)
+        .newServerBootstrap(loop.group(), LISTEN_BACKLOG)
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                Peer peer = new Peer(channel);
-                channel.pipeline().addLast(peer.first);
-                RespCodec.addCodec(channel.pipeline(), WORDS);
-                channel.pipeline().addLast(peer);
+                Connection connection = new Connection(channel);
+                channel.pipeline().addLast(connection.firstByteHandler);
+                RespCodec.addCodec(channel.pipeline(), MAX_COMMAND_ELEMENTS);
+                channel.pipeline().addLast(connection);
               }
             })
-        .bind(loop.transport().toSocketAddress(at));
+        .bind(loop.transport().toSocketAddress(bindAddress));
   }
 
+  /** The server's id in the endpoint list. */
   public String id() {
     return id;
   }
 
+  /** Where it listens, or did before a crash. */
   public InetSocketAddress address() {
     return address;
   }
 
-  /** As a list names it, with this health. */
+  /** Its entry in the endpoint list, with this health (active, leaving or left). */
   public DiscoveryAgentEmulator.Host entry(String health) {
     return new DiscoveryAgentEmulator.Host(
         id,
         address.getAddress().getHostAddress() + ":" + address.getPort(),
         health,
-        bornAt,
-        rack.site(),
-        rack.block());
+        startedAtMs,
+        idempotencyGroup.site(),
+        idempotencyGroup.block());
   }
 
-  public IdempotencyGroupModel rack() {
-    return rack;
+  /** The group in which duplicates of its keyed requests are known. */
+  public IdempotencyGroupModel idempotencyGroup() {
+    return idempotencyGroup;
   }
 
   // ---- faults ----
 
-  public void mood(Mood now) {
-    mood = now;
-    for (Peer peer : peers) {
-      peer.channel.config().setAutoRead(now != Mood.DEAF);
+  /** Changes the behaviour from now on, on open connections too. */
+  public void setFaultMode(FaultMode newMode) {
+    faultMode = newMode;
+    for (Connection connection : connections) {
+      connection.channel.config().setAutoRead(newMode != FaultMode.DEAF);
     }
   }
 
-  /** A neighbour takes this share of its cores, 0 to below 1. */
-  public void neighbour(double share) {
-    capacity.neighbour(loop.nowMs(), share);
-    arm();
+  /** A noisy neighbour takes this share of the cores from now on: 0 to below 1. */
+  public void setNeighbourShare(double share) {
+    capacity.setNeighbourShare(loop.nowMs(), share);
+    scheduleCompletion();
   }
 
   /**
-   * The process dies: connections are reset, what ran in it may have had its effect, new ones are
-   * refused.
+   * The process crashes: connections are reset, new ones are refused. Jobs that were running may
+   * have had their effect.
    */
-  public void die() {
-    lives++;
-    listener.close();
-    for (Peer peer : peers.toArray(new Peer[0])) {
-      peer.channel.config().setOption(ChannelOption.SO_LINGER, 0);
-      peer.channel.close();
+  public void crash() {
+    incarnation++;
+    serverChannel.close();
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
+      connection.channel.close();
     }
     capacity = new CapacityModel(size, random.nextLong(), loop.nowMs(), loop.nowMs());
-    timerAt = Double.POSITIVE_INFINITY;
+    completionTimerAtMs = Double.POSITIVE_INFINITY;
   }
 
-  /** It starts again, cold, at its address or another. */
-  public void back(InetSocketAddress at) {
-    bornAt = loop.nowMs();
-    mood = Mood.WELL;
-    capacity = new CapacityModel(size, random.nextLong(), bornAt, bornAt);
-    address = at;
-    bind(at)
+  /** The process starts again, cold, at its former address or another. */
+  public void restart(InetSocketAddress bindAddress) {
+    startedAtMs = loop.nowMs();
+    faultMode = FaultMode.NORMAL;
+    capacity = new CapacityModel(size, random.nextLong(), startedAtMs, startedAtMs);
+    address = bindAddress;
+    bind(bindAddress)
         .addListener(
-            (ChannelFuture f) -> {
-              if (f.isSuccess()) {
-                listener = f.channel();
+            (ChannelFuture bound) -> {
+              if (bound.isSuccess()) {
+                serverChannel = bound.channel();
               } else {
                 loop.logLine(
-                    "stand-in " + id + " cannot listen at " + at + ": " + f.cause().getMessage());
+                    "emulated app server "
+                        + id
+                        + " cannot listen at "
+                        + bindAddress
+                        + ": "
+                        + bound.cause().getMessage());
               }
             });
   }
 
   // ---- work ----
 
-  private void sweep() {
-    loop.schedule(SWEEP, this::sweep);
-    for (Peer peer : peers.toArray(new Peer[0])) {
-      if (peer.open.isEmpty() && loop.nowMs() - peer.usedAt > habits.idleMs) {
-        peer.channel.close();
+  private void closeIdleConnections() {
+    loop.schedule(IDLE_SWEEP_MS, this::closeIdleConnections);
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      if (connection.pendingCommands.isEmpty()
+          && loop.nowMs() - connection.lastUsedAtMs > options.idleTimeoutMs) {
+        connection.channel.close();
       }
     }
   }
 
-  /** One timer for what ends next. */
-  private void arm() {
-    double at = capacity.next();
-    if (at >= timerAt) {
+  /** Keeps one timer, for the job that completes next. */
+  private void scheduleCompletion() {
+    double completionAtMs = capacity.nextCompletionMs();
+    if (completionAtMs >= completionTimerAtMs) {
       return;
     }
-    if (timer != null) {
-      timer.cancel(false);
+    if (completionTimer != null) {
+      completionTimer.cancel(false);
     }
-    timerAt = at;
-    long life = lives;
-    timer =
+    completionTimerAtMs = completionAtMs;
+    long scheduledIncarnation = incarnation;
+    completionTimer =
         loop.schedule(
-            Math.max(0, at - loop.nowMs()),
+            Math.max(0, completionAtMs - loop.nowMs()),
             () -> {
-              if (life == lives) {
-                timerAt = Double.POSITIVE_INFINITY;
-                finish();
+              if (scheduledIncarnation == incarnation) {
+                completionTimerAtMs = Double.POSITIVE_INFINITY;
+                answerCompletedJobs();
               }
             });
   }
 
-  private void finish() {
-    for (CapacityModel.Job job : capacity.done(loop.nowMs())) {
-      Ask ask = (Ask) job.what;
-      if (mood == Mood.FAILING) {
-        ask.answer("ERR", new ErrorRedisMessage("ERR failed"));
+  private void answerCompletedJobs() {
+    for (CapacityModel.Job job : capacity.takeCompleted(loop.nowMs())) {
+      PendingCommand call = (PendingCommand) job.context;
+      if (faultMode == FaultMode.FAILING) {
+        call.answer("ERR", new ErrorRedisMessage("ERR failed"));
       } else {
-        ask.answer("value", value(ask));
+        call.answer("value", callResponse(call));
       }
     }
-    arm();
+    scheduleCompletion();
   }
 
-  private RedisMessage value(Ask ask) {
+  private RedisMessage callResponse(PendingCommand call) {
     List<RedisMessage> parts = new ArrayList<>(3);
-    Channel channel = ask.peer.channel;
-    parts.add(RespCodec.bulkString(channel.alloc(), "ok " + ask.requestId + " by " + id));
+    Channel channel = call.connection.channel;
+    parts.add(RespCodec.bulkString(channel.alloc(), "ok " + call.requestId + " by " + id));
     parts.add(FullBulkStringRedisMessage.NULL_INSTANCE);
-    parts.add(RespCodec.bulkString(channel.alloc(), report()));
+    parts.add(RespCodec.bulkString(channel.alloc(), loadReport()));
     return new ArrayRedisMessage(parts);
   }
 
-  /** Late and noisy, as real ones. */
-  private String report() {
-    if (loop.nowMs() - reportedAt >= habits.reportEveryMs) {
-      reportedAt = loop.nowMs();
-      report =
+  /** As late and as noisy as the options allow: real reports are. */
+  private String loadReport() {
+    if (loop.nowMs() - loadReportAtMs >= options.loadReportIntervalMs) {
+      loadReportAtMs = loop.nowMs();
+      loadReport =
           "inflight="
-              + noisy(capacity.running())
+              + withNoise(capacity.runningCount())
               + ",queue="
-              + noisy(capacity.waiting())
+              + withNoise(capacity.waitingCount())
               + ",util="
-              + noisy(100 * capacity.utilization()) / 100.0;
+              + withNoise(100 * capacity.utilization()) / 100.0;
     }
-    return report;
+    return loadReport;
   }
 
-  private long noisy(double figure) {
-    return Math.max(0, Math.round(figure * (1 + habits.noise * (2 * random.nextDouble() - 1))));
+  private long withNoise(double figure) {
+    return Math.max(
+        0, Math.round(figure * (1 + options.loadReportNoise * (2 * random.nextDouble() - 1))));
   }
 
-  /** One command, until its answer is written: answers go in the order of the commands. */
-  private final class Ask {
-    private final Peer peer;
+  /** A command until its response is written; responses go in the order of the commands. */
+  private final class PendingCommand {
+    private final Connection connection;
     private final String requestId;
-    private final long life = lives;
-    private RedisMessage message;
+    private final long receivedIncarnation = incarnation;
+    private RedisMessage response;
 
-    Ask(Peer peer, String requestId) {
-      this.peer = peer;
+    PendingCommand(Connection connection, String requestId) {
+      this.connection = connection;
       this.requestId = requestId;
     }
 
-    void answer(String kind, RedisMessage with) {
-      if (life != lives || mood == Mood.SILENT || !peer.channel.isActive()) {
-        ReferenceCountUtil.release(with);
+    void answer(String kind, RedisMessage newResponse) {
+      if (receivedIncarnation != incarnation
+          || faultMode == FaultMode.SILENT
+          || !connection.channel.isActive()) {
+        ReferenceCountUtil.release(newResponse);
         return;
       }
       if (requestId != null) {
-        effects.answered(loop.nowMs(), id, requestId, kind);
+        listener.responseSent(loop.nowMs(), id, requestId, kind);
       }
-      message = with;
-      peer.drain();
+      response = newResponse;
+      connection.writeReadyResponses();
     }
   }
 
-  private final class Peer extends ChannelInboundHandlerAdapter {
+  private final class Connection extends ChannelInboundHandlerAdapter {
     private final Channel channel;
-    private final ArrayDeque<Ask> open = new ArrayDeque<>();
-    private final First first = new First();
-    private double usedAt = loop.nowMs();
+    private final ArrayDeque<PendingCommand> pendingCommands = new ArrayDeque<>();
+    private final FirstByteHandler firstByteHandler = new FirstByteHandler();
+    private double lastUsedAtMs = loop.nowMs();
 
-    Peer(Channel channel) {
+    Connection(Channel channel) {
       this.channel = channel;
     }
 
-    /** Ahead of the codec: when the first byte of a command came. */
-    private final class First extends ChannelInboundHandlerAdapter {
-      private boolean begun;
+    /** Stands before the codec and notices the first byte of a command. */
+    private final class FirstByteHandler extends ChannelInboundHandlerAdapter {
+      private boolean hasSeenFirstByte;
 
       @Override
       public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        if (!begun && ((ByteBuf) msg).isReadable()) {
-          begun = true;
-          effects.began(loop.nowMs(), id);
+        if (!hasSeenFirstByte && ((ByteBuf) msg).isReadable()) {
+          hasSeenFirstByte = true;
+          listener.firstByteReceived(loop.nowMs(), id);
         }
         ctx.fireChannelRead(msg);
       }
@@ -322,34 +355,34 @@
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      if (peers.size() >= habits.connections) {
+      if (connections.size() >= options.maxConnections) {
         ctx.close();
         return;
       }
-      peers.add(this);
-      channel.config().setAutoRead(mood != Mood.DEAF);
+      connections.add(this);
+      channel.config().setAutoRead(faultMode != FaultMode.DEAF);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      peers.remove(this);
-      open.forEach(ask -> ReferenceCountUtil.release(ask.message));
-      open.clear();
+      connections.remove(this);
+      pendingCommands.forEach(pending -> ReferenceCountUtil.release(pending.response));
+      pendingCommands.clear();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      first.begun = false;
-      usedAt = loop.nowMs();
+      firstByteHandler.hasSeenFirstByte = false;
+      lastUsedAtMs = loop.nowMs();
       try {
         if (msg instanceof ArrayRedisMessage command
             && !command.isNull()
             && !command.children().isEmpty()) {
-          List<String> words = new ArrayList<>();
-          command.children().forEach(part -> words.add(String.valueOf(RespCodec.textOf(part))));
-          command(words);
+          List<String> elements = new ArrayList<>();
+          command.children().forEach(part -> elements.add(String.valueOf(RespCodec.textOf(part))));
+          handleCommand(elements);
         } else {
-          effects.malformed(loop.nowMs(), id, "no command");
+          listener.malformedCommand(loop.nowMs(), id, "no command");
           ctx.close();
         }
       } finally {
@@ -357,66 +390,70 @@
       }
     }
 
-    private void command(List<String> words) {
-      String verb = words.get(0);
-      if (mood == Mood.NOISE) {
+    private void handleCommand(List<String> elements) {
+      String verb = elements.get(0);
+      if (faultMode == FaultMode.NOISE) {
         channel
             .writeAndFlush(RespCodec.bulkString(channel.alloc(), "\u0001noise"))
             .addListener(f -> channel.close());
         return;
       }
       if (verb.equals("CALL.GET") || verb.equals("CALL.POST")) {
-        call(words);
+        handleCall(elements);
         return;
       }
-      Ask ask = new Ask(this, null);
-      open.add(ask);
+      PendingCommand pending = new PendingCommand(this, null);
+      pendingCommands.add(pending);
       switch (verb) {
-        case "PING" -> ask.answer("", new SimpleStringRedisMessage("PONG"));
-        case "INFO" -> ask.answer("", RespCodec.bulkString(channel.alloc(), report()));
-        case "CLIENT", "SELECT" -> ask.answer("", new SimpleStringRedisMessage("OK"));
-        default -> ask.answer("", new ErrorRedisMessage("ERR unknown command"));
+        case "PING" -> pending.answer("", new SimpleStringRedisMessage("PONG"));
+        case "INFO" -> pending.answer("", RespCodec.bulkString(channel.alloc(), loadReport()));
+        case "CLIENT", "SELECT" -> pending.answer("", new SimpleStringRedisMessage("OK"));
+        default -> pending.answer("", new ErrorRedisMessage("ERR unknown command"));
       }
     }
 
-    private void call(List<String> words) {
-      if (words.size() < 4 || words.size() > 5) {
-        effects.malformed(loop.nowMs(), id, String.join(" ", words));
-        Ask ask = new Ask(this, null);
-        open.add(ask);
-        ask.answer("", new ErrorRedisMessage("SYNTAX"));
+    private void handleCall(List<String> elements) {
+      if (elements.size() < 4 || elements.size() > 5) {
+        listener.malformedCommand(loop.nowMs(), id, String.join(" ", elements));
+        PendingCommand pending = new PendingCommand(this, null);
+        pendingCommands.add(pending);
+        pending.answer("", new ErrorRedisMessage("SYNTAX"));
         return;
       }
-      String customer = words.get(1);
-      String key = value(words.get(3), "k");
-      Ask ask = new Ask(this, words.get(2));
-      open.add(ask);
-      boolean full = mood == Mood.DRAINING;
-      CapacityModel.Job job = full ? null : capacity.offer(loop.nowMs(), ask);
-      boolean repeat = job != null && key != null && rack.repeated(loop.nowMs(), customer, key);
-      effects.came(
+      String customer = elements.get(1);
+      String key = parameter(elements.get(3), "k");
+      PendingCommand pending = new PendingCommand(this, elements.get(2));
+      pendingCommands.add(pending);
+      boolean isDraining = faultMode == FaultMode.DRAINING;
+      CapacityModel.Job job = isDraining ? null : capacity.offer(loop.nowMs(), pending);
+      boolean isDuplicate =
+          job != null
+              && key != null
+              && idempotencyGroup.startOrFindDuplicate(loop.nowMs(), customer, key);
+      listener.commandReceived(
           loop.nowMs(),
           id,
-          words.get(0),
-          customer,
-          words.get(2),
-          words.get(3),
-          key,
-          job != null && !repeat);
+          new AppServerListener.ReceivedCommand(
+              elements.get(0),
+              customer,
+              elements.get(2),
+              elements.get(3),
+              key,
+              job != null && !isDuplicate));
       if (job == null) {
-        ask.answer("BUSY", new ErrorRedisMessage("BUSY"));
+        pending.answer("BUSY", new ErrorRedisMessage("BUSY"));
       }
-      arm();
+      scheduleCompletion();
     }
 
-    private void drain() {
-      boolean wrote = false;
-      while (!open.isEmpty() && open.peek().message != null) {
-        channel.write(open.poll().message);
-        wrote = true;
+    private void writeReadyResponses() {
+      boolean hasWritten = false;
+      while (!pendingCommands.isEmpty() && pendingCommands.peek().response != null) {
+        channel.write(pendingCommands.poll().response);
+        hasWritten = true;
       }
-      if (wrote) {
-        usedAt = loop.nowMs();
+      if (hasWritten) {
+        lastUsedAtMs = loop.nowMs();
         channel.flush();
       }
     }
@@ -424,15 +461,15 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (!(cause instanceof java.io.IOException)) {
-        effects.malformed(loop.nowMs(), id, String.valueOf(cause.getMessage()));
+        listener.malformedCommand(loop.nowMs(), id, String.valueOf(cause.getMessage()));
       }
       ctx.close();
     }
   }
 
-  /** The value of a name in a list of names and values, or null. */
-  public static String value(String list, String name) {
-    for (String pair : list.split(",")) {
+  /** The value of a name in a list {@code a=1,b=2}; null where it is absent. */
+  public static String parameter(String parameters, String name) {
+    for (String pair : parameters.split(",")) {
       if (pair.startsWith(name)
           && pair.length() > name.length()
           && pair.charAt(name.length()) == '=') {
--- a/src/main/java/edgenode/emulator/CapacityModel.java
+++ b/src/main/java/edgenode/emulator/CapacityModel.java
@@ -7,36 +7,39 @@
 import java.util.Random;
 
 /**
- * What an app server can do: processor sharing over a part of some cores, a waiting room, a cold
- * start. A pure core: time (ms) is an argument and never goes back, chance comes from the seed; the
- * same calls give the same results.
+ * The capacity of an app server: processor sharing over some cores, a queue, a warm-up after the
+ * start. No I/O: time (ms, never decreasing) is an argument and chance comes from the seed, so the
+ * same calls give the same results. Not safe for use by several threads.
  *
  * <p>Up to {@code slots} jobs run at once and share {@code cores} cores evenly, none faster than
- * one core (generalised processor sharing; Parekh and Gallager 1993); the rest wait in order, up to
- * {@code room}. A server that has just started works at {@code coldShare} of its speed, which grows
- * evenly to all of it over {@code warmMs}. What a neighbour takes is taken from the cores. An event
- * costs O(running).
+ * one core (generalised processor sharing; Parekh and Gallager 1993); up to {@code room} more wait
+ * in order. A server that has just started works at {@code coldShare} of its speed, which grows
+ * linearly to full speed over {@code warmMs}. A noisy neighbour takes a share of the cores. An
+ * event costs O(running jobs).
  */
 public final class CapacityModel {
-  /** While the speed changes with time it is taken as steady for so long (ms). */
-  private static final double STEP = 50;
+  /** During the warm-up the speed is updated in steps of this length. */
+  private static final double RAMP_STEP_MS = 50;
 
   private static final double NEVER = Double.POSITIVE_INFINITY;
 
-  /** A rest of work (ms of one core) that is no work any more. */
-  private static final double NOTHING = 1e-9;
+  /** Remaining work (ms of one core) that counts as none. */
+  private static final double MIN_WORK_MS = 1e-9;
 
   /**
+   * The size of a server. The names of the components are part of the digests of scenario runs.
+   *
    * @param cores how many, above 0
    * @param slots jobs that run at once, 1 or more
    * @param room jobs that wait, 0 or more
    * @param workMs mean work of a job (ms of one core); drawn from an exponential distribution, at
    *     most ten times this
-   * @param coldShare of the speed that a server has when it starts, above 0 and up to 1
-   * @param warmMs until it has all of it
+   * @param coldShare share of the full speed at the start, above 0 and up to 1
+   * @param warmMs time until full speed
    */
   public record Size(
       double cores, int slots, int room, double workMs, double coldShare, double warmMs) {
+    /** Checks the ranges. */
     public Size {
       if (!(cores > 0
           && slots > 0
@@ -63,164 +66,169 @@
     }
   }
 
-  /** A job that was taken. */
+  /** A job that was accepted. */
   public static final class Job {
-    /** What it is for; the caller's. */
-    public final Object what;
+    /** The caller's own object for the job. */
+    public final Object context;
 
-    private double left;
+    private double remainingMs;
 
-    private Job(Object what, double work) {
-      this.what = what;
-      left = work;
+    private Job(Object context, double workMs) {
+      this.context = context;
+      remainingMs = workMs;
     }
   }
 
   private final Size size;
   private final Random random;
-  private final double startedAt;
-  private final List<Job> running = new ArrayList<>();
-  private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-  private final List<Job> done = new ArrayList<>();
-  private double at;
-  private double neighbour;
-  private double busy;
+  private final double startedAtMs;
+  private final List<Job> runningJobs = new ArrayList<>();
+  private final ArrayDeque<Job> waitingJobs = new ArrayDeque<>();
+  private final List<Job> completedJobs = new ArrayList<>();
+  private double nowMs;
+  private double neighbourShare;
+  private double workDoneMs;
 
   /**
-   * @param startedAt when the server started; negative infinity for long ago
+   * Creates an idle server.
+   *
+   * @param startedAtMs when the server started; negative infinity for long ago
    */
-  public CapacityModel(Size size, long seed, double now, double startedAt) {
+  public CapacityModel(Size size, long seed, double nowMs, double startedAtMs) {
     this.size = size;
-    this.startedAt = startedAt;
+    this.startedAtMs = startedAtMs;
     random = new Random(seed);
-    at = now;
+    this.nowMs = nowMs;
   }
 
-  /** A job comes; null where the waiting room is full, and nothing has run then. */
-  public Job offer(double now, Object what) {
-    pass(now);
-    if (running.size() >= size.slots && waiting.size() >= size.room) {
+  /** Accepts a job and returns it; null where the queue is full, and then nothing has run. */
+  public Job offer(double atMs, Object context) {
+    advance(atMs);
+    if (runningJobs.size() >= size.slots && waitingJobs.size() >= size.room) {
       return null;
     }
-    double work = Math.min(10 * size.workMs, -Math.log(1 - random.nextDouble()) * size.workMs);
-    Job job = new Job(what, Math.max(1e-3, work));
-    (running.size() < size.slots ? running : waiting).add(job);
+    double workMs = Math.min(10 * size.workMs, -Math.log(1 - random.nextDouble()) * size.workMs);
+    Job job = new Job(context, Math.max(1e-3, workMs));
+    (runningJobs.size() < size.slots ? runningJobs : waitingJobs).add(job);
     return job;
   }
 
-  /** A job is not wanted any more; what has run of it has run. */
-  public void drop(double now, Job job) {
-    pass(now);
-    if (!running.remove(job)) {
-      waiting.remove(job);
+  /** Cancels a job; the work that it has done stays done. */
+  public void cancel(double atMs, Job job) {
+    advance(atMs);
+    if (!runningJobs.remove(job)) {
+      waitingJobs.remove(job);
     }
-    fill();
+    startWaitingJobs();
   }
 
-  /** From now on a neighbour takes this share (0 to below 1) of the cores. */
-  public void neighbour(double now, double share) {
+  /** A noisy neighbour takes this share (0 to below 1) of the cores from now on. */
+  public void setNeighbourShare(double atMs, double share) {
     if (!(share >= 0 && share < 1)) {
       throw new IllegalArgumentException("a neighbour's share is out of range: " + share);
     }
-    pass(now);
-    neighbour = share;
+    advance(atMs);
+    neighbourShare = share;
   }
 
-  /** When {@link #done} may have something next; infinite where nothing runs. */
-  public double next() {
-    if (!done.isEmpty()) {
-      return at;
+  /** When {@link #takeCompleted} may have something next; infinite where nothing runs. */
+  public double nextCompletionMs() {
+    if (!completedJobs.isEmpty()) {
+      return nowMs;
     }
-    double least = NEVER;
-    for (Job job : running) {
-      least = Math.min(least, job.left);
+    double leastRemainingMs = NEVER;
+    for (Job job : runningJobs) {
+      leastRemainingMs = Math.min(leastRemainingMs, job.remainingMs);
     }
-    return least == NEVER ? NEVER : Math.min(at + least / rate(), changes());
+    return leastRemainingMs == NEVER
+        ? NEVER
+        : Math.min(nowMs + leastRemainingMs / workRatePerJob(), speedSteadyUntilMs());
   }
 
-  /** The jobs that have ended since the last call, in the order in which they did. */
-  public List<Job> done(double now) {
-    pass(now);
-    List<Job> all = List.copyOf(done);
-    done.clear();
-    return all;
+  /** The jobs that have completed since the last call, in the order of completion. */
+  public List<Job> takeCompleted(double atMs) {
+    advance(atMs);
+    List<Job> completed = List.copyOf(completedJobs);
+    completedJobs.clear();
+    return completed;
   }
 
-  public int running() {
-    return running.size();
+  /** Jobs that run now. */
+  public int runningCount() {
+    return runningJobs.size();
   }
 
-  public int waiting() {
-    return waiting.size();
+  /** Jobs in the queue. */
+  public int waitingCount() {
+    return waitingJobs.size();
   }
 
   /** Work done so far (ms of one core). */
-  public double busy(double now) {
-    pass(now);
-    return busy;
+  public double workDoneMs(double atMs) {
+    advance(atMs);
+    return workDoneMs;
   }
 
-  /** Of the cores that are there now, how much is in use: 0 to 1. */
+  /** The part of the available cores that is in use: 0 to 1. */
   public double utilization() {
-    return Math.min(1, running.size() / Math.max(NOTHING, cores()));
+    return Math.min(1, runningJobs.size() / Math.max(MIN_WORK_MS, availableCores()));
   }
 
-  private double cores() {
-    return size.cores * (1 - neighbour);
+  private double availableCores() {
+    return size.cores * (1 - neighbourShare);
   }
 
-  /** A core's speed now, as a part of a warm one's. */
+  /** The speed of a core now, relative to a warm one. */
   private double speed() {
-    double age = at - startedAt;
+    double age = nowMs - startedAtMs;
     return age >= size.warmMs ? 1 : size.coldShare + (1 - size.coldShare) * age / size.warmMs;
   }
 
-  /** Work that each running job gets in a ms. */
-  private double rate() {
-    return speed() * Math.min(1, cores() / running.size());
+  /** Work (ms of one core) that each running job gets in a ms. */
+  private double workRatePerJob() {
+    return speed() * Math.min(1, availableCores() / runningJobs.size());
   }
 
-  /** Until when the speed is taken as steady. */
-  private double changes() {
-    return at - startedAt >= size.warmMs ? NEVER : at + STEP;
+  /** Until when the speed counts as steady. */
+  private double speedSteadyUntilMs() {
+    return nowMs - startedAtMs >= size.warmMs ? NEVER : nowMs + RAMP_STEP_MS;
   }
 
-  /**
-   * Lets the jobs run until this time; each step goes to the next end of a job or change of speed.
-   */
-  private void pass(double now) {
-    while (at < now) {
-      if (running.isEmpty()) {
-        at = now;
+  /** Runs the jobs until this time; each step ends at the next completion or change of speed. */
+  private void advance(double untilMs) {
+    while (nowMs < untilMs) {
+      if (runningJobs.isEmpty()) {
+        nowMs = untilMs;
         return;
       }
-      double least = NEVER;
-      for (Job job : running) {
-        least = Math.min(least, job.left);
+      double leastRemainingMs = NEVER;
+      for (Job job : runningJobs) {
+        leastRemainingMs = Math.min(leastRemainingMs, job.remainingMs);
       }
-      double rate = rate();
-      double until = Math.min(Math.min(now, changes()), at + least / rate);
-      boolean ends = until >= at + least / rate;
-      double given = ends ? least : (until - at) * rate;
-      busy += given * running.size();
-      at = Math.max(until, Math.nextUp(at));
-      double nothing =
-          Math.max(NOTHING, Math.ulp(at) * rate); // less than the clock's next step can give
-      for (Iterator<Job> it = running.iterator(); it.hasNext(); ) {
-        Job job = it.next();
-        job.left -= given;
-        if (job.left <= nothing) {
-          it.remove();
-          done.add(job);
+      double rate = workRatePerJob();
+      double stepEndMs =
+          Math.min(Math.min(untilMs, speedSteadyUntilMs()), nowMs + leastRemainingMs / rate);
+      boolean isJobEnd = stepEndMs >= nowMs + leastRemainingMs / rate;
+      double workPerJobMs = isJobEnd ? leastRemainingMs : (stepEndMs - nowMs) * rate;
+      workDoneMs += workPerJobMs * runningJobs.size();
+      nowMs = Math.max(stepEndMs, Math.nextUp(nowMs));
+      double negligibleMs =
+          Math.max(MIN_WORK_MS, Math.ulp(nowMs) * rate); // less work than one step of the clock
+      for (Iterator<Job> jobs = runningJobs.iterator(); jobs.hasNext(); ) {
+        Job job = jobs.next();
+        job.remainingMs -= workPerJobMs;
+        if (job.remainingMs <= negligibleMs) {
+          jobs.remove();
+          completedJobs.add(job);
         }
       }
-      fill();
+      startWaitingJobs();
     }
   }
 
-  private void fill() {
-    while (running.size() < size.slots && !waiting.isEmpty()) {
-      running.add(waiting.poll());
+  private void startWaitingJobs() {
+    while (runningJobs.size() < size.slots && !waitingJobs.isEmpty()) {
+      runningJobs.add(waitingJobs.poll());
     }
   }
 }
--- a/src/main/java/edgenode/emulator/CounterEmulator.java
+++ b/src/main/java/edgenode/emulator/CounterEmulator.java
@@ -28,221 +28,246 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for the shared counter, from the protocol page, on an event loop that is given: names
- * with a life, a bound of calls a second with a queue before it, answers in the order of the calls.
- * It can be full, fall silent, answer with noise, reset its connections, and start again empty. All
- * methods are for the loop's thread.
+ * Emulates the shared counter, from the protocol page: totals by name with a time to live, a limit
+ * of calls per second with a queue before it, answers in the order of the calls. Faults: full,
+ * silent, malformed answers, reset connections, a restart with no data. Runs on the caller's event
+ * loop; after {@link #start} all methods are for that loop's thread.
  */
 public final class CounterEmulator {
-  /** How it answers from now on. */
-  public enum Mood {
-    WELL,
+  /** How the counter behaves; scenarios name the constants. */
+  public enum FaultMode {
+    /** As the protocol says. */
+    NORMAL,
+    /** Rejects every add with BUSY. */
     FULL,
+    /** Answers nothing; adds stay queued until the mode changes. */
     SILENT,
+    /** Answers with text that is no total. */
     NOISE
   }
 
   /**
-   * @param perSecond calls that have their turn in a second
-   * @param queue calls that wait for theirs; more are turned away
-   * @param connections that it holds; one more is reset
+   * What the counter can do.
+   *
+   * @param callsPerSecond adds executed in a second, above 0
+   * @param maxQueuedCalls adds that wait; more are rejected with BUSY
+   * @param maxConnections one more is reset when it is opened
    */
-  public record Size(double perSecond, int queue, int connections) {
-    public static final Size USUAL = new Size(1000, 200, 128);
-
-    /** An edge node holds four, and four more while it moves to another address. */
-    private static final int CONNECTIONS_A_NODE = 8;
-
-    /** The usual one, with room for the connections of so many edge nodes. */
-    public static Size of(int nodes) {
-      return new Size(
-          USUAL.perSecond, USUAL.queue, Math.max(USUAL.connections, CONNECTIONS_A_NODE * nodes));
+  public record Limits(double callsPerSecond, int maxQueuedCalls, int maxConnections) {
+    /** Used unless a test says otherwise. */
+    public static final Limits DEFAULT = new Limits(1000, 200, 128);
+
+    /** An edge node opens four, and four more while it migrates to another address. */
+    private static final int CONNECTIONS_PER_NODE = 8;
+
+    /** The default limits, with connections enough for so many edge nodes. */
+    public static Limits forNodes(int nodeCount) {
+      return new Limits(
+          DEFAULT.callsPerSecond,
+          DEFAULT.maxQueuedCalls,
+          Math.max(DEFAULT.maxConnections, CONNECTIONS_PER_NODE * nodeCount));
     }
 
-    public Size {
-      if (!(perSecond > 0 && queue >= 0 && connections > 0)) {
-        throw new IllegalArgumentException("a counter's size is out of range");
+    /** Checks the ranges. */
+    public Limits {
+      if (!(callsPerSecond > 0 && maxQueuedCalls >= 0 && maxConnections > 0)) {
+        throw new IllegalArgumentException("a counter's limits are out of range");
       }
     }
   }
 
-  /** What passes on its sockets. */
-  public interface Calls {
-    void added(double now, String name, double amount, double total);
+  /** Receives each add when it is executed, on the loop's thread. */
+  public interface AddListener {
+    /** An amount (units) was added to a name, which now has this total. */
+    void added(double nowMs, String name, double amount, double total);
   }
 
-  private static final int WORDS = 8;
-  private static final int BACKLOG = 256;
-  private static final int LONGEST_NAME = 64;
-  private static final long LONGEST_LIFE = 60_000;
-  private static final double MOST = 1e9;
-  private static final double SWEEP = 1000;
-  private static final Pattern NUMBER = Pattern.compile("-?[0-9]{1,10}(\\.[0-9]{1,9})?");
-  private static final Pattern LIFE = Pattern.compile("[0-9]{1,12}");
+  private static final int MAX_COMMAND_ELEMENTS = 8;
+  private static final int LISTEN_BACKLOG = 256;
+  private static final int MAX_NAME_BYTES = 64;
+  private static final long MAX_TTL_MS = 60_000;
+  private static final double MAX_AMOUNT = 1e9;
+  private static final double EXPIRY_SWEEP_MS = 1000;
+  private static final Pattern AMOUNT_PATTERN = Pattern.compile("-?[0-9]{1,10}(\\.[0-9]{1,9})?");
+  private static final Pattern TTL_PATTERN = Pattern.compile("[0-9]{1,12}");
 
   private static final class Total {
     double value;
-    double until;
+    double expiresAtMs;
   }
 
-  private record Turn(Call call, List<String> words) {}
+  private record PendingAdd(PendingResponse response, List<String> elements) {}
 
   private final EdgeEventLoop loop;
-  private final Size size;
-  private final Calls calls;
+  private final Limits limits;
+  private final AddListener listener;
   private final Map<String, Total> totals = new HashMap<>();
-  private final ArrayDeque<Turn> queue = new ArrayDeque<>();
-  private final Set<Peer> peers = new LinkedHashSet<>();
-  private Channel listener;
+  private final ArrayDeque<PendingAdd> pendingAdds = new ArrayDeque<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
+  private Channel serverChannel;
   private InetSocketAddress address;
-  private Mood mood = Mood.WELL;
-  private double freeAt;
-  private boolean turning;
+  private FaultMode faultMode = FaultMode.NORMAL;
+  private double nextAddAtMs;
+  private boolean isAddScheduled;
 
-  public CounterEmulator(EdgeEventLoop loop, Size size, Calls calls) {
+  /** Creates a counter that does not listen yet; {@code loop} is the caller's. */
+  public CounterEmulator(EdgeEventLoop loop, Limits limits, AddListener listener) {
     this.loop = loop;
-    this.size = size;
-    this.calls = calls;
+    this.limits = limits;
+    this.listener = listener;
   }
 
-  /** Listens there; port 0 for any, where the kind of channel has such. */
-  public CounterEmulator start(InetSocketAddress at) throws InterruptedException {
+  /**
+   * Listens.
+   *
+   * @param bindAddress port 0 for any free port, on sockets only; this waits for the bind, so it
+   *     must not run on the loop's thread
+   */
+  public CounterEmulator start(InetSocketAddress bindAddress) throws InterruptedException {
     ChannelFuture bound =
         loop.transport()
-            .newServerBootstrap(loop.group(), BACKLOG)
+            .newServerBootstrap(loop.group(), LISTEN_BACKLOG)
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    RespCodec.addCodec(channel.pipeline(), WORDS);
-                    channel.pipeline().addLast(new Peer(channel));
+                    RespCodec.addCodec(channel.pipeline(), MAX_COMMAND_ELEMENTS);
+                    channel.pipeline().addLast(new Connection(channel));
                   }
                 })
-            .bind(loop.transport().toSocketAddress(at));
-    address = at.getPort() == 0 ? (InetSocketAddress) bound.sync().channel().localAddress() : at;
-    listener = bound.channel();
-    loop.execute(() -> loop.schedule(SWEEP, this::sweep));
+            .bind(loop.transport().toSocketAddress(bindAddress));
+    address =
+        bindAddress.getPort() == 0
+            ? (InetSocketAddress) bound.sync().channel().localAddress()
+            : bindAddress;
+    serverChannel = bound.channel();
+    loop.execute(() -> loop.schedule(EXPIRY_SWEEP_MS, this::removeExpiredTotals));
     return this;
   }
 
+  /** Where it listens. */
   public InetSocketAddress address() {
     return address;
   }
 
   // ---- faults ----
 
-  public void mood(Mood now) {
-    mood = now;
-    turn();
+  /** Changes the behaviour from now on. */
+  public void setFaultMode(FaultMode newMode) {
+    faultMode = newMode;
+    executeNextAdd();
   }
 
-  /** All connections are reset; what was written may have been added. */
+  /** Resets all connections; calls that were in flight may have been executed. */
   public void reset() {
-    for (Peer peer : peers.toArray(new Peer[0])) {
-      peer.channel.config().setOption(ChannelOption.SO_LINGER, 0);
-      peer.channel.close();
+    for (Connection connection : connections.toArray(new Connection[0])) {
+      connection.channel.config().setOption(ChannelOption.SO_LINGER, 0);
+      connection.channel.close();
     }
   }
 
-  /** Replaced by an empty one. */
+  /** Loses all totals and queued calls, and resets all connections. */
   public void restart() {
     totals.clear();
-    queue.clear();
+    pendingAdds.clear();
     reset();
   }
 
+  /** Stops listening and resets all connections. */
   public void close() {
-    listener.close();
+    serverChannel.close();
     reset();
   }
 
   // ---- calls ----
 
-  private void sweep() {
-    loop.schedule(SWEEP, this::sweep);
-    totals.values().removeIf(t -> t.until <= loop.nowMs());
+  private void removeExpiredTotals() {
+    loop.schedule(EXPIRY_SWEEP_MS, this::removeExpiredTotals);
+    totals.values().removeIf(total -> total.expiresAtMs <= loop.nowMs());
   }
 
-  /** One call in each 1/perSecond: the one that has waited longest. */
-  private void turn() {
-    if (turning || queue.isEmpty() || mood == Mood.SILENT) {
+  /** Executes the oldest add, one in each 1 / callsPerSecond. */
+  private void executeNextAdd() {
+    if (isAddScheduled || pendingAdds.isEmpty() || faultMode == FaultMode.SILENT) {
       return;
     }
-    double wait = freeAt - loop.nowMs();
-    if (wait > 0) {
-      turning = true;
+    double waitMs = nextAddAtMs - loop.nowMs();
+    if (waitMs > 0) {
+      isAddScheduled = true;
       loop.schedule(
-          wait,
+          waitMs,
           () -> {
-            turning = false;
-            turn();
+            isAddScheduled = false;
+            executeNextAdd();
           });
       return;
     }
-    freeAt = Math.max(freeAt, loop.nowMs() - 1000 / size.perSecond) + 1000 / size.perSecond;
-    Turn turn = queue.poll();
-    turn.call.answer(add(turn.words));
-    turn();
+    nextAddAtMs =
+        Math.max(nextAddAtMs, loop.nowMs() - 1000 / limits.callsPerSecond)
+            + 1000 / limits.callsPerSecond;
+    PendingAdd pendingAdd = pendingAdds.poll();
+    pendingAdd.response.answer(add(pendingAdd.elements));
+    executeNextAdd();
   }
 
-  private RedisMessage add(List<String> words) {
-    String name = words.get(1);
-    double amount = Double.parseDouble(words.get(2));
-    long life = Math.min(LONGEST_LIFE, Long.parseLong(words.get(3)));
+  private RedisMessage add(List<String> elements) {
+    String name = elements.get(1);
+    double amount = Double.parseDouble(elements.get(2));
+    long ttlMs = Math.min(MAX_TTL_MS, Long.parseLong(elements.get(3)));
     Total total = totals.get(name);
-    if (total == null || total.until <= loop.nowMs()) {
+    if (total == null || total.expiresAtMs <= loop.nowMs()) {
       total = new Total();
-      total.until = loop.nowMs() + life;
+      total.expiresAtMs = loop.nowMs() + ttlMs;
       totals.put(name, total);
     }
     total.value += amount;
-    calls.added(loop.nowMs(), name, amount, total.value);
+    listener.added(loop.nowMs(), name, amount, total.value);
     String text =
         new BigDecimal(total.value, new MathContext(12)).stripTrailingZeros().toPlainString();
     return RespCodec.bulkString(Unpooled.EMPTY_BUFFER.alloc(), text);
   }
 
-  private static boolean wellFormed(List<String> words) {
-    return words.size() == 4
-        && !words.get(1).isEmpty()
-        && words.get(1).getBytes(StandardCharsets.UTF_8).length <= LONGEST_NAME
-        && NUMBER.matcher(words.get(2)).matches()
-        && Math.abs(Double.parseDouble(words.get(2))) <= MOST
-        && LIFE.matcher(words.get(3)).matches()
-        && Long.parseLong(words.get(3)) >= 1;
+  private static boolean isWellFormedAdd(List<String> elements) {
+    return elements.size() == 4
+        && !elements.get(1).isEmpty()
+        && elements.get(1).getBytes(StandardCharsets.UTF_8).length <= MAX_NAME_BYTES
+        && AMOUNT_PATTERN.matcher(elements.get(2)).matches()
+        && Math.abs(Double.parseDouble(elements.get(2))) <= MAX_AMOUNT
+        && TTL_PATTERN.matcher(elements.get(3)).matches()
+        && Long.parseLong(elements.get(3)) >= 1;
   }
 
-  /** One call's place on its connection. */
-  private static final class Call {
-    private final Peer peer;
+  /** A response's place in the order of its connection. */
+  private static final class PendingResponse {
+    private final Connection connection;
     private RedisMessage message;
 
-    Call(Peer peer) {
-      this.peer = peer;
+    PendingResponse(Connection connection) {
+      this.connection = connection;
     }
 
-    void answer(RedisMessage with) {
-      if (!peer.channel.isActive()) {
-        ReferenceCountUtil.release(with);
+    void answer(RedisMessage newMessage) {
+      if (!connection.channel.isActive()) {
+        ReferenceCountUtil.release(newMessage);
         return;
       }
-      message = with;
-      peer.drain();
+      message = newMessage;
+      connection.writeReadyResponses();
     }
   }
 
-  private final class Peer extends ChannelInboundHandlerAdapter {
+  private final class Connection extends ChannelInboundHandlerAdapter {
     private final Channel channel;
-    private final ArrayDeque<Call> open = new ArrayDeque<>();
+    private final ArrayDeque<PendingResponse> pendingResponses = new ArrayDeque<>();
 
-    Peer(Channel channel) {
+    Connection(Channel channel) {
       this.channel = channel;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      peers.add(this);
-      if (peers.size() > size.connections) {
+      connections.add(this);
+      if (connections.size() > limits.maxConnections) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         ctx.close();
       }
@@ -250,60 +275,60 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      peers.remove(this);
-      open.forEach(c -> ReferenceCountUtil.release(c.message));
-      open.clear();
+      connections.remove(this);
+      pendingResponses.forEach(response -> ReferenceCountUtil.release(response.message));
+      pendingResponses.clear();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      Call call = new Call(this);
-      open.add(call);
+      PendingResponse response = new PendingResponse(this);
+      pendingResponses.add(response);
       try {
-        List<String> words = new ArrayList<>();
+        List<String> elements = new ArrayList<>();
         if (msg instanceof ArrayRedisMessage command && !command.isNull()) {
-          command.children().forEach(part -> words.add(String.valueOf(RespCodec.textOf(part))));
+          command.children().forEach(part -> elements.add(String.valueOf(RespCodec.textOf(part))));
         }
-        command(call, words);
+        handleCommand(response, elements);
       } finally {
         ReferenceCountUtil.release(msg);
       }
     }
 
-    private void command(Call call, List<String> words) {
-      String verb = words.isEmpty() ? "" : words.get(0);
-      if (mood == Mood.NOISE) {
-        call.answer(new SimpleStringRedisMessage("noise"));
+    private void handleCommand(PendingResponse response, List<String> elements) {
+      String verb = elements.isEmpty() ? "" : elements.get(0);
+      if (faultMode == FaultMode.NOISE) {
+        response.answer(new SimpleStringRedisMessage("noise"));
         return;
       }
       switch (verb) {
         case "PING" -> {
-          if (mood != Mood.SILENT) {
-            call.answer(new SimpleStringRedisMessage("PONG"));
+          if (faultMode != FaultMode.SILENT) {
+            response.answer(new SimpleStringRedisMessage("PONG"));
           }
         }
-        case "CLIENT", "SELECT" -> call.answer(new SimpleStringRedisMessage("OK"));
+        case "CLIENT", "SELECT" -> response.answer(new SimpleStringRedisMessage("OK"));
         case "CNT.ADD" -> {
-          if (!wellFormed(words)) {
-            call.answer(new ErrorRedisMessage("ERR no such call"));
-          } else if (mood == Mood.FULL || queue.size() >= size.queue) {
-            call.answer(new ErrorRedisMessage("BUSY"));
+          if (!isWellFormedAdd(elements)) {
+            response.answer(new ErrorRedisMessage("ERR no such call"));
+          } else if (faultMode == FaultMode.FULL || pendingAdds.size() >= limits.maxQueuedCalls) {
+            response.answer(new ErrorRedisMessage("BUSY"));
           } else {
-            queue.add(new Turn(call, words));
-            turn();
+            pendingAdds.add(new PendingAdd(response, elements));
+            executeNextAdd();
           }
         }
-        default -> call.answer(new ErrorRedisMessage("ERR no such call"));
+        default -> response.answer(new ErrorRedisMessage("ERR no such call"));
       }
     }
 
-    private void drain() {
-      boolean wrote = false;
-      while (!open.isEmpty() && open.peek().message != null) {
-        channel.write(open.poll().message);
-        wrote = true;
+    private void writeReadyResponses() {
+      boolean hasWritten = false;
+      while (!pendingResponses.isEmpty() && pendingResponses.peek().message != null) {
+        channel.write(pendingResponses.poll().message);
+        hasWritten = true;
       }
-      if (wrote) {
+      if (hasWritten) {
         channel.flush();
       }
     }
--- a/src/main/java/edgenode/emulator/CustomerClients.java
+++ b/src/main/java/edgenode/emulator/CustomerClients.java
@@ -21,334 +21,375 @@
 import java.util.Set;
 
 /**
- * Stand-in clients of an edge node, from the protocol page: they ask at the times drawn ahead,
- * whatever became of what they asked before, and a request's time counts from when it was due (no
- * coordinated omission; G. Tene). A refusal is tried again as told, a failure a few times, each
- * with a new id; a client whose patience is over closes its connection. All methods are for the
- * loop's thread.
+ * Emulates the clients of edge nodes, from the protocol page. Requests start at the times drawn
+ * ahead, whatever became of earlier ones, and latency counts from the time when a request was due
+ * (no coordinated omission; G. Tene). A rejected request is retried as Retry-After says, a failed
+ * one a few times, each with a new id; a client whose patience is over closes its connection. Runs
+ * on the caller's event loop; all methods are for that loop's thread.
  */
 public final class CustomerClients {
-  /** What became of a try. */
+  /** How an attempt ended; reports print the names. */
   public enum Fate {
+    /** Answered with a value. */
     SERVED,
+    /** Rejected with BUSY. */
     REFUSED,
+    /** Answered with another error, or with no valid response. */
     FAILED,
+    /** The connection ended before the response. */
     LOST,
+    /** The client's patience was over. */
     GIVEN_UP,
+    /** No connection could be opened. */
     NOT_CONNECTED
   }
 
-  /** Who hears what became of each try, and what passed on the clients' sockets. */
-  public interface Heard {
+  /** Receives how each attempt ended and what passed on the clients' sockets. */
+  public interface ClientListener {
     /**
-     * @param ms since it was due, for a retry since it was sent
+     * An attempt ended.
+     *
+     * @param retry 0 for the first attempt
+     * @param elapsedMs since it was due; for a retry since it was sent
      */
-    void ended(ArrivalProcess.Arrival of, int retry, Fate fate, double ms);
+    void attemptEnded(ArrivalProcess.Arrival arrival, int retry, Fate fate, double elapsedMs);
 
-    /** A request was written, with this id and this wait (ms). */
-    default void asked(
-        double now, String id, ArrivalProcess.Arrival of, Way way, double patience) {}
+    /** A request was written; its client waits {@code patienceMs} more. */
+    default void requestSent(
+        double nowMs,
+        String requestId,
+        ArrivalProcess.Arrival arrival,
+        Target target,
+        double patienceMs) {}
 
     /**
-     * A message came; for the request that was written last on that connection, whether or not it
-     * had one before.
+     * A response arrived. It counts for the request that was written last on that connection,
+     * whether or not that had a response before.
      *
      * @param kind SERVED for a value, REFUSED for {@code -BUSY}, FAILED for all else
      */
-    default void message(double now, String id, Fate kind, String text) {}
+    default void responseReceived(double nowMs, String requestId, Fate kind, String text) {}
 
-    /** The edge node ended the connection while the answer was owed. */
-    default void cut(double now, String id) {}
+    /** The edge node closed the connection before it sent the response. */
+    default void connectionLost(double nowMs, String requestId) {}
 
-    /** The client closed its connection and has no answer. */
-    default void gaveUp(double now, String id) {}
+    /** The client closed its connection without a response. */
+    default void gaveUp(double nowMs, String requestId) {}
   }
 
   /**
-   * Where a request goes: the edge node with its number, and the customer's set as the request
-   * names it.
+   * Where a request goes.
+   *
+   * @param node index of the edge node
+   * @param nodeSpread how many nodes the customer's requests go to, as the request says
+   * @param firstNode index of the first of them
    */
-  public record Way(InetSocketAddress at, int node, int spread, int first) {}
+  public record Target(InetSocketAddress address, int node, int nodeSpread, int firstNode) {}
 
-  /** Chooses the edge node of each try. */
-  public interface Route {
-    Way way(ArrivalProcess.Arrival of, double now);
+  /** Chooses the edge node of each attempt. */
+  public interface TargetSelector {
+    /** The target of an attempt that starts now; {@code nowMs} is the loop's clock. */
+    Target select(ArrivalProcess.Arrival arrival, double nowMs);
   }
 
   /**
-   * @param retries at most, of a request that was refused or failed
-   * @param retryAfterMs where the answer says nothing of it
-   * @param obeys whether what an answer says of coming back is heeded
-   * @param lingerMs how long after its patience a client closes its connection: what comes late can
-   *     be seen
+   * How clients retry and give up.
+   *
+   * @param maxRetries of a request that was rejected or failed
+   * @param defaultRetryAfterMs backoff where the response names none
+   * @param honoursRetryAfter whether the backoff in a BUSY response is obeyed
+   * @param lateAnswerWaitMs how long a client whose patience is over keeps its connection, so that
+   *     a late response is seen
    */
-  public record Habits(int retries, double retryAfterMs, boolean obeys, double lingerMs) {
-    public static final Habits USUAL = new Habits(2, 200, true, 0);
+  public record RetryOptions(
+      int maxRetries,
+      double defaultRetryAfterMs,
+      boolean honoursRetryAfter,
+      double lateAnswerWaitMs) {
+    /** What clients do unless a test says otherwise. */
+    public static final RetryOptions DEFAULT = new RetryOptions(2, 200, true, 0);
   }
 
-  private static final int ELEMENTS = 8;
-  private static final int CONNECT = 1000;
+  private static final int MAX_RESPONSE_ELEMENTS = 8;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
-  /**
-   * Late by more than this (ms), a due arrival is sent at once all the same; never is one left out.
-   */
-  private static final double AHEAD = 1;
+  /** An arrival that is due within this time is sent at once. */
+  private static final double SEND_AHEAD_MS = 1;
 
   private final EdgeEventLoop loop;
   private final ArrivalProcess arrivals;
-  private final Habits habits;
-  private final Heard heard;
-  private final Route route;
+  private final RetryOptions options;
+  private final ClientListener listener;
+  private final TargetSelector targetSelector;
   private final Random random;
-  private final Map<InetSocketAddress, ArrayDeque<Line>> resting = new HashMap<>();
-  private final Set<Line> lines = new LinkedHashSet<>();
-  private double startedAt;
-  private boolean ended;
-  private int open;
-  private long ids;
+  private final Map<InetSocketAddress, ArrayDeque<ClientConnection>> idleByAddress =
+      new HashMap<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+  private double startedAtMs;
+  private boolean isStopped;
+  private int openAttempts;
+  private long issuedIds;
 
   /**
-   * @param seed of ids and of the spread of retries
+   * Creates clients of one edge node.
+   *
+   * @param seed of the jitter of retries
    */
   public CustomerClients(
       EdgeEventLoop loop,
       ArrivalProcess arrivals,
-      Habits habits,
+      RetryOptions options,
       InetSocketAddress node,
-      Heard heard,
+      ClientListener listener,
       long seed) {
-    this(loop, arrivals, habits, (of, now) -> new Way(node, 0, 1, 0), heard, seed);
+    this(loop, arrivals, options, (of, now) -> new Target(node, 0, 1, 0), listener, seed);
   }
 
   /**
-   * @param seed of the spread of retries
+   * Creates clients of several edge nodes.
+   *
+   * @param seed of the jitter of retries
    */
   public CustomerClients(
       EdgeEventLoop loop,
       ArrivalProcess arrivals,
-      Habits habits,
-      Route route,
-      Heard heard,
+      RetryOptions options,
+      TargetSelector targetSelector,
+      ClientListener listener,
       long seed) {
     this.loop = loop;
     this.arrivals = arrivals;
-    this.habits = habits;
-    this.route = route;
-    this.heard = heard;
+    this.options = options;
+    this.targetSelector = targetSelector;
+    this.listener = listener;
     random = new Random(seed);
   }
 
+  /** Starts the arrivals now. */
   public void start() {
-    startedAt = loop.nowMs();
-    due(arrivals.next());
+    startedAtMs = loop.nowMs();
+    sendDueArrivals(arrivals.next());
   }
 
-  /** Asks nothing more; what is open may end. */
+  /** Starts no more attempts; open ones may still end. */
   public void stop() {
-    ended = true;
+    isStopped = true;
   }
 
-  /** Tries that have no end yet. */
-  public int open() {
-    return open;
+  /** Attempts that have not ended. */
+  public int openAttempts() {
+    return openAttempts;
   }
 
-  /** Asks nothing more and closes what is open: those tries are told as lost. */
+  /** Starts no more attempts and closes the connections; their attempts end as LOST. */
   public void close() {
-    ended = true;
-    for (Line line : lines.toArray(new Line[0])) {
-      line.channel.close();
+    isStopped = true;
+    for (ClientConnection connection : connections.toArray(new ClientConnection[0])) {
+      connection.channel.close();
     }
   }
 
-  private void due(ArrivalProcess.Arrival next) {
-    ArrivalProcess.Arrival a = next;
-    while (!ended && startedAt + a.at() <= loop.nowMs() + AHEAD) {
-      ask(new Try(a, 0, startedAt + a.at()));
-      a = arrivals.next();
+  private void sendDueArrivals(ArrivalProcess.Arrival next) {
+    ArrivalProcess.Arrival arrival = next;
+    while (!isStopped && startedAtMs + arrival.atMs() <= loop.nowMs() + SEND_AHEAD_MS) {
+      startAttempt(new Attempt(arrival, 0, startedAtMs + arrival.atMs()));
+      arrival = arrivals.next();
     }
-    ArrivalProcess.Arrival later = a;
-    if (!ended) {
-      loop.schedule(Math.max(0, startedAt + a.at() - loop.nowMs()), () -> due(later));
+    ArrivalProcess.Arrival later = arrival;
+    if (!isStopped) {
+      loop.schedule(
+          Math.max(0, startedAtMs + arrival.atMs() - loop.nowMs()), () -> sendDueArrivals(later));
     }
   }
 
-  private final class Try {
-    private final ArrivalProcess.Arrival of;
+  private final class Attempt {
+    private final ArrivalProcess.Arrival arrival;
     private final int retry;
-    private final double from;
-    private Line line;
-    private Way way;
-    private Future<?> patience;
-    private boolean over;
-
-    Try(ArrivalProcess.Arrival of, int retry, double from) {
-      this.of = of;
+    private final double startedAtMs;
+    private ClientConnection connection;
+    private Target target;
+    private Future<?> patienceTimer;
+    private boolean isEnded;
+
+    Attempt(ArrivalProcess.Arrival arrival, int retry, double startedAtMs) {
+      this.arrival = arrival;
       this.retry = retry;
-      this.from = from;
+      this.startedAtMs = startedAtMs;
     }
 
-    private boolean lingers() {
-      return habits.lingerMs > 0 && line != null && line.current == this;
+    private boolean isAwaitingLateAnswer() {
+      return options.lateAnswerWaitMs > 0 && connection != null && connection.current == this;
     }
 
-    void end(Fate fate, double again) {
-      if (over) {
+    void end(Fate fate, double retryAfterMs) {
+      if (isEnded) {
         return;
       }
-      over = true;
-      open--;
-      patience.cancel(false);
-      heard.ended(of, retry, fate, loop.nowMs() - from);
-      if (!ended && retry < habits.retries && again >= 0) {
-        double wait = again * (0.75 + 0.5 * random.nextDouble());
-        loop.schedule(wait, () -> ask(new Try(of, retry + 1, loop.nowMs())));
+      isEnded = true;
+      openAttempts--;
+      patienceTimer.cancel(false);
+      listener.attemptEnded(arrival, retry, fate, loop.nowMs() - startedAtMs);
+      if (!isStopped && retry < options.maxRetries && retryAfterMs >= 0) {
+        double waitMs = retryAfterMs * (0.75 + 0.5 * random.nextDouble());
+        loop.schedule(waitMs, () -> startAttempt(new Attempt(arrival, retry + 1, loop.nowMs())));
       }
     }
   }
 
-  private void ask(Try t) {
-    if (ended) {
+  private void startAttempt(Attempt attempt) {
+    if (isStopped) {
       return;
     }
-    open++;
-    t.patience =
+    openAttempts++;
+    attempt.patienceTimer =
         loop.schedule(
-            t.from + t.of.kind().patienceMs() - loop.nowMs(),
+            attempt.startedAtMs + attempt.arrival.kind().patienceMs() - loop.nowMs(),
             () -> {
-              t.end(Fate.GIVEN_UP, -1);
-              if (t.lingers()) {
-                loop.schedule(habits.lingerMs, () -> leave(t));
-              } else if (t.line != null) {
-                leave(t);
+              attempt.end(Fate.GIVEN_UP, -1);
+              if (attempt.isAwaitingLateAnswer()) {
+                loop.schedule(options.lateAnswerWaitMs, () -> giveUp(attempt));
+              } else if (attempt.connection != null) {
+                giveUp(attempt);
               }
             });
-    Way way = route.way(t.of, loop.nowMs());
-    t.way = way;
-    ArrayDeque<Line> idle = resting.computeIfAbsent(way.at, at -> new ArrayDeque<>());
-    for (Line line = idle.pollLast(); line != null; line = idle.pollLast()) {
-      if (line.channel.isActive()) {
-        line.write(t);
+    Target target = targetSelector.select(attempt.arrival, loop.nowMs());
+    attempt.target = target;
+    ArrayDeque<ClientConnection> idleConnections =
+        idleByAddress.computeIfAbsent(target.address, at -> new ArrayDeque<>());
+    for (ClientConnection connection = idleConnections.pollLast();
+        connection != null;
+        connection = idleConnections.pollLast()) {
+      if (connection.channel.isActive()) {
+        connection.write(attempt);
         return;
       }
     }
-    Line line = new Line(idle);
+    ClientConnection connection = new ClientConnection(idleConnections);
     ChannelFuture connected =
         loop.transport()
-            .newClientBootstrap(loop.group(), CONNECT)
+            .newClientBootstrap(loop.group(), CONNECT_TIMEOUT_MS)
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    RespCodec.addCodec(channel.pipeline(), ELEMENTS);
-                    channel.pipeline().addLast(line);
+                    RespCodec.addCodec(channel.pipeline(), MAX_RESPONSE_ELEMENTS);
+                    channel.pipeline().addLast(connection);
                   }
                 })
-            .connect(loop.transport().toSocketAddress(way.at));
+            .connect(loop.transport().toSocketAddress(target.address));
     connected.addListener(
-        f -> {
-          if (f.isSuccess()) {
-            line.channel = connected.channel();
-            lines.add(line);
-            if (t.over) {
-              idle.addLast(line);
+        done -> {
+          if (done.isSuccess()) {
+            connection.channel = connected.channel();
+            connections.add(connection);
+            if (attempt.isEnded) {
+              idleConnections.addLast(connection);
             } else {
-              line.write(t);
+              connection.write(attempt);
             }
           } else {
-            t.end(Fate.NOT_CONNECTED, habits.retryAfterMs);
+            attempt.end(Fate.NOT_CONNECTED, options.defaultRetryAfterMs);
           }
         });
   }
 
-  private static void ended(Line line) {
-    line.current = null;
-    line.channel.close();
+  private static void isStopped(ClientConnection connection) {
+    connection.current = null;
+    connection.channel.close();
   }
 
-  /** The client of a try whose time is over goes away, where the answer has not come meanwhile. */
-  private void leave(Try t) {
-    if (t.line.current == t) {
-      heard.gaveUp(loop.nowMs(), t.line.lastId);
-      ended(t.line);
+  /**
+   * Closes the connection of an attempt whose patience is over, unless its response has arrived.
+   */
+  private void giveUp(Attempt attempt) {
+    if (attempt.connection.current == attempt) {
+      listener.gaveUp(loop.nowMs(), attempt.connection.lastRequestId);
+      isStopped(attempt.connection);
     }
   }
 
-  private final class Line extends ChannelInboundHandlerAdapter {
-    /** Where it rests between requests: with those to the same edge node. */
-    private final ArrayDeque<Line> idle;
+  private final class ClientConnection extends ChannelInboundHandlerAdapter {
+    /** Idle connections to the same edge node, this one among them between requests. */
+    private final ArrayDeque<ClientConnection> idleConnections;
 
     private Channel channel;
-    private Try current;
-    private String lastId;
+    private Attempt current;
+    private String lastRequestId;
 
-    Line(ArrayDeque<Line> idle) {
-      this.idle = idle;
+    ClientConnection(ArrayDeque<ClientConnection> idleConnections) {
+      this.idleConnections = idleConnections;
     }
 
-    void write(Try t) {
-      current = t;
-      t.line = this;
-      ArrivalProcess.Arrival a = t.of;
-      long left = Math.max(1, Math.round(t.from + a.kind().patienceMs() - loop.nowMs()));
-      String list =
+    void write(Attempt attempt) {
+      current = attempt;
+      attempt.connection = this;
+      ArrivalProcess.Arrival arrival = attempt.arrival;
+      long remainingMs =
+          Math.max(1, Math.round(attempt.startedAtMs + arrival.kind().patienceMs() - loop.nowMs()));
+      String parameters =
           "c="
-              + a.kind().name()
+              + arrival.kind().name()
               + ",t="
-              + a.campus().plan()
+              + arrival.customer().planName()
               + ",d="
-              + left
-              + (a.key() == null ? "" : ",k=" + a.key())
+              + remainingMs
+              + (arrival.idempotencyKey() == null ? "" : ",k=" + arrival.idempotencyKey())
               + ",units=1,spread="
-              + t.way.spread
+              + attempt.target.nodeSpread
               + ",first="
-              + t.way.first
-              + (t.retry > 0 ? ",r=1" : "");
-      String id = Long.toHexString(++ids);
-      lastId = id;
-      heard.asked(loop.nowMs(), id, a, t.way, left);
+              + attempt.target.firstNode
+              + (attempt.retry > 0 ? ",r=1" : "");
+      String requestId = Long.toHexString(++issuedIds);
+      lastRequestId = requestId;
+      listener.requestSent(loop.nowMs(), requestId, arrival, attempt.target, remainingMs);
       ArrayRedisMessage command =
-          a.key() == null
-              ? RespCodec.command(channel.alloc(), "CALL.GET", a.campus().customer(), id, list)
+          arrival.idempotencyKey() == null
+              ? RespCodec.command(
+                  channel.alloc(), "CALL.GET", arrival.customer().id(), requestId, parameters)
               : RespCodec.command(
-                  channel.alloc(), "CALL.POST", a.campus().customer(), id, list, "body");
+                  channel.alloc(),
+                  "CALL.POST",
+                  arrival.customer().id(),
+                  requestId,
+                  parameters,
+                  "body");
       channel.writeAndFlush(command);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-      Try t = current;
+      Attempt attempt = current;
       current = null;
       try {
         RedisMessage message = (RedisMessage) msg;
-        heard.message(loop.nowMs(), lastId, kind(message), words(message));
-        if (t == null) {
-          ctx.close(); // an answer to nothing
+        listener.responseReceived(loop.nowMs(), lastRequestId, fateOf(message), textOf(message));
+        if (attempt == null) {
+          ctx.close(); // a response without a request
           return;
         }
-        idle.addLast(this);
-        told(t, message);
+        idleConnections.addLast(this);
+        endAttempt(attempt, message);
       } finally {
         ReferenceCountUtil.release(msg);
       }
     }
 
-    private static Fate kind(RedisMessage msg) {
-      boolean value =
+    private static Fate fateOf(RedisMessage msg) {
+      boolean isValue =
           RespCodec.isBulkString(msg)
               || msg instanceof ArrayRedisMessage array
                   && !array.isNull()
                   && !array.children().isEmpty()
                   && RespCodec.isBulkString(array.children().get(0));
-      return value
+      return isValue
           ? Fate.SERVED
           : msg instanceof ErrorRedisMessage error && error.content().startsWith("BUSY")
               ? Fate.REFUSED
               : Fate.FAILED;
     }
 
-    /** What it says: of an array its first part. */
-    private static String words(RedisMessage msg) {
+    /** The text of a response; of an array its first element. */
+    private static String textOf(RedisMessage msg) {
       return msg instanceof ErrorRedisMessage error
           ? error.content()
           : msg instanceof ArrayRedisMessage array && !array.isNull() && !array.children().isEmpty()
@@ -356,34 +397,36 @@
               : String.valueOf(RespCodec.textOf(msg));
     }
 
-    private void told(Try t, RedisMessage msg) {
-      switch (kind(msg)) {
-        case SERVED -> t.end(Fate.SERVED, -1);
+    private void endAttempt(Attempt attempt, RedisMessage msg) {
+      switch (fateOf(msg)) {
+        case SERVED -> attempt.end(Fate.SERVED, -1);
         case REFUSED ->
-            t.end(Fate.REFUSED, habits.obeys ? after(((ErrorRedisMessage) msg).content()) : 0);
-        default -> t.end(Fate.FAILED, habits.retryAfterMs);
+            attempt.end(
+                Fate.REFUSED,
+                options.honoursRetryAfter ? retryAfterMs(((ErrorRedisMessage) msg).content()) : 0);
+        default -> attempt.end(Fate.FAILED, options.defaultRetryAfterMs);
       }
     }
 
-    private double after(String busy) {
+    private double retryAfterMs(String busy) {
       try {
         return busy.length() > 5
             ? Math.max(0, Double.parseDouble(busy.substring(5)))
-            : habits.retryAfterMs;
+            : options.defaultRetryAfterMs;
       } catch (NumberFormatException e) {
-        return habits.retryAfterMs;
+        return options.defaultRetryAfterMs;
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      lines.remove(this);
-      idle.remove(this);
+      connections.remove(this);
+      idleConnections.remove(this);
       if (current != null) {
-        heard.cut(loop.nowMs(), lastId);
-        Try t = current;
+        listener.connectionLost(loop.nowMs(), lastRequestId);
+        Attempt attempt = current;
         current = null;
-        t.end(Fate.LOST, habits.retryAfterMs);
+        attempt.end(Fate.LOST, options.defaultRetryAfterMs);
       }
     }
 
--- a/src/main/java/edgenode/emulator/DnsServerEmulator.java
+++ b/src/main/java/edgenode/emulator/DnsServerEmulator.java
@@ -14,58 +14,64 @@
 import java.util.Map;
 
 /**
- * A stand-in name server over UDP on loopback that knows SRV and A records (RFC 1035, RFC 2782).
+ * Emulates a name server over UDP on loopback that knows SRV and A records (RFC 1035, RFC 2782).
+ * One thread of its own; safe for use by several threads.
  */
 public final class DnsServerEmulator implements Closeable {
-  /** An SRV record's data; ttl in seconds. */
+  /** The data of an SRV record; {@code ttl} in seconds. */
   public record Srv(int ttl, int priority, int weight, int port, String target) {}
 
-  private static final int A = 1;
-  private static final int SRV = 33;
+  private static final int TYPE_A = 1;
+  private static final int TYPE_SRV = 33;
   private static final int NXDOMAIN = 3;
   private static final int SERVFAIL = 2;
-  private static final int PACKET = 4096;
+  private static final int MAX_PACKET_BYTES = 4096;
   private final DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-  private final Map<String, List<Srv>> services = new HashMap<>();
-  private final Map<String, String> hosts = new HashMap<>();
-  private boolean silent;
-  private boolean failing;
-  private boolean noise;
-  private boolean additional;
-  private int questions;
+  private final Map<String, List<Srv>> srvRecordsByName = new HashMap<>();
+  private final Map<String, String> addressesByName = new HashMap<>();
+  private boolean isSilent;
+  private boolean isFailing;
+  private boolean isMalformed;
+  private boolean sendsAdditional;
+  private int queryCount;
 
+  /** Listens on 127.0.0.1 at any free port. */
   public DnsServerEmulator() throws IOException {
-    Thread thread = new Thread(this::serve, "stand-in name server");
+    Thread thread = new Thread(this::serve, "emulated name server");
     thread.setDaemon(true);
     thread.start();
   }
 
+  /** Address and port. */
   public String address() {
     return "127.0.0.1:" + socket.getLocalPort();
   }
 
-  public synchronized void service(String name, Srv... records) {
-    services.put(name, List.of(records));
+  /** Sets the SRV records of a name, which ends with a dot. */
+  public synchronized void addService(String name, Srv... records) {
+    srvRecordsByName.put(name, List.of(records));
   }
 
-  public synchronized void host(String name, String address) {
-    hosts.put(name, address);
+  /** Sets the A record of a name, which ends with a dot. */
+  public synchronized void addHost(String name, String address) {
+    addressesByName.put(name, address);
   }
 
-  /** Says nothing; answers SERVFAIL; answers what is no message. */
-  public synchronized void fail(boolean saysNothing, boolean servfail, boolean isNoise) {
-    silent = saysNothing;
-    failing = servfail;
-    noise = isNoise;
+  /** Sets the faults: no answer, SERVFAIL, SRV data that is malformed. */
+  public synchronized void setFaults(boolean isSilent, boolean isFailing, boolean isMalformed) {
+    this.isSilent = isSilent;
+    this.isFailing = isFailing;
+    this.isMalformed = isMalformed;
   }
 
-  /** Whether the addresses of targets come along. */
-  public synchronized void additional(boolean on) {
-    additional = on;
+  /** Whether answers bring the addresses of targets as additional records. */
+  public synchronized void setSendsAdditional(boolean on) {
+    sendsAdditional = on;
   }
 
-  public synchronized int questions() {
-    return questions;
+  /** Queries received so far. */
+  public synchronized int queryCount() {
+    return queryCount;
   }
 
   @Override
@@ -74,7 +80,7 @@
   }
 
   private void serve() {
-    byte[] buffer = new byte[PACKET];
+    byte[] buffer = new byte[MAX_PACKET_BYTES];
     try {
       while (true) {
         DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
@@ -90,8 +96,8 @@
   }
 
   private synchronized byte[] answer(byte[] in, int length) throws IOException {
-    questions++;
-    if (silent) {
+    queryCount++;
+    if (isSilent) {
       return null;
     }
     StringBuilder name = new StringBuilder();
@@ -104,34 +110,21 @@
     int end = at + 5;
     List<byte[]> records = new ArrayList<>();
     List<byte[]> more = new ArrayList<>();
-    int code = failing ? SERVFAIL : 0;
-    if (!failing && type == SRV && services.containsKey(name.toString())) {
-      for (Srv s : services.get(name.toString())) {
-        ByteArrayOutputStream data = new ByteArrayOutputStream();
-        DataOutputStream out = new DataOutputStream(data);
-        out.writeShort(s.priority);
-        out.writeShort(s.weight);
-        out.writeShort(s.port);
-        out.write(encoded(s.target));
-        records.add(
-            record(name.toString(), SRV, s.ttl, noise ? new byte[] {1, 2} : data.toByteArray()));
-        if (additional && hosts.containsKey(s.target)) {
-          more.add(
-              record(s.target, A, s.ttl, InetAddress.getByName(hosts.get(s.target)).getAddress()));
+    int code = isFailing ? SERVFAIL : 0;
+    if (!isFailing && type == TYPE_SRV && srvRecordsByName.containsKey(name.toString())) {
+      for (Srv srv : srvRecordsByName.get(name.toString())) {
+        records.add(encodeSrv(name.toString(), srv));
+        if (sendsAdditional && addressesByName.containsKey(srv.target)) {
+          more.add(encodeAddress(srv.target, srv.ttl));
         }
       }
-    } else if (!failing && type == A && hosts.containsKey(name.toString())) {
-      records.add(
-          record(
-              name.toString(),
-              A,
-              1,
-              InetAddress.getByName(hosts.get(name.toString())).getAddress()));
-    } else if (!failing && !hosts.containsKey(name.toString())) {
+    } else if (!isFailing && type == TYPE_A && addressesByName.containsKey(name.toString())) {
+      records.add(encodeAddress(name.toString(), 1));
+    } else if (!isFailing && !addressesByName.containsKey(name.toString())) {
       code = NXDOMAIN;
     }
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    DataOutputStream out = new DataOutputStream(all);
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(output);
     out.write(in, 0, 2);
     out.writeShort(0x8580 | code);
     out.writeShort(1);
@@ -145,31 +138,48 @@
     for (byte[] record : more) {
       out.write(record);
     }
-    return all.toByteArray();
+    return output.toByteArray();
   }
 
-  private static byte[] record(String name, int type, int ttl, byte[] data) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    DataOutputStream out = new DataOutputStream(all);
-    out.write(encoded(name));
+  private byte[] encodeSrv(String name, Srv srv) throws IOException {
+    ByteArrayOutputStream data = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(data);
+    out.writeShort(srv.priority);
+    out.writeShort(srv.weight);
+    out.writeShort(srv.port);
+    out.write(encodeName(srv.target));
+    byte[] content = isMalformed ? new byte[] {1, 2} : data.toByteArray();
+    return encodeRecord(name, TYPE_SRV, srv.ttl, content);
+  }
+
+  private byte[] encodeAddress(String name, int ttlSeconds) throws IOException {
+    byte[] address = InetAddress.getByName(addressesByName.get(name)).getAddress();
+    return encodeRecord(name, TYPE_A, ttlSeconds, address);
+  }
+
+  private static byte[] encodeRecord(String name, int type, int ttl, byte[] data)
+      throws IOException {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    DataOutputStream out = new DataOutputStream(output);
+    out.write(encodeName(name));
     out.writeShort(type);
     out.writeShort(1);
     out.writeInt(ttl);
     out.writeShort(data.length);
     out.write(data);
-    return all.toByteArray();
+    return output.toByteArray();
   }
 
-  private static byte[] encoded(String name) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+  private static byte[] encodeName(String name) throws IOException {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
     for (String label : name.split("\\.")) {
       if (!label.isEmpty()) {
-        byte[] text = label.getBytes(StandardCharsets.US_ASCII);
-        all.write(text.length);
-        all.write(text);
+        byte[] labelBytes = label.getBytes(StandardCharsets.US_ASCII);
+        output.write(labelBytes.length);
+        output.write(labelBytes);
       }
     }
-    all.write(0);
-    return all.toByteArray();
+    output.write(0);
+    return output.toByteArray();
   }
 }
--- a/src/main/java/edgenode/emulator/EdsEmulator.java
+++ b/src/main/java/edgenode/emulator/EdsEmulator.java
@@ -5,36 +5,38 @@
 import java.util.List;
 
 /**
- * A stand-in for an xDS management server that serves endpoints over REST, from Envoy's public
- * pages.
+ * Emulates an xDS management server that serves endpoints over REST, from Envoy's public pages.
+ * Safe for use by several threads.
  */
 public final class EdsEmulator extends HttpEmulatorServer {
   private String version = "";
   private String resources = "";
-  private String type = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+  private String typeUrl = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
   private long nonce;
-  private final List<String> asked = new ArrayList<>();
+  private final List<String> requests = new ArrayList<>();
 
+  /** Listens; {@link #set} must come before the first request. */
   public EdsEmulator() throws IOException {}
 
-  /** What is served from now on: the JSON of the resources, in an array. */
+  /** What is served from now on: the resources as a JSON array. */
   public synchronized void set(String newVersion, String json) {
     version = newVersion;
     resources = json;
   }
 
-  public synchronized void type(String url) {
-    type = url;
+  /** Replaces the type URL of the responses. */
+  public synchronized void typeUrl(String url) {
+    typeUrl = url;
   }
 
-  /** The bodies of the questions so far. */
-  public synchronized List<String> asked() {
-    return List.copyOf(asked);
+  /** The requests so far: method, path and body. */
+  public synchronized List<String> requests() {
+    return List.copyOf(requests);
   }
 
-  /** One locality with endpoints, each {@code address port health weight}. */
-  public static String cluster(String name, String... endpoints) {
-    StringBuilder all =
+  /** Resources with one locality and its endpoints, each {@code address port health weight}. */
+  public static String clusterJson(String name, String... endpoints) {
+    StringBuilder json =
         new StringBuilder(
             "[{\"@type\":\"type.googleapis.com/envoy.config.endpoint.v3."
                 + "ClusterLoadAssignment\",\"cluster_name\":\""
@@ -42,28 +44,28 @@
                 + "\",\"endpoints\":[{\"locality\":"
                 + "{\"region\":\"r\",\"zone\":\"z1\"},\"priority\":0,\"lb_endpoints\":[");
     for (int i = 0; i < endpoints.length; i++) {
-      String[] e = endpoints[i].split(" ");
-      all.append(i == 0 ? "" : ",")
+      String[] fields = endpoints[i].split(" ");
+      json.append(i == 0 ? "" : ",")
           .append("{\"endpoint\":{\"address\":{\"socket_address\":{\"address\":\"")
-          .append(e[0])
+          .append(fields[0])
           .append("\",\"port_value\":")
-          .append(e[1])
+          .append(fields[1])
           .append("}}},\"health_status\":\"")
-          .append(e[2])
+          .append(fields[2])
           .append("\",\"load_balancing_weight\":")
-          .append(e[3])
+          .append(fields[3])
           .append('}');
     }
-    return all + "]}]}]";
+    return json + "]}]}]";
   }
 
   @Override
-  protected synchronized Answer answer(Question question) {
-    asked.add(question.method() + " " + question.path() + " " + question.body());
-    if (!question.method().equals("POST") || !question.path().equals("/v3/discovery:endpoints")) {
-      return new Answer(404, "", "");
+  protected synchronized HttpResponse answer(HttpRequest request) {
+    requests.add(request.method() + " " + request.path() + " " + request.body());
+    if (!request.method().equals("POST") || !request.path().equals("/v3/discovery:endpoints")) {
+      return new HttpResponse(404, "", "");
     }
-    return new Answer(
+    return new HttpResponse(
         200,
         "",
         "{\"version_info\":\""
@@ -71,7 +73,7 @@
             + "\",\"resources\":"
             + resources
             + ",\"type_url\":\""
-            + type
+            + typeUrl
             + "\",\"nonce\":\""
             + ++nonce
             + "\"}");
--- a/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
+++ b/src/main/java/edgenode/emulator/IdempotencyGroupModel.java
@@ -5,54 +5,58 @@
 import java.util.Map;
 
 /**
- * What the servers of one rack know together of keyed requests: one that begins there again within
- * the window has no second effect. Memory is bounded by what begins within a window. Not safe for
- * use by several threads.
+ * What the servers of one idempotency group know together of keyed requests: a request that starts
+ * there again within the window has no second effect. Memory is bounded by the requests of one
+ * window. Not safe for use by several threads.
  */
 public final class IdempotencyGroupModel {
-  private record Begun(String key, double at) {}
+  private record StartedRequest(String key, double startedAtMs) {}
 
-  private final String name;
+  private final String site;
   private final int block;
-  private final double window;
-  private final Map<String, Double> begun = new HashMap<>();
-  private final ArrayDeque<Begun> order = new ArrayDeque<>();
+  private final double windowMs;
+  private final Map<String, Double> startedAtByKey = new HashMap<>();
+  private final ArrayDeque<StartedRequest> startedInOrder = new ArrayDeque<>();
 
   /**
-   * @param name of its site
-   * @param block its number, as lists tell it
-   * @param window for how long (ms) a repeat is known
+   * Creates a group without requests.
+   *
+   * @param site name of its site in the endpoint list
+   * @param block its number in the endpoint list
+   * @param windowMs how long a duplicate is recognised
    */
-  public IdempotencyGroupModel(String name, int block, double window) {
-    this.name = name;
+  public IdempotencyGroupModel(String site, int block, double windowMs) {
+    this.site = site;
     this.block = block;
-    this.window = window;
+    this.windowMs = windowMs;
   }
 
+  /** Name of the site in the endpoint list. */
   public String site() {
-    return name;
+    return site;
   }
 
+  /** Number of the group in the endpoint list. */
   public int block() {
     return block;
   }
 
-  /** A keyed request begins; true where it began within the window before, and so is dropped. */
-  public boolean repeated(double now, String customer, String key) {
-    while (!order.isEmpty() && order.peek().at + window <= now) {
-      Begun old = order.poll();
-      begun.remove(old.key, old.at);
+  /** Records the start of a keyed request; true where it is a duplicate within the window. */
+  public boolean startOrFindDuplicate(double nowMs, String customer, String key) {
+    while (!startedInOrder.isEmpty() && startedInOrder.peek().startedAtMs + windowMs <= nowMs) {
+      StartedRequest expired = startedInOrder.poll();
+      startedAtByKey.remove(expired.key, expired.startedAtMs);
     }
-    String whole = customer + '/' + key;
-    if (begun.containsKey(whole)) {
+    String customerKey = customer + '/' + key;
+    if (startedAtByKey.containsKey(customerKey)) {
       return true;
     }
-    begun.put(whole, now);
-    order.add(new Begun(whole, now));
+    startedAtByKey.put(customerKey, nowMs);
+    startedInOrder.add(new StartedRequest(customerKey, nowMs));
     return false;
   }
 
-  int remembered() {
-    return order.size();
+  int cachedKeyCount() {
+    return startedInOrder.size();
   }
 }
--- a/src/main/java/edgenode/simulation/DemoCommand.java
+++ b/src/main/java/edgenode/simulation/DemoCommand.java
@@ -1,9 +1,9 @@
 package edgenode.simulation;
 
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.ArrivalProcess;
 import edgenode.emulator.CounterEmulator;
 import edgenode.emulator.CustomerClients;
-import edgenode.emulator.Effects;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -66,7 +66,7 @@
   private long seed;
 
   /** What passes, a line each, so many a second; the rest is counted. */
-  private static final class Told implements Effects {
+  private static final class Told implements AppServerListener {
     private final PrintStream out;
     private long second;
     private int lines;
@@ -93,49 +93,49 @@
       out.println(LocalTime.now().truncatedTo(ChronoUnit.MILLIS) + "  " + text);
     }
 
+    private static String rejection(ReceivedCommand command) {
+      if (command.isExecuted()) {
+        return "";
+      }
+      return command.idempotencyKey() == null ? ": full" : ": full, or a repeat";
+    }
+
     @Override
-    public void came(
-        double now,
-        String server,
-        String verb,
-        String customer,
-        String id,
-        String list,
-        String key,
-        boolean ran) {
+    public void commandReceived(double now, String server, ReceivedCommand command) {
       line(
           now,
           server
               + " gets "
-              + verb
+              + command.verb()
               + " "
-              + id
+              + command.requestId()
               + " of "
-              + customer
+              + command.customer()
               + " "
-              + list
-              + (ran ? "" : key == null ? ": full" : ": full, or a repeat"));
+              + command.parameters()
+              + rejection(command));
     }
 
     @Override
-    public void answered(double now, String server, String id, String text) {
+    public void responseSent(double now, String server, String id, String text) {
       line(now, server + " answers " + id + ": " + text);
     }
 
     @Override
-    public void malformed(double now, String server, String what) {
+    public void malformedCommand(double now, String server, String what) {
       line(now, server + " got what is no command: " + what);
     }
   }
 
   /** A second of the stand-in campuses. */
-  private static final class Tally implements CustomerClients.Heard {
+  private static final class Tally implements CustomerClients.ClientListener {
     private final int[] fates = new int[CustomerClients.Fate.values().length];
     private double[] served = new double[64];
     private int n;
 
     @Override
-    public void ended(ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
+    public void attemptEnded(
+        ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
       fates[fate.ordinal()]++;
       if (fate == CustomerClients.Fate.SERVED) {
         served = n == served.length ? Arrays.copyOf(served, 2 * n) : served;
@@ -177,12 +177,17 @@
     check("--rate", rate, 0, MOST_RATE);
     PrintStream out = System.out;
     Told told = new Told(out);
-    CounterEmulator.Calls calls = (now, name, amount, total) -> {};
+    CounterEmulator.AddListener calls = (now, name, amount, total) -> {};
     EmulatedWorld world;
     try {
       world =
           new EmulatedWorld(
-              port, servers, seed, rate == 0 ? told : new Effects() {}, calls, System.err::println);
+              port,
+              servers,
+              seed,
+              rate == 0 ? told : new AppServerListener() {},
+              calls,
+              System.err::println);
     } catch (IOException e) {
       System.err.println("demo: " + e.getMessage());
       return 2;
@@ -219,7 +224,7 @@
   private void greet(PrintStream out, EmulatedWorld world) {
     InetSocketAddress at = world.address();
     String list = "c=seat-lookup,t=estandar,d=900,units=1,spread=1,first=0";
-    String customer = EmulatedWorld.CAMPUSES.get(1).customer();
+    String customer = EmulatedWorld.CAMPUSES.get(1).id();
     out.println("edge node   " + at.getAddress().getHostAddress() + ":" + at.getPort());
     world
         .servers()
@@ -231,7 +236,7 @@
                         + " 127.0.0.1:"
                         + s.address().getPort()
                         + ", rack "
-                        + s.rack().site()));
+                        + s.idempotencyGroup().site()));
     out.println("discovery   " + world.discovery().address());
     out.println("counter     127.0.0.1:" + world.counter().address().getPort());
     out.println();
@@ -265,7 +270,12 @@
     Tally tally = new Tally();
     CustomerClients clients =
         new CustomerClients(
-            world.loop(), arrivals, CustomerClients.Habits.USUAL, world.address(), tally, seed);
+            world.loop(),
+            arrivals,
+            CustomerClients.RetryOptions.DEFAULT,
+            world.address(),
+            tally,
+            seed);
     world.loop().execute(clients::start);
     world.loop().execute(() -> second(world, tally, told));
   }
--- a/src/test/java/edgenode/emulator/CapacityModelTest.java
+++ b/src/test/java/edgenode/emulator/CapacityModelTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** A server's capacity: what runs, what waits, what a cold start and a neighbour take. */
+/** Processor sharing, queue, warm-up and noisy neighbour of an emulated server. */
 class CapacityModelTest {
   private static final double WARM = Double.NEGATIVE_INFINITY;
 
@@ -25,55 +25,60 @@
         new CapacityModel.Size(cores, slots, room, 10, 0.25, 1000), 1, 0, WARM);
   }
 
-  /** Lets all end; the time at which the last did. */
-  private static double drain(CapacityModel c) {
+  /** Runs all jobs to completion; the time of the last completion. */
+  private static double drain(CapacityModel capacity) {
     double at = 0;
-    for (double next = c.next(); next < Double.POSITIVE_INFINITY; next = c.next()) {
+    for (double next = capacity.nextCompletionMs();
+        next < Double.POSITIVE_INFINITY;
+        next = capacity.nextCompletionMs()) {
       at = next;
-      c.done(next);
+      capacity.takeCompleted(next);
     }
     return at;
   }
 
   @Test
-  void whatDoesNotFitIsTurnedAway() {
-    CapacityModel c = of(1, 2, 3);
+  void jobsOverTheCapacityAreRejected() {
+    CapacityModel capacity = of(1, 2, 3);
     for (int i = 0; i < 5; i++) {
-      assertNotNull(c.offer(0, i));
+      assertNotNull(capacity.offer(0, i));
     }
-    assertNull(c.offer(0, 5));
-    assertEquals(2, c.running());
-    assertEquals(3, c.waiting());
+    assertNull(capacity.offer(0, 5));
+    assertEquals(2, capacity.runningCount());
+    assertEquals(3, capacity.waitingCount());
   }
 
   /**
    * All the work is done, no faster than the cores can, and those that wait begin in their order.
    */
   @Test
-  void theCoresAreShared() {
-    CapacityModel c = of(2, 8, 100);
+  void runningJobsShareTheCores() {
+    CapacityModel capacity = of(2, 8, 100);
     for (int i = 0; i < 100; i++) {
-      c.offer(0, i);
+      capacity.offer(0, i);
     }
-    double end = drain(c);
-    assertEquals(end * 2, c.busy(end), 0.05 * end * 2); // only the last few leave a core idle
+    double end = drain(capacity);
+    assertEquals(
+        end * 2,
+        capacity.workDoneMs(end),
+        0.05 * end * 2); // only the last few jobs leave a core idle
     CapacityModel one = of(2, 8, 100);
     one.offer(0, "alone");
     double alone = drain(one);
-    assertEquals(alone, one.busy(alone), 1e-6); // no job is faster than one core
+    assertEquals(alone, one.workDoneMs(alone), 1e-6); // no job is faster than one core
   }
 
   @Test
-  void aNeighbourTakesItsShare() {
+  void noisyNeighbourTakesItsShareOfTheCores() {
     CapacityModel free = of(1, 1, 200);
     CapacityModel crowded = of(1, 1, 200);
-    crowded.neighbour(0, 0.75);
+    crowded.setNeighbourShare(0, 0.75);
     for (int i = 0; i < 200; i++) {
       free.offer(0, i);
       crowded.offer(0, i);
     }
     assertEquals(4 * drain(free), drain(crowded), 1e-3);
-    assertThrows(IllegalArgumentException.class, () -> free.neighbour(0, 1));
+    assertThrows(IllegalArgumentException.class, () -> free.setNeighbourShare(0, 1));
   }
 
   /**
@@ -81,30 +86,30 @@
    * second.
    */
   @Test
-  void aColdStartIsSlowAndGetsWarm() {
-    CapacityModel c =
+  void coldServerRampsUpToFullSpeed() {
+    CapacityModel capacity =
         new CapacityModel(new CapacityModel.Size(1, 4, 1000, 10, 0.25, 1000), 3, 0, 0);
     for (int i = 0; i < 500; i++) {
-      c.offer(0, i);
+      capacity.offer(0, i);
     }
-    assertEquals(625, c.busy(1000), 25);
-    assertEquals(1625, c.busy(2000), 25);
+    assertEquals(625, capacity.workDoneMs(1000), 25);
+    assertEquals(1625, capacity.workDoneMs(2000), 25);
   }
 
   @Test
-  void aDroppedJobMakesRoom() {
-    CapacityModel c = of(1, 1, 1);
-    CapacityModel.Job first = c.offer(0, "a");
-    c.offer(0, "b");
-    c.drop(1, first);
-    assertEquals(1, c.running());
-    assertEquals(0, c.waiting());
-    drain(c);
-    assertEquals(0, c.running());
+  void droppedJobFreesItsSlot() {
+    CapacityModel capacity = of(1, 1, 1);
+    CapacityModel.Job first = capacity.offer(0, "a");
+    capacity.offer(0, "b");
+    capacity.cancel(1, first);
+    assertEquals(1, capacity.runningCount());
+    assertEquals(0, capacity.waitingCount());
+    drain(capacity);
+    assertEquals(0, capacity.runningCount());
   }
 
   @Test
-  void sizesOutOfRangeAreRefused() {
+  void sizesOutOfRangeAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(0, 1, 1, 1, 1, 0));
     assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(1, 0, 1, 1, 1, 0));
     assertThrows(IllegalArgumentException.class, () -> new CapacityModel.Size(1, 1, 1, 1, 0, 0));
@@ -112,17 +117,29 @@
         IllegalArgumentException.class, () -> new CapacityModel.Size(1, 1, 1, Double.NaN, 1, 0));
   }
 
+  /** Adds the time of completion of each job that completes until this time. */
+  private static void takeCompletedUntil(
+      CapacityModel capacity, double untilMs, Map<Integer, Double> ends) {
+    for (double next = capacity.nextCompletionMs();
+        next <= untilMs;
+        next = capacity.nextCompletionMs()) {
+      for (CapacityModel.Job job : capacity.takeCompleted(next)) {
+        ends.put((Integer) job.context, next);
+      }
+    }
+  }
+
   /**
    * Against a naive model that goes forward in steps of a hundredth of a ms: the same jobs end at
    * the same times.
    */
   @Property(tries = 60, seed = "1")
-  void asANaiveModelHasIt(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
-    Random r = new Random(seed);
-    double cores = 0.5 + r.nextInt(6) * 0.5;
-    int slots = 1 + r.nextInt(6);
+  void completionTimesMatchANaiveModel(@ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
+    Random random = new Random(seed);
+    double cores = 0.5 + random.nextInt(6) * 0.5;
+    int slots = 1 + random.nextInt(6);
     CapacityModel.Size size = new CapacityModel.Size(cores, slots, 3, 2, 1, 0);
-    CapacityModel c = new CapacityModel(size, seed, 0, WARM);
+    CapacityModel capacity = new CapacityModel(size, seed, 0, WARM);
     Random work = new Random(seed);
     Map<Integer, Double> ends = new LinkedHashMap<>();
     Map<Integer, Double> naive = new LinkedHashMap<>();
@@ -136,22 +153,23 @@
     for (int tick = 0; busy; tick++) {
       double now = tick * step;
       assertTrue(
-          now < 1000, "at " + now + " jobs are left: " + running.size() + " and " + c.running());
-      if (tick % 50 == 0 && tick < 3000 && r.nextInt(3) == 0) {
-        boolean taken = c.offer(now, tick) != null;
+          now < 1000,
+          "at " + now + " jobs remain: " + running.size() + " and " + capacity.runningCount());
+      if (tick % 50 == 0 && tick < 3000 && random.nextInt(3) == 0) {
+        boolean taken = capacity.offer(now, tick) != null;
         int there =
             running.size() + waiting.size(); // the model's own steps may end a job one step off
         assertTrue(
             taken ? there <= slots + 3 : there >= slots + 2,
             "at " + now + ": " + taken + " of " + there);
         if (taken) {
-          double w = Math.max(1e-3, Math.min(20, -Math.log(1 - work.nextDouble()) * 2));
-          (running.size() < slots ? running : waiting).add(new double[] {tick, w});
+          double workMs = Math.max(1e-3, Math.min(20, -Math.log(1 - work.nextDouble()) * 2));
+          (running.size() < slots ? running : waiting).add(new double[] {tick, workMs});
         }
       }
       if (tick == 1500) {
         neighbour = 0.5;
-        c.neighbour(now, neighbour);
+        capacity.setNeighbourShare(now, neighbour);
       }
       double rate = running.isEmpty() ? 0 : Math.min(1, cores * (1 - neighbour) / running.size());
       for (double[] job : running) {
@@ -164,12 +182,8 @@
       while (running.size() < slots && !waiting.isEmpty()) {
         running.add(waiting.remove(0));
       }
-      for (double next = c.next(); next <= now + step; next = c.next()) {
-        for (CapacityModel.Job job : c.done(next)) {
-          ends.put((Integer) job.what, next);
-        }
-      }
-      busy = tick < 3000 || !running.isEmpty() || c.running() > 0;
+      takeCompletedUntil(capacity, now + step, ends);
+      busy = tick < 3000 || !running.isEmpty() || capacity.runningCount() > 0;
     }
     assertEquals(
         naive.keySet().stream().sorted().toList(), ends.keySet().stream().sorted().toList());
@@ -178,14 +192,14 @@
   }
 
   @Test
-  void theSameSeedGivesTheSame() {
+  void sameSeedGivesTheSameCompletionTime() {
     List<Double> ends = new ArrayList<>();
     for (int turn = 0; turn < 2; turn++) {
-      CapacityModel c = of(1, 3, 50);
+      CapacityModel capacity = of(1, 3, 50);
       for (int i = 0; i < 50; i++) {
-        c.offer(i, i);
+        capacity.offer(i, i);
       }
-      ends.add(drain(c));
+      ends.add(drain(capacity));
     }
     assertEquals(ends.get(0), ends.get(1));
   }
@@ -195,7 +209,7 @@
    * next step (0.24 us); then it was due at once, again and again, and time stood still.
    */
   @Test
-  void whatIsDueNextLiesAheadOfTheClock() {
+  void nextCompletionLiesAheadOfTheClock() {
     double now = 1_700_000_000_000.0;
     CapacityModel capacity =
         new CapacityModel(
@@ -203,9 +217,9 @@
     java.util.Random random = new java.util.Random(5);
     for (int i = 0; i < 20_000; i++) {
       capacity.offer(now, i);
-      now = Math.max(now, Math.min(capacity.next(), now + 8 * random.nextDouble()));
-      capacity.done(now);
-      assertTrue(capacity.next() > now, "due at " + now + " again");
+      now = Math.max(now, Math.min(capacity.nextCompletionMs(), now + 8 * random.nextDouble()));
+      capacity.takeCompleted(now);
+      assertTrue(capacity.nextCompletionMs() > now, "due at " + now + " again");
     }
   }
 }
--- a/src/test/java/edgenode/node/DiscoveryStallTest.java
+++ b/src/test/java/edgenode/node/DiscoveryStallTest.java
@@ -173,9 +173,9 @@
                 fixture,
                 "w" + k + "t" + turn,
                 () -> {
-                  fixture.agent.stall(DiscoveryAgentEmulator.Kind.WATCH, k, 1);
+                  fixture.agent.stall(DiscoveryAgentEmulator.ConnectionKind.WATCH, k, 1);
                   fixture.agent.reset();
-                  DiscoveryFixture.await("a new watch", () -> fixture.agent.stalled());
+                  DiscoveryFixture.await("a new watch", () -> fixture.agent.hasStalled());
                 }));
   }
 
@@ -190,8 +190,8 @@
                 fixture,
                 "l" + k + "t" + turn,
                 () -> {
-                  fixture.agent.stallNow(DiscoveryAgentEmulator.Kind.WATCH);
-                  fixture.agent.stall(DiscoveryAgentEmulator.Kind.LIST, k, 1);
+                  fixture.agent.stallNow(DiscoveryAgentEmulator.ConnectionKind.WATCH);
+                  fixture.agent.stall(DiscoveryAgentEmulator.ConnectionKind.LIST, k, 1);
                 }));
   }
 
@@ -214,10 +214,10 @@
                   () -> {
                     DiscoveryAgentEmulator next = new DiscoveryAgentEmulator(7);
                     next.set(fixture.host(id, "active"));
-                    next.stall(DiscoveryAgentEmulator.Kind.LIST, k, 1);
+                    next.stall(DiscoveryAgentEmulator.ConnectionKind.LIST, k, 1);
                     fixture.moveDiscovery(next);
-                    old.stallNow(DiscoveryAgentEmulator.Kind.WATCH);
-                    DiscoveryFixture.await("the new one is asked", next::stalled);
+                    old.stallNow(DiscoveryAgentEmulator.ConnectionKind.WATCH);
+                    DiscoveryFixture.await("the new one is asked", next::hasStalled);
                   });
           old.close();
           return ms;
@@ -234,12 +234,12 @@
           String id = "f" + k + "t" + turn;
           DiscoveryAgentEmulator agent = new DiscoveryAgentEmulator(7);
           agent.set(fixture.host(id, "active"));
-          agent.stall(DiscoveryAgentEmulator.Kind.LIST, k, 1);
+          agent.stall(DiscoveryAgentEmulator.ConnectionKind.LIST, k, 1);
           CompletableFuture<Long> told =
               CompletableFuture.supplyAsync(
                   () -> {
                     try {
-                      DiscoveryFixture.await("the list is asked", agent::stalled);
+                      DiscoveryFixture.await("the list is asked", agent::hasStalled);
                     } catch (InterruptedException e) {
                       throw new IllegalStateException(e);
                     }
@@ -266,7 +266,7 @@
         fixture.agent.set(fixture.host("a" + i, "active"));
       }
       fixture.awaitServing("a3");
-      fixture.agent.silent(true);
+      fixture.agent.setSilent(true);
       for (int i = 0; i < 10; i++) {
         fixture.agent.set(fixture.host("a" + i, "left"));
         fixture.agent.set(fixture.host("b" + i, "active"));
@@ -276,7 +276,7 @@
           fixture.endpointStates.get("a3") == edgenode.policy.EndpointState.UP,
           "nothing was told yet");
       long told = System.nanoTime();
-      fixture.agent.silent(false);
+      fixture.agent.setSilent(false);
       double ms = fixture.awaitDrained("a3", told);
       assertTrue(ms < DiscoveryFixture.DRAIN_GRACE_MS, "took " + ms);
       fixture.awaitServing("b7");
--- a/src/test/java/edgenode/simulation/DemoCommandTest.java
+++ b/src/test/java/edgenode/simulation/DemoCommandTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import edgenode.emulator.AppServerListener;
 import edgenode.emulator.ArrivalProcess;
 import edgenode.emulator.CustomerClients;
-import edgenode.emulator.Effects;
 import edgenode.node.FakePeer;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -157,23 +157,18 @@
     }
     AtomicInteger small = new AtomicInteger();
     Map<String, AtomicInteger> enrolled = new ConcurrentHashMap<>();
-    Effects effects =
-        new Effects() {
+    AppServerListener effects =
+        new AppServerListener() {
           @Override
-          public void came(
-              double now,
-              String server,
-              String verb,
-              String customer,
-              String id,
-              String list,
-              String key,
-              boolean ran) {
-            if (ran && customer.equals(EmulatedWorld.CAMPUSES.get(0).customer())) {
+          public void commandReceived(double now, String server, ReceivedCommand command) {
+            if (command.isExecuted()
+                && command.customer().equals(EmulatedWorld.CAMPUSES.get(0).id())) {
               small.incrementAndGet();
             }
-            if (key != null && ran) {
-              enrolled.computeIfAbsent(id, k -> new AtomicInteger()).incrementAndGet();
+            if (command.idempotencyKey() != null && command.isExecuted()) {
+              enrolled
+                  .computeIfAbsent(command.requestId(), k -> new AtomicInteger())
+                  .incrementAndGet();
             }
           }
         };
@@ -187,7 +182,7 @@
           new CustomerClients(
               world.loop(),
               arrivals,
-              CustomerClients.Habits.USUAL,
+              CustomerClients.RetryOptions.DEFAULT,
               world.address(),
               (of, retry, fate, ms) -> fates.get(fate).incrementAndGet(),
               11);
@@ -201,20 +196,23 @@
                       .schedule(
                           3000,
                           () -> {
-                            world.servers().get(0).die();
+                            world.servers().get(0).crash();
                             world
                                 .loop()
                                 .schedule(
                                     1000,
                                     () -> {
-                                      world.servers().get(0).back(world.servers().get(0).address());
+                                      world
+                                          .servers()
+                                          .get(0)
+                                          .restart(world.servers().get(0).address());
                                       world.discovery().set(world.servers().get(0).entry("active"));
                                     });
                           }));
       Thread.sleep((long) (seconds * 1000));
       world.loop().execute(clients::stop);
       for (int open = 1; open > 0; ) { // each has its end: an answer, or its client's patience
-        open = CompletableFuture.supplyAsync(clients::open, world.loop().group()).join();
+        open = CompletableFuture.supplyAsync(clients::openAttempts, world.loop().group()).join();
         Thread.sleep(5);
       }
       world.loop().execute(clients::close);
