--- a/src/main/java/edgenode/simulation/fleet/Assumed.java
+++ b/src/main/java/edgenode/simulation/fleet/Assumptions.java
@@ -16,59 +16,59 @@
  * What no run has shown: the figures of the world around the nodes. The report prints them with
  * each run.
  */
-final class Assumed {
+final class Assumptions {
   /**
    * Adds a second that the counter's machines bear for one edge node: 16 machines of 100,000 over
    * 5,500 nodes.
    */
-  static final double COUNTER_PER_NODE = 16 * 100_000.0 / 5500;
+  static final double COUNTER_ADDS_PER_SECOND_PER_NODE = 16 * 100_000.0 / 5500;
 
   /**
    * Bytes a ms that discovery's machines send for one edge node: 10 machines of 10 Gbit/s over
    * 5,500 nodes.
    */
-  static final double DISCOVERY_PER_NODE = 10 * 1.25e6 / 5500;
+  static final double DISCOVERY_BYTES_PER_MS_PER_NODE = 10 * 1.25e6 / 5500;
 
   /** One way through the network (ms). */
-  static final double WAY = 0.25;
+  static final double ONE_WAY_LATENCY_MS = 0.25;
 
   /** Connects to a machine that is gone are given up after this (ms). */
-  static final double CONNECT = 250;
+  static final double CONNECT_TIMEOUT_MS = 250;
 
   /** Mean work of a request at an app server (ms of a core). */
-  static final double WORK = 40;
+  static final double MEAN_WORK_MS = 40;
 
-  static final double COLD_SHARE = 0.2;
-  static final double WARM_MS = 5000;
+  static final double INITIAL_SPEED_SHARE = 0.2;
+  static final double WARM_UP_MS = 5000;
 
   /** Until discovery knows that a server has died (ms). */
-  static final double DETECTED = 1000;
+  static final double FAILURE_DETECTION_MS = 1000;
 
   /** Changes within this time (ms) are told in one message. */
-  static final double BATCH = 10;
+  static final double CHANGE_BATCH_MS = 10;
 
   /** Counter calls that wait longer (ms) are turned away. */
-  static final double COUNTER_LINE = 200;
+  static final double COUNTER_MAX_QUEUE_MS = 200;
 
   /** A watch's line while nothing changes: every so often (ms), bytes with its chunk. */
-  static final double BEAT = 2000;
+  static final double HEARTBEAT_MS = 2000;
 
-  static final int BEAT_BYTES = 7;
+  static final int HEARTBEAT_BYTES = 7;
 
   /** A day's failures, restarts and changes of routes over the whole fleet of the issue. */
-  static final double FAILURES = 1000;
+  static final double FAILURES_PER_DAY = 1000;
 
-  static final double RESTARTS = 9800;
-  static final double CHANGES = 30_000;
+  static final double RESTARTS_PER_DAY = 9800;
+  static final double ROUTE_CHANGES_PER_DAY = 30_000;
   static final int ALL_MACHINES = 195_500;
 
   /**
    * Customers' rates fall with their rank by this power; each comes through a node for each so many
    * a second.
    */
-  static final double ZIPF = 0.8;
+  static final double ZIPF_EXPONENT = 0.8;
 
-  static final double PER_NODE = 20;
+  static final double TENANT_RATE_PER_NODE = 20;
 
   /** Zones of the whole fleet, and regions. */
   static final int ZONES = 10;
@@ -76,32 +76,42 @@
   static final int REGIONS = 5;
 
   /** Servers in a rack. */
-  static final int RACK = 40;
+  static final int SERVERS_PER_RACK = 40;
 
-  static final double KEEP_ALIVE = 15_000;
-  static final double COUNTER_TIMEOUT = 80;
+  static final double KEEP_ALIVE_MS = 15_000;
+  static final double COUNTER_TIMEOUT_MS = 80;
 
   /** After so long (ms) a node ends a connection on which the counter owes an answer. */
-  static final double COUNTER_DEAD = 400;
+  static final double COUNTER_DISCONNECT_MS = 400;
 
-  private static final int PLANS = 14;
+  private static final int PLAN_COUNT = 14;
 
-  private Assumed() {}
+  private Assumptions() {}
 
   /** A quota's rate (units a second) on a ladder of powers of four. */
-  static double planRate(int step) {
+  static double planRatePerSecond(int step) {
     return 0.25 * Math.pow(4, step);
   }
 
-  static int plans() {
-    return PLANS;
+  static int planCount() {
+    return PLAN_COUNT;
   }
 
-  static PolicySettings settings(int me, int nodes, String zone) {
+  static PolicySettings settings(int nodeIndex, int nodeCount, String zone) {
     List<QuotaPlan> plans = new ArrayList<>();
-    for (int i = 0; i < PLANS; i++) {
+    for (int i = 0; i < PLAN_COUNT; i++) {
       plans.add(
-          new QuotaPlan("p" + i, planRate(i), Math.max(4, 2 * planRate(i)), 0, 1, 0, 1, 0, 0, 0));
+          new QuotaPlan(
+              "p" + i,
+              planRatePerSecond(i),
+              Math.max(4, 2 * planRatePerSecond(i)),
+              0,
+              1,
+              0,
+              1,
+              0,
+              0,
+              0));
     }
     List<RequestClass> classes =
         List.of(
@@ -110,8 +120,8 @@
             new RequestClass(
                 "enrol", Idempotency.KEYED, IdempotencyGroup.CELL, 600, 1500, 2, 0, 7500, false));
     return new PolicySettings(
-        me,
-        nodes,
+        nodeIndex,
+        nodeCount,
         zone,
         4,
         false,
@@ -121,40 +131,40 @@
         classes,
         plans,
         new Capabilities(
-            false, true, false, true, false, true, 5, 2000, COUNTER_TIMEOUT, KEEP_ALIVE),
-        new RuleLimits(16, 250, COLD_SHARE, WARM_MS, 3, 2000),
+            false, true, false, true, false, true, 5, 2000, COUNTER_TIMEOUT_MS, KEEP_ALIVE_MS),
+        new RuleLimits(16, 250, INITIAL_SPEED_SHARE, WARM_UP_MS, 3, 2000),
         new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
-  static List<String> lines() {
+  static List<String> describe() {
     return List.of(
         String.format(
             Locale.ROOT,
             "counter: %.0f adds/s for each node, a line of %.0f ms, %.2f ms each way",
-            COUNTER_PER_NODE,
-            COUNTER_LINE,
-            WAY),
+            COUNTER_ADDS_PER_SECOND_PER_NODE,
+            COUNTER_MAX_QUEUE_MS,
+            ONE_WAY_LATENCY_MS),
         String.format(
             Locale.ROOT,
             "discovery: %.1f MB/s for each node, changes of %.0f ms in one message, a death"
                 + " known after %.0f ms",
-            DISCOVERY_PER_NODE / 1000,
-            BATCH,
-            DETECTED),
+            DISCOVERY_BYTES_PER_MS_PER_NODE / 1000,
+            CHANGE_BATCH_MS,
+            FAILURE_DETECTION_MS),
         String.format(
             Locale.ROOT,
             "app servers: %d cores, mean work %.0f ms, cold %.0f%% growing to all in %.0f s",
-            AppServer.CORES,
-            WORK,
-            100 * COLD_SHARE,
-            WARM_MS / 1000),
+            AppServerModel.CORES,
+            MEAN_WORK_MS,
+            100 * INITIAL_SPEED_SHARE,
+            WARM_UP_MS / 1000),
         String.format(
             Locale.ROOT,
             "tenants: rate by rank^-%.1f, a node for each %.0f requests/s and two at least,"
                 + " homed in groups of %d nodes; one in 20 asks more than its quota",
-            ZIPF,
-            PER_NODE,
-            Shape.GROUP),
+            ZIPF_EXPONENT,
+            TENANT_RATE_PER_NODE,
+            FleetShape.NODES_PER_GROUP),
         "a node carries one service's list, or with --flat all servers; a change of a route is told as a change of"
             + " one entry");
   }
--- a/src/main/java/edgenode/simulation/fleet/CounterModel.java
+++ b/src/main/java/edgenode/simulation/fleet/CounterModel.java
@@ -9,55 +9,64 @@
  * be away.
  */
 final class CounterModel {
-  private final Agenda agenda;
-  private final Tally tally;
-  private final WireForms forms;
-  private final double each;
+  private final VirtualTimeline timeline;
+  private final FleetCounters counters;
+  private final WireFormats formats;
+  private final double serviceTimeMs;
   private final Map<Long, Double> totals = new HashMap<>();
-  private double freeAt;
-  private boolean away;
+  private double freeAtMs;
+  private boolean setUnavailable;
 
-  CounterModel(Agenda agenda, Tally tally, WireForms forms, double perSecond) {
-    this.agenda = agenda;
-    this.tally = tally;
-    this.forms = forms;
-    each = 1000 / perSecond;
+  CounterModel(
+      VirtualTimeline timeline, FleetCounters counters, WireFormats formats, double addsPerSecond) {
+    this.timeline = timeline;
+    this.counters = counters;
+    this.formats = formats;
+    serviceTimeMs = 1000 / addsPerSecond;
   }
 
-  void away(boolean on) {
-    away = on;
+  void setUnavailable(boolean unavailable) {
+    setUnavailable = unavailable;
   }
 
   /** An add by a node; its outcome is told as the counter's client tells it. */
-  void add(ModelNode node, long name, double amount, double keepFor, boolean cut) {
-    tally.counterCalls++;
-    tally.counterBytes += forms.add(name, amount, keepFor);
-    double sent = agenda.now();
-    double came = sent + Assumed.WAY;
-    if (away || cut) {
-      agenda.after(Assumed.COUNTER_TIMEOUT, () -> node.counted(name, CallOutcome.OVERDUE, sent, 0));
-      agenda.after(Assumed.COUNTER_DEAD, () -> node.counted(name, CallOutcome.RESET, sent, 0));
+  void add(ModelNode node, long name, double amount, double ttlMs, boolean isPartitioned) {
+    counters.counterCalls++;
+    counters.counterBytes += formats.addBytes(name, amount, ttlMs);
+    double sentMs = timeline.nowMs();
+    double receivedMs = sentMs + Assumptions.ONE_WAY_LATENCY_MS;
+    if (setUnavailable || isPartitioned) {
+      timeline.scheduleAfter(
+          Assumptions.COUNTER_TIMEOUT_MS,
+          () -> node.counterCallEnded(name, CallOutcome.OVERDUE, sentMs, 0));
+      timeline.scheduleAfter(
+          Assumptions.COUNTER_DISCONNECT_MS,
+          () -> node.counterCallEnded(name, CallOutcome.RESET, sentMs, 0));
       return;
     }
-    if (freeAt - came > Assumed.COUNTER_LINE) {
-      tally.counterTurnedAway++;
-      agenda.at(came + Assumed.WAY, () -> node.counted(name, CallOutcome.FULL, sent, 0));
+    if (freeAtMs - receivedMs > Assumptions.COUNTER_MAX_QUEUE_MS) {
+      counters.counterRejected++;
+      timeline.scheduleAt(
+          receivedMs + Assumptions.ONE_WAY_LATENCY_MS,
+          () -> node.counterCallEnded(name, CallOutcome.FULL, sentMs, 0));
       return;
     }
-    freeAt = Math.max(freeAt, came) + each;
-    double turn = freeAt;
-    double heard = turn + Assumed.WAY;
-    if (heard - sent > Assumed.COUNTER_TIMEOUT) {
-      tally.counterLate++;
-      agenda.at(
-          sent + Assumed.COUNTER_TIMEOUT, () -> node.counted(name, CallOutcome.OVERDUE, sent, 0));
+    freeAtMs = Math.max(freeAtMs, receivedMs) + serviceTimeMs;
+    double executedMs = freeAtMs;
+    double answeredMs = executedMs + Assumptions.ONE_WAY_LATENCY_MS;
+    if (answeredMs - sentMs > Assumptions.COUNTER_TIMEOUT_MS) {
+      counters.counterLate++;
+      timeline.scheduleAt(
+          sentMs + Assumptions.COUNTER_TIMEOUT_MS,
+          () -> node.counterCallEnded(name, CallOutcome.OVERDUE, sentMs, 0));
     }
-    agenda.at(
-        turn,
+    timeline.scheduleAt(
+        executedMs,
         () -> {
           double total = totals.merge(name, amount, Double::sum);
-          tally.counterBytes += forms.total(total);
-          agenda.at(heard, () -> node.counted(name, CallOutcome.OK, sent, total));
+          counters.counterBytes += formats.totalBytes(total);
+          timeline.scheduleAt(
+              answeredMs, () -> node.counterCallEnded(name, CallOutcome.OK, sentMs, total));
         });
   }
 }
--- a/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
+++ b/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
@@ -15,7 +15,7 @@
   /**
    * Changes kept for watches that go on from an older version; before them the whole list is sent.
    */
-  private static final int KEPT = 4096;
+  private static final int MAX_CHANGE_LOG = 4096;
 
   /**
    * What it does wrong all the time: whole lists or all entries for each change, or every other
@@ -23,193 +23,201 @@
    */
   enum Fault {
     NONE,
-    WHOLE_ALWAYS,
-    ALL_AS_CHANGES,
-    TELLS_HALF
+    ALWAYS_SENDS_COMPLETE_LIST,
+    SENDS_ALL_AS_CHANGES,
+    DROPS_EVERY_SECOND_CHANGE
   }
 
   /** The link that all lists' messages take, one after another. */
   static final class Link {
     private final double bytesPerMs;
-    private double freeAt;
+    private double freeAtMs;
 
     Link(double bytesPerMs) {
       this.bytesPerMs = bytesPerMs;
     }
 
-    double through(double now, int bytes) {
-      freeAt = Math.max(now, freeAt) + bytes / bytesPerMs;
-      return freeAt + Assumed.WAY;
+    double deliveryTimeMs(double nowMs, int bytes) {
+      freeAtMs = Math.max(nowMs, freeAtMs) + bytes / bytesPerMs;
+      return freeAtMs + Assumptions.ONE_WAY_LATENCY_MS;
     }
   }
 
-  private final Agenda agenda;
-  private final Tally tally;
+  private final VirtualTimeline timeline;
+  private final FleetCounters counters;
   private final Link link;
-  private final AppServer[] servers;
-  private final int from;
+  private final AppServerModel[] servers;
+  private final int firstServer;
   private final int size;
 
   /** The server that changed at version {@code i + 1}. */
-  private final List<Integer> log = new ArrayList<>();
+  private final List<Integer> changeLog = new ArrayList<>();
 
-  private final Set<ModelNode> watches = new LinkedHashSet<>();
-  private long pushed;
-  private boolean arming;
-  private long pushes;
+  private final Set<ModelNode> watchers = new LinkedHashSet<>();
+  private long pushedVersion;
+  private boolean isPushScheduled;
+  private long pushCount;
 
   /** Entries that the last message of changes had to tell. */
-  private int due;
+  private int dueEntries;
 
-  private WireForms.Listed last;
+  private WireFormats.ListMessage completeList;
   private Fault fault = Fault.NONE;
 
-  DiscoveryModel(Agenda agenda, Tally tally, Link link, AppServer[] servers, int from, int size) {
-    this.agenda = agenda;
-    this.tally = tally;
+  DiscoveryModel(
+      VirtualTimeline timeline,
+      FleetCounters counters,
+      Link link,
+      AppServerModel[] servers,
+      int firstServer,
+      int size) {
+    this.timeline = timeline;
+    this.counters = counters;
     this.link = link;
     this.servers = servers;
-    this.from = from;
+    this.firstServer = firstServer;
     this.size = size;
   }
 
   /** Planted for tests of the judges. */
-  void plant(Fault planted) {
-    fault = planted;
+  void injectFault(Fault injected) {
+    fault = injected;
   }
 
-  int from() {
-    return from;
+  int firstServer() {
+    return firstServer;
   }
 
   int size() {
     return size;
   }
 
-  long seq() {
-    return log.size();
+  long version() {
+    return changeLog.size();
   }
 
   private DiscoveryAgentEmulator.Host host(int index) {
-    AppServer s = servers[index];
+    AppServerModel server = servers[index];
     return new DiscoveryAgentEmulator.Host(
         "s" + index,
-        s.dial,
-        s.health.name().toLowerCase(Locale.ROOT),
-        s.bornAt,
-        s.zone,
-        index / Assumed.RACK + (s.changes & 1) * servers.length);
+        server.address,
+        server.health.name().toLowerCase(Locale.ROOT),
+        server.startedAtMs,
+        server.zone,
+        index / Assumptions.SERVERS_PER_RACK + (server.changeCount & 1) * servers.length);
   }
 
   /**
    * The whole list as it stands; the same object while nothing changes, as all nodes are told the
    * same bytes.
    */
-  WireForms.Listed whole() {
-    if (last == null || last.seq() != seq()) {
+  WireFormats.ListMessage completeList() {
+    if (completeList == null || completeList.version() != version()) {
       List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>(size);
-      for (int i = from; i < from + size; i++) {
-        if (servers[i].health != AppServer.Health.LEFT) {
+      for (int i = firstServer; i < firstServer + size; i++) {
+        if (servers[i].health != AppServerModel.Health.LEFT) {
           hosts.add(host(i));
         }
       }
-      last = WireForms.listed(seq(), true, hosts);
-      tally.listBytes = Math.max(tally.listBytes, last.bytes());
+      completeList = WireFormats.listMessage(version(), true, hosts);
+      counters.listBytes = Math.max(counters.listBytes, completeList.bytes());
     }
-    return last;
+    return completeList;
   }
 
-  private WireForms.Listed since(long version) {
-    if (fault == Fault.WHOLE_ALWAYS
+  private WireFormats.ListMessage changesSince(long version) {
+    if (fault == Fault.ALWAYS_SENDS_COMPLETE_LIST
         || version < 0
-        || version > seq()
-        || seq() - version > Math.max(KEPT, size)) {
-      return whole();
+        || version > version()
+        || version() - version > Math.max(MAX_CHANGE_LOG, size)) {
+      return completeList();
     }
-    Set<Integer> changed = new LinkedHashSet<>(log.subList((int) version, log.size()));
-    due = changed.size();
-    for (int i = from; i < from + size && fault == Fault.ALL_AS_CHANGES; i++) {
+    Set<Integer> changed = new LinkedHashSet<>(changeLog.subList((int) version, changeLog.size()));
+    dueEntries = changed.size();
+    for (int i = firstServer; i < firstServer + size && fault == Fault.SENDS_ALL_AS_CHANGES; i++) {
       changed.add(i);
     }
     List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>();
     for (int index : changed) {
       hosts.add(host(index));
     }
-    return WireForms.listed(seq(), false, hosts);
+    return WireFormats.listMessage(version(), false, hosts);
   }
 
   /** A server has changed: the watches are told shortly, with what else changes meanwhile. */
-  void changed(AppServer s) {
-    s.changedAt = agenda.now();
-    s.changes++;
-    log.add(s.index);
-    tally.changesMade++;
-    if (!arming) {
-      arming = true;
-      agenda.after(Assumed.BATCH, this::push);
+  void serverChanged(AppServerModel server) {
+    server.changedAtMs = timeline.nowMs();
+    server.changeCount++;
+    changeLog.add(server.index);
+    counters.changesMade++;
+    if (!isPushScheduled) {
+      isPushScheduled = true;
+      timeline.scheduleAfter(Assumptions.CHANGE_BATCH_MS, this::push);
     }
   }
 
   private void push() {
-    arming = false;
-    WireForms.Listed message = since(pushed);
-    pushed = seq();
-    if (fault == Fault.TELLS_HALF && ++pushes % 2 == 0) {
+    isPushScheduled = false;
+    WireFormats.ListMessage message = changesSince(pushedVersion);
+    pushedVersion = version();
+    if (fault == Fault.DROPS_EVERY_SECOND_CHANGE && ++pushCount % 2 == 0) {
       return;
     }
-    for (ModelNode node : watches) {
+    for (ModelNode node : watchers) {
       send(node, message);
     }
   }
 
-  private void send(ModelNode node, WireForms.Listed message) {
-    tally.changesDue += message.whole() ? 0 : due;
-    agenda.at(link.through(agenda.now(), message.bytes()), () -> node.listed(message));
+  private void send(ModelNode node, WireFormats.ListMessage message) {
+    counters.changesDue += message.isComplete() ? 0 : dueEntries;
+    timeline.scheduleAt(
+        link.deliveryTimeMs(timeline.nowMs(), message.bytes()), () -> node.listReceived(message));
   }
 
   /** A node's watch stands from now on, from the version that it has; -1 for none. */
   void watch(ModelNode node, long version) {
-    if (version != seq()) {
-      send(node, since(version));
+    if (version != version()) {
+      send(node, changesSince(version));
     } else {
-      agenda.after(Assumed.WAY, node::heard);
+      timeline.scheduleAfter(Assumptions.ONE_WAY_LATENCY_MS, node::heartbeatReceived);
     }
-    watches.add(node);
+    watchers.add(node);
   }
 
   void unwatch(ModelNode node) {
-    watches.remove(node);
+    watchers.remove(node);
   }
 
   /**
    * It tells something wrong, or right again, to all: the first so many servers as the whole list.
    */
-  void tellWrong(double share, long back) {
+  void sendWrongList(double listShare, long versionsBack) {
     List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>();
-    for (int i = from; i < from + (int) (share * size); i++) {
-      if (servers[i].health != AppServer.Health.LEFT) {
+    for (int i = firstServer; i < firstServer + (int) (listShare * size); i++) {
+      if (servers[i].health != AppServerModel.Health.LEFT) {
         hosts.add(host(i));
       }
     }
-    if (back == 0) {
-      log.add(from);
-      pushed = seq();
+    if (versionsBack == 0) {
+      changeLog.add(firstServer);
+      pushedVersion = version();
     }
-    WireForms.Listed message = WireForms.listed(Math.max(0, seq() - back), true, hosts);
-    watches.forEach(node -> send(node, message));
+    WireFormats.ListMessage message =
+        WireFormats.listMessage(Math.max(0, version() - versionsBack), true, hosts);
+    watchers.forEach(node -> send(node, message));
   }
 
   /** The whole list to all, as a version of its own. */
-  void tellRight() {
-    log.add(from);
-    pushed = seq();
-    watches.forEach(node -> send(node, whole()));
+  void sendCorrectList() {
+    changeLog.add(firstServer);
+    pushedVersion = version();
+    watchers.forEach(node -> send(node, completeList()));
   }
 
   /** A node asks for all of it. */
-  void askAnew(ModelNode node) {
-    if (watches.contains(node)) {
-      agenda.after(2 * Assumed.WAY, () -> send(node, whole()));
+  void resync(ModelNode node) {
+    if (watchers.contains(node)) {
+      timeline.scheduleAfter(2 * Assumptions.ONE_WAY_LATENCY_MS, () -> send(node, completeList()));
     }
   }
 }
--- a/src/main/java/edgenode/simulation/fleet/Tally.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetCounters.java
@@ -6,25 +6,27 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** What a run counts. Only {@link #cpuNs} and {@link #memberNs} depend on the machine. */
-public final class Tally {
+/**
+ * What a run counts. Only {@link #policyCpuNs} and {@link #membershipCpuNs} depend on the machine.
+ */
+public final class FleetCounters {
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
   /**
    * Sends to one cold server within its warm-up, and what all nodes together should send it then.
    */
-  record Cold(int server, int sends, double part) {}
+  record WarmUpSample(int server, int sends, double expectedSends) {}
 
   long arrived;
   long served;
-  long refused;
+  long rejected;
   long failed;
 
   /** Open when their node was killed. */
-  long lost;
+  long lostWithNode;
 
   /** Answered more than once, or never. */
-  long second;
+  long answeredAgain;
 
   long unanswered;
   long sends;
@@ -36,65 +38,65 @@
   long sendsToDown;
 
   long sendsAfterEnd;
-  long noConnection;
-  long full;
+  long connectFailures;
+  long rejectedByServer;
   long resets;
   long timeouts;
 
   /** First sends to a server for a keep-alive time, and tries of dead and held ones. */
   long connects;
 
-  long tries;
+  long probes;
   long counterCalls;
   long counterBytes;
-  long counterTurnedAway;
+  long counterRejected;
   long counterLate;
-  long wholeLists;
-  long wholeBytes;
+  long completeLists;
+  long completeListBytes;
   long changeMessages;
   long changeBytes;
 
   /** Entries told in change messages, over all nodes, and those that had to be. */
-  long changes;
+  long changesSent;
 
   long changesDue;
-  long beatBytes;
+  long heartbeatBytes;
 
   /** Changes of entries at discovery, once each however many nodes are told. */
   long changesMade;
 
   long listBytes;
   long units;
-  long beyond;
+  long unitsOverQuota;
   long nodeRestarts;
   long nodeSeconds;
 
   /** Nodes that show another state of a server at the end than discovery's, by server. */
-  long differing;
+  long differingEntries;
 
-  long decided;
-  long cpuNs;
-  long memberNs;
+  long policyEvents;
+  long policyCpuNs;
+  long membershipCpuNs;
   double usedServers;
   double listEntries;
   long stateBytes = -1;
   long events;
-  long coldUnjudged;
-  final List<Cold> cold = new ArrayList<>();
+  long warmUpsNotJudged;
+  final List<WarmUpSample> warmUps = new ArrayList<>();
 
   /** From a change at discovery to the node's decisions (us of virtual time). */
-  final Histogram applied = new Histogram(3_600_000_000L, 3);
+  final Histogram changeLatencyUs = new Histogram(3_600_000_000L, 3);
 
   private long digest = 0x9e3779b97f4a7c15L;
 
   /** Takes in what passed: the same run gives the same sum. */
-  void passed(long what) {
-    long z = (digest ^ what) * 0xbf58476d1ce4e5b9L;
-    digest = z ^ (z >>> 29);
+  void addToDigest(long event) {
+    long mixed = (digest ^ event) * 0xbf58476d1ce4e5b9L;
+    digest = mixed ^ (mixed >>> 29);
   }
 
   /** CPU time of this thread (ns). */
-  static long cpu() {
+  static long threadCpuNs() {
     return THREADS.getCurrentThreadCpuTime();
   }
 
--- a/src/main/java/edgenode/simulation/fleet/FleetVerdicts.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetVerdicts.java
@@ -13,17 +13,17 @@
   /**
    * Held, broken, or a cost that is known to grow with the fleet and does: a mechanism is missing.
    */
-  public enum Word {
+  public enum Outcome {
     HELD,
     BROKEN,
     GROWS
   }
 
   /** One judgement with its figures. */
-  public record Verdict(String name, Word word, String figures) {
+  public record Verdict(String name, Outcome outcome, String figures) {
     @Override
     public String toString() {
-      return word.name().toLowerCase(Locale.ROOT) + "  " + name + ": " + figures;
+      return outcome.name().toLowerCase(Locale.ROOT) + "  " + name + ": " + figures;
     }
   }
 
@@ -31,38 +31,38 @@
    * Calls to the counter for each request that arrives: a claim, what puts it right and what gives
    * back.
    */
-  static final double CALLS_A_REQUEST = 1.5;
+  static final double MAX_COUNTER_CALLS_PER_REQUEST = 1.5;
 
   /**
    * Bytes for each entry that a change names, with the message around it where it names one only.
    */
-  static final double BYTES_A_CHANGE = 260;
+  static final double MAX_BYTES_PER_CHANGE = 260;
 
   /**
    * Whole lists that a node is told for each start, and for each of the three wrong lists and their
    * mends.
    */
-  private static final int LISTS_A_START = 2;
+  private static final int MAX_LISTS_PER_START = 2;
 
-  private static final int LISTS_OF_INCIDENTS = 8;
+  private static final int MAX_LISTS_FOR_INCIDENTS = 8;
 
   /**
    * Share of cold servers that may be sent more than the bound: it is two standard deviations above
    * the mean.
    */
-  static final double COLD_BEYOND = 0.05;
+  static final double MAX_WARM_UP_EXCESS_SHARE = 0.05;
 
   /** Up to this share not served is the customers' quotas and chance. */
-  static final double UNSERVED = 0.05;
+  static final double TOLERATED_UNSERVED_SHARE = 0.05;
 
   /** A cost grows with the fleet where it goes with its size to this power or more. */
-  static final double FLAT = 0.15;
+  static final double MAX_GROWTH_EXPONENT = 0.15;
 
   /** One cost of a node in counts. */
-  record Cost(String name, boolean growsFlat, ToDoubleFunction<Run> of) {}
+  record Cost(String name, boolean growsWithFlatList, ToDoubleFunction<Run> value) {}
 
   /** A shape and what its run counted. */
-  public record Run(Shape shape, Tally tally, double tookMs) {}
+  public record Run(FleetShape shape, FleetCounters counters, double tookMs) {}
 
   /**
    * The costs whose growth is judged; {@code growsFlat} is said of those known to grow with one
@@ -73,110 +73,127 @@
           new Cost(
               "counter calls a request",
               false,
-              r -> (double) r.tally().counterCalls / r.tally().arrived),
+              r -> (double) r.counters().counterCalls / r.counters().arrived),
           new Cost(
               "bytes a change told",
               false,
-              r -> (double) r.tally().changeBytes / Math.max(1, r.tally().changesDue)),
-          new Cost("sends a request", false, r -> (double) r.tally().sends / r.tally().arrived),
+              r -> (double) r.counters().changeBytes / Math.max(1, r.counters().changesDue)),
+          new Cost(
+              "sends a request", false, r -> (double) r.counters().sends / r.counters().arrived),
           new Cost(
               "requests not served",
               false,
-              r -> Math.max(UNSERVED, 1 - (double) r.tally().served / r.tally().arrived)),
-          new Cost("entries listed", true, r -> r.tally().listEntries),
-          new Cost("bytes of a whole list", true, r -> r.tally().listBytes),
+              r ->
+                  Math.max(
+                      TOLERATED_UNSERVED_SHARE,
+                      1 - (double) r.counters().served / r.counters().arrived)),
+          new Cost("entries listed", true, r -> r.counters().listEntries),
+          new Cost("bytes of a whole list", true, r -> r.counters().listBytes),
           new Cost(
-              "changes told a node", true, r -> (double) r.tally().changes / r.shape().detail()),
-          new Cost("servers sent to a node", true, r -> r.tally().usedServers));
+              "changes told a node",
+              true,
+              r -> (double) r.counters().changesSent / r.shape().modelledNodes()),
+          new Cost("servers sent to a node", true, r -> r.counters().usedServers));
 
   private FleetVerdicts() {}
 
   /** Of one run. */
-  public static List<Verdict> of(Run run) {
-    Tally t = run.tally();
-    Shape shape = run.shape();
-    List<Verdict> all = new ArrayList<>();
-    long answers = t.served + t.refused + t.failed;
-    judge(
-        all,
+  public static List<Verdict> evaluate(Run run) {
+    FleetCounters counters = run.counters();
+    FleetShape shape = run.shape();
+    List<Verdict> verdicts = new ArrayList<>();
+    long answers = counters.served + counters.rejected + counters.failed;
+    addVerdict(
+        verdicts,
         "one final answer a request",
-        t.second == 0 && t.unanswered == 0 && t.arrived == answers + t.lost,
+        counters.answeredAgain == 0
+            && counters.unanswered == 0
+            && counters.arrived == answers + counters.lostWithNode,
         "%d requests, %d answers, %d died with their node; %d unanswered, %d answered again",
-        t.arrived,
+        counters.arrived,
         answers,
-        t.lost,
-        t.unanswered,
-        t.second);
-    judge(
-        all,
+        counters.lostWithNode,
+        counters.unanswered,
+        counters.answeredAgain);
+    addVerdict(
+        verdicts,
         "nothing sent to a server told draining, gone or not at all",
-        t.sendsToDown == 0,
+        counters.sendsToDown == 0,
         "%d of %d sends",
-        t.sendsToDown,
-        t.sends);
-    judge(
-        all,
+        counters.sendsToDown,
+        counters.sends);
+    addVerdict(
+        verdicts,
         "nothing sent for a request that is over",
-        t.sendsAfterEnd == 0,
+        counters.sendsAfterEnd == 0,
         "%d of %d sends",
-        t.sendsAfterEnd,
-        t.sends);
-    judge(
-        all,
+        counters.sendsAfterEnd,
+        counters.sends);
+    addVerdict(
+        verdicts,
         "counter calls a request",
-        t.counterCalls <= CALLS_A_REQUEST * t.arrived,
+        counters.counterCalls <= MAX_COUNTER_CALLS_PER_REQUEST * counters.arrived,
         "%.3f, at most %.1f",
-        (double) t.counterCalls / Math.max(1, t.arrived),
-        CALLS_A_REQUEST);
-    judge(
-        all,
+        (double) counters.counterCalls / Math.max(1, counters.arrived),
+        MAX_COUNTER_CALLS_PER_REQUEST);
+    addVerdict(
+        verdicts,
         "discovery bytes a change",
-        t.changeBytes <= BYTES_A_CHANGE * t.changesDue,
+        counters.changeBytes <= MAX_BYTES_PER_CHANGE * counters.changesDue,
         "%.0f, at most %.0f",
-        (double) t.changeBytes / Math.max(1, t.changesDue),
-        BYTES_A_CHANGE);
-    long lists =
-        LISTS_A_START * t.nodeRestarts
-            + (shape.incidents() ? LISTS_OF_INCIDENTS * shape.detail() : 0);
-    judge(all, "whole lists", t.wholeLists <= lists, "%d, at most %d", t.wholeLists, lists);
-    judge(
-        all,
+        (double) counters.changeBytes / Math.max(1, counters.changesDue),
+        MAX_BYTES_PER_CHANGE);
+    long maxLists =
+        MAX_LISTS_PER_START * counters.nodeRestarts
+            + (shape.hasIncidents() ? MAX_LISTS_FOR_INCIDENTS * shape.modelledNodes() : 0);
+    addVerdict(
+        verdicts,
+        "whole lists",
+        counters.completeLists <= maxLists,
+        "%d, at most %d",
+        counters.completeLists,
+        maxLists);
+    addVerdict(
+        verdicts,
         "views agree with discovery at the end",
-        t.differing == 0,
+        counters.differingEntries == 0,
         "%d entries differ",
-        t.differing);
-    long beyond = t.cold.stream().filter(c -> c.sends() > bound(c.part())).count();
-    judge(
-        all,
+        counters.differingEntries);
+    long overBound =
+        counters.warmUps.stream().filter(c -> c.sends() > warmUpBound(c.expectedSends())).count();
+    addVerdict(
+        verdicts,
         "a cold server's sends",
-        beyond <= Math.ceil(COLD_BEYOND * t.cold.size()),
+        overBound <= Math.ceil(MAX_WARM_UP_EXCESS_SHARE * counters.warmUps.size()),
         "%d of %d beyond N + 2 sqrt(N) + 2, at most one in %.0f (%d not judged); worst %s",
-        beyond,
-        t.cold.size(),
-        1 / COLD_BEYOND,
-        t.coldUnjudged,
-        worst(t));
-    judge(
-        all,
+        overBound,
+        counters.warmUps.size(),
+        1 / MAX_WARM_UP_EXCESS_SHARE,
+        counters.warmUpsNotJudged,
+        describeWorst(counters));
+    addVerdict(
+        verdicts,
         "evidence",
-        t.arrived > 0 && 2 * t.served >= t.arrived && t.changes > 0,
+        counters.arrived > 0 && 2 * counters.served >= counters.arrived && counters.changesSent > 0,
         "%d of %d served, %d changes told",
-        t.served,
-        t.arrived,
-        t.changes);
-    return all;
+        counters.served,
+        counters.arrived,
+        counters.changesSent);
+    return verdicts;
   }
 
-  static double bound(double part) {
-    return part + 2 * Math.sqrt(part) + 2;
+  static double warmUpBound(double expectedSends) {
+    return expectedSends + 2 * Math.sqrt(expectedSends) + 2;
   }
 
-  private static String worst(Tally t) {
-    Tally.Cold worst = null;
-    for (Tally.Cold c : t.cold) {
+  private static String describeWorst(FleetCounters counters) {
+    FleetCounters.WarmUpSample worst = null;
+    for (FleetCounters.WarmUpSample sample : counters.warmUps) {
       worst =
-          worst == null || c.sends() / bound(c.part()) > worst.sends() / bound(worst.part())
-              ? c
+          worst == null
+                  || sample.sends() / warmUpBound(sample.expectedSends())
+                      > worst.sends() / warmUpBound(worst.expectedSends())
+              ? sample
               : worst;
     }
     return worst == null
@@ -185,64 +202,66 @@
             Locale.ROOT,
             "%d sends where N is %.1f (bound %.1f)",
             worst.sends(),
-            worst.part(),
-            bound(worst.part()));
+            worst.expectedSends(),
+            warmUpBound(worst.expectedSends()));
   }
 
   /**
    * How each cost goes with the size, over three runs or more: the power of nodes by least squares.
    */
-  public static List<Verdict> slopes(List<Run> runs) {
-    List<Verdict> all = new ArrayList<>();
-    boolean flat = runs.get(0).shape().flat();
-    for (Cost c : COSTS) {
-      double power = power(runs, c);
-      boolean grows = power > FLAT;
-      boolean known = flat && c.growsFlat;
+  public static List<Verdict> evaluateGrowth(List<Run> runs) {
+    List<Verdict> verdicts = new ArrayList<>();
+    boolean isFlat = runs.get(0).shape().isFlat();
+    for (Cost cost : COSTS) {
+      double exponent = growthExponent(runs, cost);
+      boolean grows = exponent > MAX_GROWTH_EXPONENT;
+      boolean isKnown = isFlat && cost.growsWithFlatList;
       StringBuilder figures =
-          new StringBuilder(String.format(Locale.ROOT, "size to the %.2f (", power));
-      for (Run r : runs) {
+          new StringBuilder(String.format(Locale.ROOT, "size to the %.2f (", exponent));
+      for (Run run : runs) {
         figures
-            .append(r == runs.get(0) ? "" : ", ")
+            .append(run == runs.get(0) ? "" : ", ")
             .append(
                 String.format(
                     Locale.ROOT,
                     "%d x %d: %.3g",
-                    r.shape().nodes(),
-                    r.shape().servers(),
-                    c.of.applyAsDouble(r)));
+                    run.shape().nodes(),
+                    run.shape().servers(),
+                    cost.value.applyAsDouble(run)));
       }
-      all.add(
+      verdicts.add(
           new Verdict(
-              "growth of " + c.name,
-              grows ? known ? Word.GROWS : Word.BROKEN : Word.HELD,
+              "growth of " + cost.name,
+              grows ? isKnown ? Outcome.GROWS : Outcome.BROKEN : Outcome.HELD,
               figures + ")"));
     }
-    return all;
+    return verdicts;
   }
 
   /** Slope of log cost by log nodes; a cost of nothing counts as a thousandth. */
-  static double power(List<Run> runs, Cost cost) {
-    double mx = 0;
-    double my = 0;
-    for (Run r : runs) {
-      mx += Math.log(r.shape().nodes()) / runs.size();
-      my += Math.log(Math.max(1e-3, cost.of.applyAsDouble(r))) / runs.size();
+  static double growthExponent(List<Run> runs, Cost cost) {
+    double meanX = 0;
+    double meanY = 0;
+    for (Run run : runs) {
+      meanX += Math.log(run.shape().nodes()) / runs.size();
+      meanY += Math.log(Math.max(1e-3, cost.value.applyAsDouble(run))) / runs.size();
     }
-    double xy = 0;
-    double xx = 0;
-    for (Run r : runs) {
-      double dx = Math.log(r.shape().nodes()) - mx;
-      xy += dx * (Math.log(Math.max(1e-3, cost.of.applyAsDouble(r))) - my);
-      xx += dx * dx;
+    double sumXy = 0;
+    double sumXx = 0;
+    for (Run run : runs) {
+      double deltaX = Math.log(run.shape().nodes()) - meanX;
+      sumXy += deltaX * (Math.log(Math.max(1e-3, cost.value.applyAsDouble(run))) - meanY);
+      sumXx += deltaX * deltaX;
     }
-    return xx == 0 ? 0 : xy / xx;
+    return sumXx == 0 ? 0 : sumXy / sumXx;
   }
 
-  private static void judge(
-      List<Verdict> all, String name, boolean held, String figures, Object... values) {
-    all.add(
+  private static void addVerdict(
+      List<Verdict> verdicts, String name, boolean isHeld, String figures, Object... values) {
+    verdicts.add(
         new Verdict(
-            name, held ? Word.HELD : Word.BROKEN, String.format(Locale.ROOT, figures, values)));
+            name,
+            isHeld ? Outcome.HELD : Outcome.BROKEN,
+            String.format(Locale.ROOT, figures, values)));
   }
 }
--- a/src/main/java/edgenode/simulation/fleet/ModelNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -28,55 +28,55 @@
   private static final double[] NO_LOAD = new double[0];
 
   /** Between tries of a server that is dead or held (ms), as {@code MembershipService} has it. */
-  private static final double TRY = 250;
+  private static final double PROBE_INTERVAL_MS = 250;
 
   /** One event in so many is timed. */
-  private static final int SAMPLED = 8;
+  private static final int CPU_SAMPLE_INTERVAL = 8;
 
-  private static final String SPACE = "discovery";
+  private static final String SOURCE_NAME = "discovery";
 
   /** A request, from its arrival to the end of its last attempt. */
-  static final class Open {
+  static final class PendingRequest {
     final long id;
-    final Fleet.Tenant tenant;
-    final double deadline;
+    final FleetSimulation.Tenant tenant;
+    final double deadlineMs;
     final List<Attempt> attempts = new ArrayList<>(1);
-    private int out;
-    private boolean over;
+    private int inFlight;
+    private boolean isOver;
 
-    Open(long id, Fleet.Tenant tenant, double deadline) {
+    PendingRequest(long id, FleetSimulation.Tenant tenant, double deadline) {
       this.id = id;
       this.tenant = tenant;
-      this.deadline = deadline;
+      this.deadlineMs = deadline;
     }
   }
 
   static final class Attempt {
-    final Open request;
+    final PendingRequest request;
     final int number;
-    final AppServer server;
-    final int life;
-    final double sent;
-    private boolean ended;
+    final AppServerModel server;
+    final int incarnation;
+    final double sentMs;
+    private boolean hasEnded;
 
-    Attempt(Open request, AppServer server, double sent) {
+    Attempt(PendingRequest request, AppServerModel server, double sent) {
       this.request = request;
       this.server = server;
-      this.sent = sent;
+      this.sentMs = sent;
       number = request.attempts.size();
-      life = server.life;
+      incarnation = server.incarnation;
     }
   }
 
   final int place;
-  private final Fleet fleet;
-  private final Agenda agenda;
-  private final Tally tally;
+  private final FleetSimulation fleet;
+  private final VirtualTimeline timeline;
+  private final FleetCounters counters;
   private final DiscoveryModel discovery;
   private final PolicySettings settings;
-  private PolicyEvents module;
-  private Membership members;
-  private final LongObjectHashMap<Open> open = new LongObjectHashMap<>();
+  private PolicyEvents policy;
+  private Membership membership;
+  private final LongObjectHashMap<PendingRequest> openRequests = new LongObjectHashMap<>();
 
   /**
    * By place on the list: shown as up; ever sent to; when last; which change was last seen in
@@ -84,84 +84,87 @@
    */
   private final BitSet shownUp;
 
-  private final BitSet used;
-  private final float[] lastUsed;
-  private final int[] seen;
-  private boolean dead;
-  private boolean ready;
-  private boolean cut;
-  private boolean trying;
-  private double timerAt = Double.POSITIVE_INFINITY;
+  private final BitSet usedServers;
+  private final float[] lastUsedMs;
+  private final int[] appliedChangeCount;
+  private boolean isKilled;
+  private boolean isReady;
+  private boolean isPartitioned;
+  private boolean isProbeScheduled;
+  private double tickDueMs = Double.POSITIVE_INFINITY;
 
   ModelNode(
-      Fleet fleet,
+      FleetSimulation fleet,
       int place,
       DiscoveryModel discovery,
       PolicySettings settings,
-      EdgeNode.PolicyFactory maker,
+      EdgeNode.PolicyFactory policyFactory,
       long seed) {
     this.fleet = fleet;
     this.place = place;
     this.discovery = discovery;
     this.settings = settings;
-    agenda = fleet.agenda();
-    tally = fleet.tally();
+    timeline = fleet.timeline();
+    counters = fleet.counters();
     shownUp = new BitSet(discovery.size());
-    used = new BitSet(discovery.size());
-    lastUsed = new float[discovery.size()];
-    seen = new int[discovery.size()];
-    java.util.Arrays.fill(lastUsed, Float.NEGATIVE_INFINITY);
-    members = new Membership(MembershipLimits.defaults(settings.rules().warmUpMs()), SPACE);
-    long from = Tally.cpu();
-    module = maker.create(settings, seed, agenda.now(), this);
-    tally.cpuNs += Tally.cpu() - from;
+    usedServers = new BitSet(discovery.size());
+    lastUsedMs = new float[discovery.size()];
+    appliedChangeCount = new int[discovery.size()];
+    java.util.Arrays.fill(lastUsedMs, Float.NEGATIVE_INFINITY);
+    membership =
+        new Membership(MembershipLimits.defaults(settings.rules().warmUpMs()), SOURCE_NAME);
+    long startNs = FleetCounters.threadCpuNs();
+    policy = policyFactory.create(settings, seed, timeline.nowMs(), this);
+    counters.policyCpuNs += FleetCounters.threadCpuNs() - startNs;
   }
 
   /** Begins with a list that was known before, as after a deployment, or with none. */
-  void start(boolean known) {
-    if (known) {
-      WireForms.Listed list = discovery.whole();
-      long from = Tally.cpu();
-      MembershipUpdate changes = members.loadInitialList(agenda.now(), list.seq(), list.entries());
-      tally.memberNs += Tally.cpu() - from;
-      ready = true;
+  void start(boolean hasInitialList) {
+    if (hasInitialList) {
+      WireFormats.ListMessage list = discovery.completeList();
+      long startNs = FleetCounters.threadCpuNs();
+      MembershipUpdate changes =
+          membership.loadInitialList(timeline.nowMs(), list.version(), list.entries());
+      counters.membershipCpuNs += FleetCounters.threadCpuNs() - startNs;
+      isReady = true;
       apply(changes);
     }
-    discovery.watch(this, members.resumeVersion());
+    discovery.watch(this, membership.resumeVersion());
   }
 
   /** The process is killed: nothing of it speaks any more. */
   void kill() {
-    dead = true;
+    isKilled = true;
     discovery.unwatch(this);
-    for (Open o : open.values()) { // what should have been answered long ago did not die with it
-      boolean late = agenda.now() > o.deadline + settings.rules().answerGraceMs();
-      tally.unanswered += !o.over && late ? 1 : 0;
-      tally.lost += o.over || late ? 0 : 1;
+    for (PendingRequest request :
+        openRequests.values()) { // what should have been answered long ago did not die with it
+      boolean isLate = timeline.nowMs() > request.deadlineMs + settings.rules().answerGraceMs();
+      counters.unanswered += !request.isOver && isLate ? 1 : 0;
+      counters.lostWithNode += request.isOver || isLate ? 0 : 1;
     }
-    open.clear();
+    openRequests.clear();
   }
 
   /** Neither discovery nor the counter can be reached. */
-  void cut(boolean on) {
-    cut = on;
-    if (on) {
+  void setPartitioned(boolean partitioned) {
+    isPartitioned = partitioned;
+    if (partitioned) {
       discovery.unwatch(this);
     } else {
-      discovery.watch(this, members.resumeVersion());
+      discovery.watch(this, membership.resumeVersion());
     }
   }
 
-  boolean ready() {
-    return ready;
+  boolean isReady() {
+    return isReady;
   }
 
-  boolean dead() {
-    return dead;
+  boolean isKilled() {
+    return isKilled;
   }
 
-  BitSet used() {
-    return used;
+  BitSet usedServers() {
+    return usedServers;
   }
 
   PolicySettings settings() {
@@ -170,19 +173,20 @@
 
   /** Lets the cores go, so that what they held can be weighed. */
   void dropCores() {
-    module = null;
-    members = null;
+    policy = null;
+    membership = null;
   }
 
   /** Requests that have no answer, and servers that are shown otherwise than discovery has them. */
   void close() {
-    for (Open o : open.values()) {
-      tally.unanswered += o.over ? 0 : 1;
+    for (PendingRequest request : openRequests.values()) {
+      counters.unanswered += request.isOver ? 0 : 1;
     }
-    open.clear();
+    openRequests.clear();
     for (int i = 0; i < discovery.size(); i++) {
-      boolean there = fleet.server(discovery.from() + i).health == AppServer.Health.ACTIVE;
-      tally.differing += there == shownUp.get(i) ? 0 : 1;
+      boolean isActive =
+          fleet.server(discovery.firstServer() + i).health == AppServerModel.Health.ACTIVE;
+      counters.differingEntries += isActive == shownUp.get(i) ? 0 : 1;
     }
   }
 
@@ -190,40 +194,40 @@
    * The thread's CPU, as a busy machine would count the waits too; not at each event, as asking is
    * dear itself.
    */
-  private void tell(Runnable event) {
-    if (tally.decided++ % SAMPLED != 0) {
+  private void timedEvent(Runnable event) {
+    if (counters.policyEvents++ % CPU_SAMPLE_INTERVAL != 0) {
       event.run();
       return;
     }
-    long from = Tally.cpu();
+    long startNs = FleetCounters.threadCpuNs();
     event.run();
-    tally.cpuNs += SAMPLED * (Tally.cpu() - from);
+    counters.policyCpuNs += CPU_SAMPLE_INTERVAL * (FleetCounters.threadCpuNs() - startNs);
   }
 
-  private void tellServers(List<EndpointInfo> list, boolean whole) {
-    double now = agenda.now();
-    long from = Tally.cpu();
-    module.endpointsChanged(now, list, whole);
-    tally.cpuNs += Tally.cpu() - from;
+  private void notifyPolicy(List<EndpointInfo> endpoints, boolean isComplete) {
+    double nowMs = timeline.nowMs();
+    long startNs = FleetCounters.threadCpuNs();
+    policy.endpointsChanged(nowMs, endpoints, isComplete);
+    counters.policyCpuNs += FleetCounters.threadCpuNs() - startNs;
   }
 
   // ---- from clients ----
 
-  void arrived(RequestClass type, Fleet.Tenant tenant) {
+  void requestArrived(RequestClass requestClass, FleetSimulation.Tenant tenant) {
     long id = fleet.nextId();
-    tally.arrived++;
-    double now = agenda.now();
-    open.put(id, new Open(id, tenant, now + type.deadlineMs()));
-    tell(
+    counters.arrived++;
+    double nowMs = timeline.nowMs();
+    openRequests.put(id, new PendingRequest(id, tenant, nowMs + requestClass.deadlineMs()));
+    timedEvent(
         () ->
-            module.requestArrived(
-                now,
+            policy.requestArrived(
+                nowMs,
                 new IncomingRequest(
                     id,
-                    type.name(),
+                    requestClass.name(),
                     tenant.plan(),
                     tenant.name(),
-                    type.deadlineMs(),
+                    requestClass.deadlineMs(),
                     1,
                     tenant.spread(),
                     0,
@@ -233,176 +237,200 @@
   // ---- from app servers ----
 
   /** An attempt has ended, if its node still lives and nothing has ended it before. */
-  void ended(Attempt a, CallOutcome outcome) {
-    if (dead || a.ended) {
+  void attemptEnded(Attempt attempt, CallOutcome outcome) {
+    if (isKilled || attempt.hasEnded) {
       return;
     }
-    a.ended = true;
-    Open o = a.request;
-    o.out--;
-    if (outcome == CallOutcome.OK && !o.over) {
-      o.over = true;
-      tally.served++;
+    attempt.hasEnded = true;
+    PendingRequest request = attempt.request;
+    request.inFlight--;
+    if (outcome == CallOutcome.OK && !request.isOver) {
+      request.isOver = true;
+      counters.served++;
     }
-    double now = agenda.now();
-    fleet.passed(place, 2, o.id, outcome.ordinal());
-    tell(() -> module.attemptEnded(now, o.id, a.number, outcome, now - a.sent, o.over, 0, NO_LOAD));
-    settle(o);
+    double nowMs = timeline.nowMs();
+    fleet.record(place, 2, request.id, outcome.ordinal());
+    timedEvent(
+        () ->
+            policy.attemptEnded(
+                nowMs,
+                request.id,
+                attempt.number,
+                outcome,
+                nowMs - attempt.sentMs,
+                request.isOver,
+                0,
+                NO_LOAD));
+    removeIfDone(request);
     if (outcome == CallOutcome.OK) {
-      MembershipUpdate changes = members.responded(now, "s" + a.server.index);
+      MembershipUpdate changes = membership.responded(nowMs, "s" + attempt.server.index);
       if (changes != MembershipUpdate.NONE) { // as with nearly every answer
         apply(changes);
       }
     }
   }
 
-  private void settle(Open o) {
-    if (o.over && o.out == 0) {
-      open.remove(o.id);
+  private void removeIfDone(PendingRequest request) {
+    if (request.isOver && request.inFlight == 0) {
+      openRequests.remove(request.id);
     }
   }
 
-  void unreachable(AppServer server, boolean refused) {
-    if (!dead) {
-      member(() -> members.connectFailed(agenda.now(), "s" + server.index, refused, 0));
+  void unreachable(AppServerModel server, boolean isRefused) {
+    if (!isKilled) {
+      membershipEvent(
+          () -> membership.connectFailed(timeline.nowMs(), "s" + server.index, isRefused, 0));
     }
   }
 
   // ---- from the counter ----
 
-  void counted(long name, CallOutcome outcome, double sent, double total) {
-    if (!dead) {
-      double now = agenda.now();
-      tell(() -> module.counterCallEnded(now, name, outcome, now - sent, total));
+  void counterCallEnded(long name, CallOutcome outcome, double sentMs, double total) {
+    if (!isKilled) {
+      double nowMs = timeline.nowMs();
+      timedEvent(() -> policy.counterCallEnded(nowMs, name, outcome, nowMs - sentMs, total));
     }
   }
 
   // ---- from discovery ----
 
   /** A list or change has come. */
-  void listed(WireForms.Listed message) {
-    if (dead || cut) {
+  void listReceived(WireFormats.ListMessage message) {
+    if (isKilled || isPartitioned) {
       return;
     }
-    if (message.whole()) {
-      tally.wholeLists++;
-      tally.wholeBytes += message.bytes();
+    if (message.isComplete()) {
+      counters.completeLists++;
+      counters.completeListBytes += message.bytes();
     } else {
-      tally.changeMessages++;
-      tally.changeBytes += message.bytes();
-      tally.changes += message.entries().size();
+      counters.changeMessages++;
+      counters.changeBytes += message.bytes();
+      counters.changesSent += message.entries().size();
     }
-    if (!ready) { // what changed before it came is not late here
-      ready = true;
-      for (int i = 0; i < seen.length; i++) {
-        seen[i] = fleet.server(discovery.from() + i).changes;
+    if (!isReady) { // what changed before it came is not late here
+      isReady = true;
+      for (int i = 0; i < appliedChangeCount.length; i++) {
+        appliedChangeCount[i] = fleet.server(discovery.firstServer() + i).changeCount;
       }
     }
-    member(
+    membershipEvent(
         () ->
-            members.endpointsReceived(
-                agenda.now(), SPACE, message.seq(), message.whole(), message.entries()));
-    for (DiscoveredEndpoint e : message.entries()) {
-      inForce(index(e.info().id()));
+            membership.endpointsReceived(
+                timeline.nowMs(),
+                SOURCE_NAME,
+                message.version(),
+                message.isComplete(),
+                message.entries()));
+    for (DiscoveredEndpoint endpoint : message.entries()) {
+      changeApplied(serverIndex(endpoint.info().id()));
     }
   }
 
   /** Nothing has changed. */
-  void heard() {
-    if (!dead && !cut) {
-      tally.beatBytes += Assumed.BEAT_BYTES;
-      member(() -> members.sourceConfirmed(agenda.now(), SPACE));
+  void heartbeatReceived() {
+    if (!isKilled && !isPartitioned) {
+      counters.heartbeatBytes += Assumptions.HEARTBEAT_BYTES;
+      membershipEvent(() -> membership.sourceConfirmed(timeline.nowMs(), SOURCE_NAME));
     }
   }
 
-  private void member(java.util.function.Supplier<MembershipUpdate> event) {
-    long from = Tally.cpu();
+  private void membershipEvent(java.util.function.Supplier<MembershipUpdate> event) {
+    long startNs = FleetCounters.threadCpuNs();
     MembershipUpdate changes = event.get();
-    tally.memberNs += Tally.cpu() - from;
+    counters.membershipCpuNs += FleetCounters.threadCpuNs() - startNs;
     apply(changes);
   }
 
-  private static int index(String id) {
+  private static int serverIndex(String id) {
     return Integer.parseInt(id, 1, id.length(), 10);
   }
 
   private void apply(MembershipUpdate changes) {
     if (!changes.endpoints().isEmpty()) {
       List<EndpointInfo> list = new ArrayList<>(changes.endpoints().size());
-      for (DiscoveredEndpoint e : changes.endpoints()) {
-        list.add(e.info());
-        int index = index(e.info().id());
-        shownUp.set(index - discovery.from(), e.info().state() == EndpointState.UP);
-        inForce(index);
+      for (DiscoveredEndpoint endpoint : changes.endpoints()) {
+        list.add(endpoint.info());
+        int index = serverIndex(endpoint.info().id());
+        shownUp.set(index - discovery.firstServer(), endpoint.info().state() == EndpointState.UP);
+        changeApplied(index);
       }
-      tellServers(list, changes.isComplete());
+      notifyPolicy(list, changes.isComplete());
     }
     if (changes.mustResync()) {
-      discovery.askAnew(this);
+      discovery.resync(this);
     }
-    tryOut();
-    arm();
+    scheduleProbes();
+    scheduleTick();
   }
 
   /** Whether the last change of a server is in force here, and how long that took. */
-  private void inForce(int index) {
-    AppServer s = fleet.server(index);
-    int at = index - discovery.from();
-    if (s.changes > seen[at] && shownUp.get(at) == (s.health == AppServer.Health.ACTIVE)) {
-      seen[at] = s.changes;
-      if (s.changedAt > 0) {
-        tally.applied.recordValue(Math.max(0, Math.round((agenda.now() - s.changedAt) * 1000)));
+  private void changeApplied(int index) {
+    AppServerModel server = fleet.server(index);
+    int position = index - discovery.firstServer();
+    if (server.changeCount > appliedChangeCount[position]
+        && shownUp.get(position) == (server.health == AppServerModel.Health.ACTIVE)) {
+      appliedChangeCount[position] = server.changeCount;
+      if (server.changedAtMs > 0) {
+        counters.changeLatencyUs.recordValue(
+            Math.max(0, Math.round((timeline.nowMs() - server.changedAtMs) * 1000)));
       }
     }
   }
 
-  private void tryOut() {
-    if (trying || members.endpointsToProbe().isEmpty()) {
+  private void scheduleProbes() {
+    if (isProbeScheduled || membership.endpointsToProbe().isEmpty()) {
       return;
     }
-    trying = true;
-    agenda.after(
-        TRY,
+    isProbeScheduled = true;
+    timeline.scheduleAfter(
+        PROBE_INTERVAL_MS,
         () -> {
-          trying = false;
-          if (dead) {
+          isProbeScheduled = false;
+          if (isKilled) {
             return;
           }
-          Collection<String> all = new ArrayList<>(members.endpointsToProbe());
-          tally.tries += all.size();
-          for (String id : all) {
-            AppServer s = fleet.server(index(id));
-            agenda.after(
-                s.up ? 2 * Assumed.WAY : s.silent ? Assumed.CONNECT : 2 * Assumed.WAY,
-                () -> tried(s));
+          Collection<String> serverIds = new ArrayList<>(membership.endpointsToProbe());
+          counters.probes += serverIds.size();
+          for (String id : serverIds) {
+            AppServerModel server = fleet.server(serverIndex(id));
+            timeline.scheduleAfter(
+                server.isUp
+                    ? 2 * Assumptions.ONE_WAY_LATENCY_MS
+                    : server.isUnresponsive
+                        ? Assumptions.CONNECT_TIMEOUT_MS
+                        : 2 * Assumptions.ONE_WAY_LATENCY_MS,
+                () -> probeEnded(server));
           }
-          tryOut();
+          scheduleProbes();
         });
   }
 
-  private void tried(AppServer s) {
-    if (!dead) {
-      if (s.up) {
-        member(() -> members.connected(agenda.now(), "s" + s.index));
+  private void probeEnded(AppServerModel server) {
+    if (!isKilled) {
+      if (server.isUp) {
+        membershipEvent(() -> membership.connected(timeline.nowMs(), "s" + server.index));
       } else {
-        member(() -> members.connectFailed(agenda.now(), "s" + s.index, !s.silent, 0));
+        membershipEvent(
+            () ->
+                membership.connectFailed(
+                    timeline.nowMs(), "s" + server.index, !server.isUnresponsive, 0));
       }
     }
   }
 
   /** One timer for what time alone changes. */
-  private void arm() {
-    double at = members.nextTickMs();
-    if (at >= timerAt || at == Double.POSITIVE_INFINITY) {
+  private void scheduleTick() {
+    double tickMs = membership.nextTickMs();
+    if (tickMs >= tickDueMs || tickMs == Double.POSITIVE_INFINITY) {
       return;
     }
-    timerAt = at;
-    agenda.at(
-        Math.max(agenda.now() + 1, at),
+    tickDueMs = tickMs;
+    timeline.scheduleAt(
+        Math.max(timeline.nowMs() + 1, tickMs),
         () -> {
-          if (!dead && timerAt == at) {
-            timerAt = Double.POSITIVE_INFINITY;
-            member(() -> members.tick(agenda.now()));
+          if (!isKilled && tickDueMs == tickMs) {
+            tickDueMs = Double.POSITIVE_INFINITY;
+            membershipEvent(() -> membership.tick(timeline.nowMs()));
           }
         });
   }
@@ -410,99 +438,103 @@
   // ---- actions of the module ----
 
   @Override
-  public void send(long id, String server, double until) {
-    int index = index(server);
-    int at = index - discovery.from();
-    tally.sends++;
-    fleet.passed(place, 1, id, index);
-    boolean known = at >= 0 && at < discovery.size();
-    tally.sendsToDown += known && shownUp.get(at) ? 0 : 1;
-    Open o = open.get(id);
-    if (o == null || o.over || !known) {
-      tally.sendsAfterEnd += known ? 1 : 0;
+  public void send(long id, String server, double untilMs) {
+    int index = serverIndex(server);
+    int position = index - discovery.firstServer();
+    counters.sends++;
+    fleet.record(place, 1, id, index);
+    boolean isListed = position >= 0 && position < discovery.size();
+    counters.sendsToDown += isListed && shownUp.get(position) ? 0 : 1;
+    PendingRequest request = openRequests.get(id);
+    if (request == null || request.isOver || !isListed) {
+      counters.sendsAfterEnd += isListed ? 1 : 0;
       return;
     }
-    double now = agenda.now();
-    tally.connects += now - lastUsed[at] > Assumed.KEEP_ALIVE ? 1 : 0;
-    lastUsed[at] = (float) now;
-    used.set(at);
-    Attempt a = new Attempt(o, fleet.server(index), now);
-    if (o.attempts.isEmpty()) {
-      fleet.sentUnit(o.tenant);
+    double nowMs = timeline.nowMs();
+    counters.connects += nowMs - lastUsedMs[position] > Assumptions.KEEP_ALIVE_MS ? 1 : 0;
+    lastUsedMs[position] = (float) nowMs;
+    usedServers.set(position);
+    Attempt sent = new Attempt(request, fleet.server(index), nowMs);
+    if (request.attempts.isEmpty()) {
+      fleet.unitForwarded(request.tenant);
     }
-    o.attempts.add(a);
-    o.out++;
-    if (now >= o.deadline || a.number >= settings.capabilities().maxAttempts()) {
-      agenda.after(0, () -> ended(a, CallOutcome.NOT_SENT));
+    request.attempts.add(sent);
+    request.inFlight++;
+    if (nowMs >= request.deadlineMs || sent.number >= settings.capabilities().maxAttempts()) {
+      timeline.scheduleAfter(0, () -> attemptEnded(sent, CallOutcome.NOT_SENT));
       return;
     }
-    fleet.serve(this, a);
+    fleet.forward(this, sent);
   }
 
   @Override
   public void cancel(long id, int attempt) {
-    Open o = open.get(id);
-    if (o != null && attempt >= 0 && attempt < o.attempts.size()) {
-      Attempt a = o.attempts.get(attempt);
-      agenda.after(0, () -> ended(a, CallOutcome.CANCELLED));
+    PendingRequest request = openRequests.get(id);
+    if (request != null && attempt >= 0 && attempt < request.attempts.size()) {
+      Attempt cancelled = request.attempts.get(attempt);
+      timeline.scheduleAfter(0, () -> attemptEnded(cancelled, CallOutcome.CANCELLED));
     }
   }
 
   @Override
-  public void reject(long id, double retryAfter) {
-    tally.refused += answered(id, 3) ? 1 : 0;
+  public void reject(long id, double retryAfterMs) {
+    counters.rejected += finish(id, 3) ? 1 : 0;
   }
 
   @Override
   public void fail(long id) {
-    tally.failed += answered(id, 4) ? 1 : 0;
+    counters.failed += finish(id, 4) ? 1 : 0;
   }
 
-  private boolean answered(long id, int how) {
-    Open o = open.get(id);
-    if (o == null || o.over) {
-      tally.second++;
+  private boolean finish(long id, int eventKind) {
+    PendingRequest request = openRequests.get(id);
+    if (request == null || request.isOver) {
+      counters.answeredAgain++;
       return false;
     }
-    fleet.passed(place, how, id, 0);
-    o.over = true;
-    if (o.out == 0) {
-      agenda.after(0, () -> settle(o)); // the module is within its own event
+    fleet.record(place, eventKind, id, 0);
+    request.isOver = true;
+    if (request.inFlight == 0) {
+      timeline.scheduleAfter(0, () -> removeIfDone(request)); // the module is within its own event
     }
     return true;
   }
 
   @Override
-  public void setTimer(double delay, long token) {
-    double due = agenda.now() + delay;
-    agenda.at(
-        due,
+  public void setTimer(double delayMs, long token) {
+    double dueMs = timeline.nowMs() + delayMs;
+    timeline.scheduleAt(
+        dueMs,
         () -> {
-          if (!dead) {
-            tell(() -> module.timerFired(Math.max(agenda.now(), due), token));
+          if (!isKilled) {
+            timedEvent(() -> policy.timerFired(Math.max(timeline.nowMs(), dueMs), token));
           }
         });
   }
 
   @Override
   public void checkHealth(String server) {
-    double now = agenda.now();
-    agenda.after(
-        2 * Assumed.WAY,
+    double sentMs = timeline.nowMs();
+    timeline.scheduleAfter(
+        2 * Assumptions.ONE_WAY_LATENCY_MS,
         () -> {
-          if (!dead) {
-            tell(
+          if (!isKilled) {
+            timedEvent(
                 () ->
-                    module.healthCheckEnded(
-                        agenda.now(), server, CallOutcome.OK, agenda.now() - now, NO_LOAD));
+                    policy.healthCheckEnded(
+                        timeline.nowMs(),
+                        server,
+                        CallOutcome.OK,
+                        timeline.nowMs() - sentMs,
+                        NO_LOAD));
           }
         });
   }
 
   @Override
-  public void addToCounter(long name, double amount, double keepFor) {
-    fleet.passed(place, 5, name, Double.doubleToLongBits(amount));
-    fleet.counter().add(this, name, amount, keepFor, cut);
+  public void addToCounter(long name, double amount, double ttlMs) {
+    fleet.record(place, 5, name, Double.doubleToLongBits(amount));
+    fleet.counter().add(this, name, amount, ttlMs, isPartitioned);
   }
 
   /** The watch stands or is being renewed all the time. */
--- a/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
+++ b/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
@@ -25,7 +25,7 @@
       "The same shape, seed and build give the same digest. Exit code: 0 held, 1 broken, 2 wrong input."
     })
 public final class SimulateFleetCommand implements Callable<Integer> {
-  private static final int BAR = 30;
+  private static final int PROGRESS_BAR_WIDTH = 30;
 
   @Spec private CommandSpec spec;
 
@@ -66,7 +66,7 @@
       defaultValue = "1",
       description =
           "divides the rate, 1 to 1000, where a request costs much; default ${DEFAULT-VALUE}")
-  private double thin;
+  private double rateDivisor;
 
   @Option(
       names = "--seconds",
@@ -89,7 +89,7 @@
       description =
           "nodes that are run; default 110, or with --flat what"
               + " 400,000 entries of lists allow")
-  private Integer detail;
+  private Integer modelledNodes;
 
   @Option(
       names = "--flat",
@@ -109,20 +109,20 @@
   private long seed;
 
   @Option(names = "--report", paramLabel = "DIR", description = "writes scale.json there")
-  private Path report;
+  private Path reportFolder;
 
   private final PrintStream out = System.out;
 
   @Override
   public Integer call() {
-    List<Shape> shapes = new ArrayList<>();
+    List<FleetShape> shapes = new ArrayList<>();
     for (int size : sizes) {
       shapes.add(shape(size));
     }
     try {
-      if (report != null) { // before anything is run: a run is not thrown away at its end
-        Files.createDirectories(report);
-        Files.delete(Files.createTempFile(report, "scale", ".tmp"));
+      if (reportFolder != null) { // before anything is run: a run is not thrown away at its end
+        Files.createDirectories(reportFolder);
+        Files.delete(Files.createTempFile(reportFolder, "scale", ".tmp"));
       }
       return run(shapes);
     } catch (IOException e) {
@@ -131,17 +131,11 @@
     }
   }
 
-  private double check(String option, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
+  private double requireInRange(String option, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
       throw new ParameterException(
           spec.commandLine(),
-          option
-              + ": found "
-              + plain(value)
-              + ", allowed is "
-              + plain(least)
-              + " to "
-              + plain(most));
+          option + ": found " + plain(value) + ", allowed is " + plain(min) + " to " + plain(max));
     }
     return value;
   }
@@ -152,58 +146,88 @@
         : Double.toString(value);
   }
 
-  private Shape shape(int size) {
-    check("--size", size, 1, 1000);
-    check("--seconds", seconds, 5, 3600);
-    check("--hours", hours, 0, 24);
-    Shape t = Shape.target(size, seconds, flat, seed);
-    int n = nodes == null ? t.nodes() : (int) check("--nodes", nodes, 1, 10_000);
-    int s = servers == null ? t.servers() : (int) check("--servers", servers, 1, 500_000);
-    int of =
-        services == null ? Math.min(t.services(), s) : (int) check("--services", services, 1, s);
-    int c = tenants == null ? t.tenants() : (int) check("--tenants", tenants, 1, 10_000_000);
-    double r = rate == null ? t.rate() : check("--rate", rate, 0.001, 1e8);
-    r /= check("--thin", thin, 1, 1000);
-    int k = detail == null ? Shape.usualDetail(n, s, flat) : (int) check("--detail", detail, 1, n);
-    return new Shape(n, s, of, c, r, seconds, hours, k, flat, !calm, seed);
+  private FleetShape shape(int divisor) {
+    requireInRange("--size", divisor, 1, 1000);
+    requireInRange("--seconds", seconds, 5, 3600);
+    requireInRange("--hours", hours, 0, 24);
+    FleetShape target = FleetShape.target(divisor, seconds, flat, seed);
+    int nodeCount =
+        nodes == null ? target.nodes() : (int) requireInRange("--nodes", nodes, 1, 10_000);
+    int serverCount =
+        servers == null ? target.servers() : (int) requireInRange("--servers", servers, 1, 500_000);
+    int serviceCount =
+        services == null
+            ? Math.min(target.services(), serverCount)
+            : (int) requireInRange("--services", services, 1, serverCount);
+    int tenantCount =
+        tenants == null
+            ? target.tenants()
+            : (int) requireInRange("--tenants", tenants, 1, 10_000_000);
+    double requestsPerSecond =
+        rate == null ? target.requestsPerSecond() : requireInRange("--rate", rate, 0.001, 1e8);
+    requestsPerSecond /= requireInRange("--thin", rateDivisor, 1, 1000);
+    int nodesToRun =
+        modelledNodes == null
+            ? FleetShape.defaultModelledNodes(nodeCount, serverCount, flat)
+            : (int) requireInRange("--detail", modelledNodes, 1, nodeCount);
+    return new FleetShape(
+        nodeCount,
+        serverCount,
+        serviceCount,
+        tenantCount,
+        requestsPerSecond,
+        seconds,
+        hours,
+        nodesToRun,
+        flat,
+        !calm,
+        seed);
   }
 
-  private int run(List<Shape> shapes) throws IOException {
+  private int run(List<FleetShape> shapes) throws IOException {
     out.println("assumed, by no run:");
-    Assumed.lines().forEach(line -> out.println("  " + line));
+    Assumptions.describe().forEach(line -> out.println("  " + line));
     List<FleetVerdicts.Run> runs = new ArrayList<>();
-    boolean broken = false;
-    for (Shape shape : shapes) {
-      long from = System.nanoTime();
-      Tally tally = new Fleet(shape, PolicyEngine::new).run(SimulateFleetCommand::progress, true);
+    boolean isBroken = false;
+    for (FleetShape shape : shapes) {
+      long startNs = System.nanoTime();
+      FleetCounters counters =
+          new FleetSimulation(shape, PolicyEngine::new).run(SimulateFleetCommand::progress, true);
       System.err.println();
-      FleetVerdicts.Run run = new FleetVerdicts.Run(shape, tally, (System.nanoTime() - from) / 1e6);
+      FleetVerdicts.Run run =
+          new FleetVerdicts.Run(shape, counters, (System.nanoTime() - startNs) / 1e6);
       runs.add(run);
       out.println();
       out.print(FleetReport.text(run));
-      broken |= told(FleetVerdicts.of(run));
+      isBroken |= printVerdicts(FleetVerdicts.evaluate(run));
     }
-    List<FleetVerdicts.Verdict> slopes = runs.size() < 3 ? List.of() : FleetVerdicts.slopes(runs);
-    if (!slopes.isEmpty()) {
+    List<FleetVerdicts.Verdict> growth =
+        runs.size() < 3 ? List.of() : FleetVerdicts.evaluateGrowth(runs);
+    if (!growth.isEmpty()) {
       out.println();
-      broken |= told(slopes);
+      isBroken |= printVerdicts(growth);
     }
-    if (report != null) {
-      FleetReport.write(report, runs, slopes);
-      out.println("report " + report.resolve("scale.json"));
+    if (reportFolder != null) {
+      FleetReport.write(reportFolder, runs, growth);
+      out.println("report " + reportFolder.resolve("scale.json"));
     }
-    return broken ? 1 : 0;
+    return isBroken ? 1 : 0;
   }
 
-  private boolean told(List<FleetVerdicts.Verdict> verdicts) {
-    verdicts.forEach(v -> out.println("  " + v));
-    return verdicts.stream().anyMatch(v -> v.word() == FleetVerdicts.Word.BROKEN);
+  private boolean printVerdicts(List<FleetVerdicts.Verdict> verdicts) {
+    verdicts.forEach(verdict -> out.println("  " + verdict));
+    return verdicts.stream().anyMatch(verdict -> verdict.outcome() == FleetVerdicts.Outcome.BROKEN);
   }
 
   private static void progress(double share) {
-    int full = (int) (BAR * share);
+    int full = (int) (PROGRESS_BAR_WIDTH * share);
     System.err.print(
-        "\r[" + "#".repeat(full) + " ".repeat(BAR - full) + "] " + Math.round(100 * share) + "%");
+        "\r["
+            + "#".repeat(full)
+            + " ".repeat(PROGRESS_BAR_WIDTH - full)
+            + "] "
+            + Math.round(100 * share)
+            + "%");
     System.err.flush();
   }
 }
--- a/src/test/java/edgenode/simulation/fleet/SimulateFleetTest.java
+++ b/src/test/java/edgenode/simulation/fleet/SimulateFleetTest.java
@@ -31,47 +31,47 @@
   /**
    * The honest twins of what is planted: a day with incidents, and one with a day's ordinary churn.
    */
-  private static final FleetVerdicts.Run HONEST = run(shape(8, 160, false, 5));
+  private static final FleetVerdicts.Run FAULTLESS_WITH_INCIDENTS = run(shape(8, 160, false, 5));
 
-  private static final FleetVerdicts.Run CALM =
-      run(new Shape(6, 120, 3, 200, 300, SECONDS, 24, 6, false, false, 5));
+  private static final FleetVerdicts.Run FAULTLESS_WITH_CHURN =
+      run(new FleetShape(6, 120, 3, 200, 300, SECONDS, 24, 6, false, false, 5));
 
-  private static Shape shape(int nodes, int servers, boolean flat, long seed) {
-    return new Shape(
+  private static FleetShape shape(int nodes, int servers, boolean flat, long seed) {
+    return new FleetShape(
         nodes, servers, servers / 40, 30 * nodes, 40 * nodes, SECONDS, 1, nodes, flat, true, seed);
   }
 
-  private static FleetVerdicts.Run run(Shape shape) {
+  private static FleetVerdicts.Run run(FleetShape shape) {
     return new FleetVerdicts.Run(
-        shape, new Fleet(shape, PolicyEngine::new).run(share -> {}, false), 0);
+        shape, new FleetSimulation(shape, PolicyEngine::new).run(share -> {}, false), 0);
   }
 
-  private static Map<String, FleetVerdicts.Word> words(List<FleetVerdicts.Verdict> all) {
+  private static Map<String, FleetVerdicts.Outcome> outcomes(List<FleetVerdicts.Verdict> all) {
     return all.stream()
         .collect(
             Collectors.toMap(
                 FleetVerdicts.Verdict::name,
-                FleetVerdicts.Verdict::word,
+                FleetVerdicts.Verdict::outcome,
                 (a, b) -> b,
                 TreeMap::new));
   }
 
-  private static String broken(List<FleetVerdicts.Verdict> all) {
+  private static String brokenVerdicts(List<FleetVerdicts.Verdict> all) {
     return all.stream()
-        .filter(v -> v.word() == FleetVerdicts.Word.BROKEN)
+        .filter(v -> v.outcome() == FleetVerdicts.Outcome.BROKEN)
         .map(FleetVerdicts.Verdict::name)
         .collect(Collectors.joining("; "));
   }
 
   @Test
-  void theSameShapeAndSeedAreTheSameRun() {
-    Tally one = run(shape(6, 120, false, 7)).tally();
-    Tally two = run(shape(6, 120, false, 7)).tally();
+  void givenSameShapeAndSeedWhenRunThenSameDigest() {
+    FleetCounters one = run(shape(6, 120, false, 7)).counters();
+    FleetCounters two = run(shape(6, 120, false, 7)).counters();
     assertTrue(one.sends > 2500, "sends " + one.sends);
     assertEquals(one.digest(), two.digest());
     assertEquals(one.events, two.events);
-    assertEquals(one.applied.getTotalCount(), two.applied.getTotalCount());
-    assertNotEquals(one.digest(), run(shape(6, 120, false, 8)).tally().digest());
+    assertEquals(one.changeLatencyUs.getTotalCount(), two.changeLatencyUs.getTotalCount());
+    assertNotEquals(one.digest(), run(shape(6, 120, false, 8)).counters().digest());
   }
 
   /**
@@ -80,61 +80,65 @@
    */
   @ParameterizedTest
   @CsvSource({"false", "true"})
-  void aSmallFleetHoldsAndItsCostsGrowAsNamed(boolean flat) {
+  void givenSmallFleetsWhenRunThenNoVerdictIsBrokenAndOnlyKnownCostsGrow(boolean flat) {
     List<FleetVerdicts.Run> runs = new ArrayList<>();
     for (int nodes : new int[] {4, 8, 16}) {
       FleetVerdicts.Run run = run(shape(nodes, 20 * nodes, flat, 3));
-      List<FleetVerdicts.Verdict> all = FleetVerdicts.of(run);
-      assertEquals("", broken(all), all.toString());
+      List<FleetVerdicts.Verdict> all = FleetVerdicts.evaluate(run);
+      assertEquals("", brokenVerdicts(all), all.toString());
       runs.add(run);
     }
-    List<FleetVerdicts.Verdict> slopes = FleetVerdicts.slopes(runs);
-    assertEquals("", broken(slopes), slopes.toString());
+    List<FleetVerdicts.Verdict> slopes = FleetVerdicts.evaluateGrowth(runs);
+    assertEquals("", brokenVerdicts(slopes), slopes.toString());
     assertEquals(
-        flat ? FleetVerdicts.Word.GROWS : FleetVerdicts.Word.HELD,
-        words(slopes).get("growth of entries listed"));
+        flat ? FleetVerdicts.Outcome.GROWS : FleetVerdicts.Outcome.HELD,
+        outcomes(slopes).get("growth of entries listed"));
     assertEquals(
-        flat ? FleetVerdicts.Word.GROWS : FleetVerdicts.Word.HELD,
-        words(slopes).get("growth of bytes of a whole list"));
+        flat ? FleetVerdicts.Outcome.GROWS : FleetVerdicts.Outcome.HELD,
+        outcomes(slopes).get("growth of bytes of a whole list"));
   }
 
   @ParameterizedTest
   @CsvSource({
     "NEVER_ANSWERS, one final answer a request",
     "ANSWERS_TWICE, one final answer a request",
-    "SENDS_TO_GONE, 'nothing sent to a server told draining, gone or not at all'",
+    "SENDS_TO_REMOVED, 'nothing sent to a server told draining, gone or not at all'",
     "SENDS_AFTER_END, nothing sent for a request that is over",
-    "CALLS_AGAIN, counter calls a request",
-    "RUSHES_COLD, a cold server's sends",
-    "REFUSES_ALL, evidence"
+    "REPEATS_COUNTER_CALLS, counter calls a request",
+    "OVERLOADS_WARMING_UP, a cold server's sends",
+    "REJECTS_ALL, evidence"
   })
-  void aFaultPlantedInTheModuleIsFound(Crooked.Fault fault, String verdict) {
-    assertEquals("", broken(FleetVerdicts.of(HONEST)), "its honest twin");
-    Tally tally =
-        new Fleet(
-                HONEST.shape(),
-                (settings, seed, now, host) -> new Crooked(fault, settings, seed, now, host))
+  void givenFaultyPolicyWhenRunThenVerdictIsBroken(FaultyPolicy.Fault fault, String verdict) {
+    assertEquals(
+        "", brokenVerdicts(FleetVerdicts.evaluate(FAULTLESS_WITH_INCIDENTS)), "its honest twin");
+    FleetCounters tally =
+        new FleetSimulation(
+                FAULTLESS_WITH_INCIDENTS.shape(),
+                (settings, seed, now, host) -> new FaultyPolicy(fault, settings, seed, now, host))
             .run(share -> {}, false);
     List<FleetVerdicts.Verdict> all =
-        FleetVerdicts.of(new FleetVerdicts.Run(HONEST.shape(), tally, 0));
-    assertEquals(FleetVerdicts.Word.BROKEN, words(all).get(verdict), all.toString());
+        FleetVerdicts.evaluate(new FleetVerdicts.Run(FAULTLESS_WITH_INCIDENTS.shape(), tally, 0));
+    assertEquals(FleetVerdicts.Outcome.BROKEN, outcomes(all).get(verdict), all.toString());
   }
 
   @ParameterizedTest
   @CsvSource({
-    "WHOLE_ALWAYS, whole lists",
-    "ALL_AS_CHANGES, discovery bytes a change",
-    "TELLS_HALF, views agree with discovery at the end"
+    "ALWAYS_SENDS_COMPLETE_LIST, whole lists",
+    "SENDS_ALL_AS_CHANGES, discovery bytes a change",
+    "DROPS_EVERY_SECOND_CHANGE, views agree with discovery at the end"
   })
-  void aFaultPlantedInDiscoveryIsFound(DiscoveryModel.Fault fault, String verdict) {
-    assertEquals("", broken(FleetVerdicts.of(CALM)), "its honest twin");
-    Fleet fleet = new Fleet(CALM.shape(), PolicyEngine::new);
-    for (int i = 0; i < CALM.shape().lists(); i++) {
-      fleet.list(i).plant(fault);
+  void givenFaultyDiscoveryWhenRunThenVerdictIsBroken(
+      DiscoveryModel.Fault fault, String verdict) {
+    assertEquals(
+        "", brokenVerdicts(FleetVerdicts.evaluate(FAULTLESS_WITH_CHURN)), "its honest twin");
+    FleetSimulation fleet = new FleetSimulation(FAULTLESS_WITH_CHURN.shape(), PolicyEngine::new);
+    for (int i = 0; i < FAULTLESS_WITH_CHURN.shape().modelledLists(); i++) {
+      fleet.list(i).injectFault(fault);
     }
     List<FleetVerdicts.Verdict> all =
-        FleetVerdicts.of(new FleetVerdicts.Run(CALM.shape(), fleet.run(share -> {}, false), 0));
-    assertEquals(FleetVerdicts.Word.BROKEN, words(all).get(verdict), all.toString());
+        FleetVerdicts.evaluate(
+            new FleetVerdicts.Run(FAULTLESS_WITH_CHURN.shape(), fleet.run(share -> {}, false), 0));
+    assertEquals(FleetVerdicts.Outcome.BROKEN, outcomes(all).get(verdict), all.toString());
   }
 
   /**
@@ -142,30 +146,30 @@
    * size.
    */
   @Test
-  void growthIsFound() {
+  void givenGrowingCostsWhenGrowthIsEvaluatedThenVerdictIsBroken() {
     List<FleetVerdicts.Run> runs = new ArrayList<>();
     for (int nodes : new int[] {10, 100, 1000}) {
-      Tally t = new Tally();
-      t.arrived = 1000;
-      t.counterCalls = nodes;
-      t.served = 1000 - nodes / 2;
-      t.sends = Math.round(1000 * Math.pow(nodes, 0.1));
-      t.listEntries = 40;
-      runs.add(new FleetVerdicts.Run(shape(nodes, 40 * nodes, false, 1), t, 0));
+      FleetCounters counters = new FleetCounters();
+      counters.arrived = 1000;
+      counters.counterCalls = nodes;
+      counters.served = 1000 - nodes / 2;
+      counters.sends = Math.round(1000 * Math.pow(nodes, 0.1));
+      counters.listEntries = 40;
+      runs.add(new FleetVerdicts.Run(shape(nodes, 40 * nodes, false, 1), counters, 0));
     }
-    Map<String, FleetVerdicts.Word> words = words(FleetVerdicts.slopes(runs));
-    assertEquals(FleetVerdicts.Word.BROKEN, words.get("growth of counter calls a request"));
-    assertEquals(FleetVerdicts.Word.BROKEN, words.get("growth of requests not served"));
-    assertEquals(FleetVerdicts.Word.HELD, words.get("growth of sends a request"));
-    assertEquals(FleetVerdicts.Word.HELD, words.get("growth of entries listed"));
+    Map<String, FleetVerdicts.Outcome> words = outcomes(FleetVerdicts.evaluateGrowth(runs));
+    assertEquals(FleetVerdicts.Outcome.BROKEN, words.get("growth of counter calls a request"));
+    assertEquals(FleetVerdicts.Outcome.BROKEN, words.get("growth of requests not served"));
+    assertEquals(FleetVerdicts.Outcome.HELD, words.get("growth of sends a request"));
+    assertEquals(FleetVerdicts.Outcome.HELD, words.get("growth of entries listed"));
   }
 
   /** Of a large fleet a part is run, and the report says so. */
   @Test
-  void aSampleSaysSoAndTheReportIsReadable() throws Exception {
-    Shape shape = new Shape(1000, 40_000, 1000, 30_000, 60_000, 5, 1, 4, false, false, 1);
-    assertEquals(4, shape.lists());
-    assertEquals(160, shape.modelled());
+  void givenSampledFleetWhenReportedThenReportSaysSoAndIsValidJson() throws Exception {
+    FleetShape shape = new FleetShape(1000, 40_000, 1000, 30_000, 60_000, 5, 1, 4, false, false, 1);
+    assertEquals(4, shape.modelledLists());
+    assertEquals(160, shape.modelledServers());
     FleetVerdicts.Run run = run(shape);
     assertTrue(
         FleetReport.text(run).contains("SAMPLE: 4 nodes and 160 servers are run"),
@@ -183,20 +187,24 @@
   }
 
   @Test
-  void theTargetDividesEvenly() {
-    Shape all = Shape.target(1, 10, false, 1);
-    assertEquals(110, all.detail());
-    assertEquals(96, all.lists());
-    Shape tenth = Shape.target(50, 10, false, 1);
+  void targetFleetIsDividedEvenly() {
+    FleetShape all = FleetShape.target(1, 10, false, 1);
+    assertEquals(110, all.modelledNodes());
+    assertEquals(96, all.modelledLists());
+    FleetShape tenth = FleetShape.target(50, 10, false, 1);
     assertEquals(110, tenth.nodes());
-    assertEquals(all.lists(), tenth.lists());
-    assertEquals(4, Shape.target(1, 10, true, 1).detail(), "one list for all: what memory allows");
+    assertEquals(all.modelledLists(), tenth.modelledLists());
+    assertEquals(
+        4,
+        FleetShape.target(1, 10, true, 1).modelledNodes(),
+        "one list for all: what memory allows");
     assertThrows(
-        IllegalArgumentException.class, () -> new Shape(5, 10, 20, 1, 1, 5, 1, 5, false, false, 1));
+        IllegalArgumentException.class,
+        () -> new FleetShape(5, 10, 20, 1, 1, 5, 1, 5, false, false, 1));
   }
 
   @Test
-  void wrongInputIsRefused() {
+  void givenWrongInputWhenRunThenExitCodeIsTwo() {
     assertEquals(2, SimulationCommands.run("simulate-fleet", "--size", "0"));
     assertEquals(2, SimulationCommands.run("simulate-fleet", "--nodes", "5", "--detail", "6"));
     assertEquals(2, SimulationCommands.run("scale", "--seconds", "two"));
