--- a/src/main/java/edgenode/simulation/fleet/Assumptions.java
+++ b/src/main/java/edgenode/simulation/fleet/Assumptions.java
@@ -84,7 +84,7 @@
   /** After so long (ms) a node ends a connection on which the counter owes an answer. */
   static final double COUNTER_DISCONNECT_MS = 400;
 
-  private static final int PLAN_COUNT = 14;
+  static final int PLAN_COUNT = 14;
 
   private Assumptions() {}
 
@@ -93,10 +93,6 @@
     return 0.25 * Math.pow(4, step);
   }
 
-  static int planCount() {
-    return PLAN_COUNT;
-  }
-
   static PolicySettings settings(int nodeIndex, int nodeCount, String zone) {
     List<QuotaPlan> plans = new ArrayList<>();
     for (int i = 0; i < PLAN_COUNT; i++) {
--- a/src/test/java/edgenode/simulation/fleet/SimulateFleetTest.java
+++ b/src/test/java/edgenode/simulation/fleet/SimulateFleetTest.java
@@ -127,13 +127,12 @@
     "SENDS_ALL_AS_CHANGES, discovery bytes a change",
     "DROPS_EVERY_SECOND_CHANGE, views agree with discovery at the end"
   })
-  void givenFaultyDiscoveryWhenRunThenVerdictIsBroken(
-      DiscoveryModel.Fault fault, String verdict) {
+  void givenFaultyDiscoveryWhenRunThenVerdictIsBroken(DiscoveryModel.Fault fault, String verdict) {
     assertEquals(
         "", brokenVerdicts(FleetVerdicts.evaluate(FAULTLESS_WITH_CHURN)), "its honest twin");
     FleetSimulation fleet = new FleetSimulation(FAULTLESS_WITH_CHURN.shape(), PolicyEngine::new);
     for (int i = 0; i < FAULTLESS_WITH_CHURN.shape().modelledLists(); i++) {
-      fleet.list(i).injectFault(fault);
+      fleet.servers().list(i).injectFault(fault);
     }
     List<FleetVerdicts.Verdict> all =
         FleetVerdicts.evaluate(
