--- a/src/main/java/edgenode/simulation/fleet/AppServerModel.java
+++ b/src/main/java/edgenode/simulation/fleet/AppServerModel.java
@@ -1,7 +1,10 @@
 package edgenode.simulation.fleet;
 
-/** An app server, thinly: cores that take requests in their order, slower while it is cold. */
+import java.util.Arrays;
+
+/** Model of an app server: cores that take requests in order, slower while it warms up. */
 final class AppServerModel {
+  /** State at discovery; the lower-case names are on the wire. */
   enum Health {
     ACTIVE,
     LEAVING,
@@ -10,7 +13,7 @@
 
   static final int CORES = 2;
 
-  /** Requests (of mean work) that wait at most; more are turned away. */
+  /** Requests (of mean work) that queue at most; more are rejected. */
   private static final int MAX_QUEUED_REQUESTS = 32;
 
   final int index;
@@ -18,23 +21,31 @@
   final String address;
   final String zone;
 
-  /** What discovery will tell of it: health, when that became so, and how often it has changed. */
   Health health = Health.ACTIVE;
 
+  /** When its entry at discovery last changed; 0 for never. */
   double changedAtMs;
+
+  /** Changes of its entry at discovery. */
   int changeCount;
 
-  /** Whether it answers; where its machine is gone nothing refuses a connect either. */
   boolean isUp = true;
 
+  /** Whether its machine is lost: connects time out, where else they are refused. */
   boolean isUnresponsive;
+
+  /** Counts its stops. */
   int incarnation;
+
+  /** Last start; 0 where it ran before the simulation. */
   double startedAtMs;
 
-  /** Sends since it was last born, and the same of its whole list when it was born. */
+  /** Sends in its present warm-up. */
   int warmUpSends;
 
+  /** Sends to warm servers of its list when it last started. */
   long listSendsAtStart;
+
   private final double[] coreFreeAtMs = new double[CORES];
 
   AppServerModel(int index, int listIndex, String zone) {
@@ -45,7 +56,13 @@
         "10." + (index >> 16 & 255) + "." + (index >> 8 & 255) + "." + (index & 255) + ":7000";
   }
 
-  /** When this work (ms of a warm core) is done, NaN where it is full. */
+  /**
+   * Queues a request.
+   *
+   * @param workMs work of the request (ms of a core at full speed)
+   * @param speed present share of the full speed
+   * @return when it is done (ms), NaN where the queue is full
+   */
   double enqueue(double nowMs, double workMs, double meanWorkMs, double speed) {
     int earliestCore = 0;
     for (int i = 1; i < CORES; i++) {
@@ -71,13 +88,10 @@
     startedAtMs = nowMs;
     warmUpSends = 0;
     listSendsAtStart = listSends;
-    java.util.Arrays.fill(coreFreeAtMs, nowMs);
+    Arrays.fill(coreFreeAtMs, nowMs);
   }
 
-  /**
-   * The share of its speed that it has: a start takes it from {@code coldShare} to all within
-   * {@code warmMs}.
-   */
+  /** Present share of the full speed: grows from {@code initialShare} to 1 in the warm-up. */
   double speed(double nowMs, double initialShare, double warmUpMs) {
     double ageMs = nowMs - startedAtMs;
     return startedAtMs == 0 || ageMs >= warmUpMs
--- a/src/main/java/edgenode/simulation/fleet/Assumptions.java
+++ b/src/main/java/edgenode/simulation/fleet/Assumptions.java
@@ -13,12 +13,12 @@
 import java.util.Locale;
 
 /**
- * What no run has shown: the figures of the world around the nodes. The report prints them with
- * each run.
+ * Figures of the model that no measurement backs: network, app servers, outside services, tenants.
+ * The report prints them with each run.
  */
 final class Assumptions {
   /**
-   * Adds a second that the counter's machines bear for one edge node: 16 machines of 100,000 over
+   * Adds a second that the counter's machines serve for one edge node: 16 machines of 100,000 over
    * 5,500 nodes.
    */
   static final double COUNTER_ADDS_PER_SECOND_PER_NODE = 16 * 100_000.0 / 5500;
@@ -32,67 +32,70 @@
   /** One way through the network (ms). */
   static final double ONE_WAY_LATENCY_MS = 0.25;
 
-  /** Connects to a machine that is gone are given up after this (ms). */
+  /** Connects to a lost machine time out after this. */
   static final double CONNECT_TIMEOUT_MS = 250;
 
   /** Mean work of a request at an app server (ms of a core). */
   static final double MEAN_WORK_MS = 40;
 
+  /** Speed of a server at its start, as a share of its full speed. */
   static final double INITIAL_SPEED_SHARE = 0.2;
+
   static final double WARM_UP_MS = 5000;
 
-  /** Until discovery knows that a server has died (ms). */
+  /** Until discovery detects that a server has failed. */
   static final double FAILURE_DETECTION_MS = 1000;
 
-  /** Changes within this time (ms) are told in one message. */
+  /** Discovery sends changes within this time in one message. */
   static final double CHANGE_BATCH_MS = 10;
 
-  /** Counter calls that wait longer (ms) are turned away. */
+  /** The counter rejects calls that would wait longer. */
   static final double COUNTER_MAX_QUEUE_MS = 200;
 
-  /** A watch's line while nothing changes: every so often (ms), bytes with its chunk. */
+  /** Interval of a watch's heartbeats. */
   static final double HEARTBEAT_MS = 2000;
 
+  /** Length of a heartbeat with its chunk. */
   static final int HEARTBEAT_BYTES = 7;
 
-  /** A day's failures, restarts and changes of routes over the whole fleet of the issue. */
+  /** Failures a day over {@link #ALL_MACHINES}. */
   static final double FAILURES_PER_DAY = 1000;
 
   static final double RESTARTS_PER_DAY = 9800;
   static final double ROUTE_CHANGES_PER_DAY = 30_000;
+
+  /** Machines of the target fleet: nodes and app servers. */
   static final int ALL_MACHINES = 195_500;
 
-  /**
-   * Customers' rates fall with their rank by this power; each comes through a node for each so many
-   * a second.
-   */
+  /** A tenant's rate falls with its rank by this power (Zipf's law). */
   static final double ZIPF_EXPONENT = 0.8;
 
+  /** A tenant comes through one node for each so many requests a second. */
   static final double TENANT_RATE_PER_NODE = 20;
 
-  /** Zones of the whole fleet, and regions. */
+  /** Zones of the target fleet. */
   static final int ZONES = 10;
 
   static final int REGIONS = 5;
 
-  /** Servers in a rack. */
   static final int SERVERS_PER_RACK = 40;
 
   static final double KEEP_ALIVE_MS = 15_000;
   static final double COUNTER_TIMEOUT_MS = 80;
 
-  /** After so long (ms) a node ends a connection on which the counter owes an answer. */
+  /** A node closes its connection to the counter when an answer is this late. */
   static final double COUNTER_DISCONNECT_MS = 400;
 
   static final int PLAN_COUNT = 14;
 
   private Assumptions() {}
 
-  /** A quota's rate (units a second) on a ladder of powers of four. */
+  /** Rate of the quota plan of a step, 0 to {@link #PLAN_COUNT} - 1 (units a second). */
   static double planRatePerSecond(int step) {
     return 0.25 * Math.pow(4, step);
   }
 
+  /** Settings of the decision module of one node. */
   static PolicySettings settings(int nodeIndex, int nodeCount, String zone) {
     List<QuotaPlan> plans = new ArrayList<>();
     for (int i = 0; i < PLAN_COUNT; i++) {
@@ -132,6 +135,7 @@
         new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
+  /** One line of the report for each group of assumptions. */
   static List<String> describe() {
     return List.of(
         String.format(
--- a/src/main/java/edgenode/simulation/fleet/CounterModel.java
+++ b/src/main/java/edgenode/simulation/fleet/CounterModel.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The counter, thinly: totals by name, so many adds a second in their order, a line before it; may
- * be away.
+ * Model of the counter: totals by name, one queue, a fixed time for each add, and outages. The
+ * bytes of its messages are counted in their real form.
  */
 final class CounterModel {
   private final VirtualTimeline timeline;
@@ -15,7 +15,7 @@
   private final double serviceTimeMs;
   private final Map<Long, Double> totals = new HashMap<>();
   private double freeAtMs;
-  private boolean setUnavailable;
+  private boolean isUnavailable;
 
   CounterModel(
       VirtualTimeline timeline, FleetCounters counters, WireFormats formats, double addsPerSecond) {
@@ -25,17 +25,23 @@
     serviceTimeMs = 1000 / addsPerSecond;
   }
 
+  /** Begins or ends an outage; calls in an outage get no answer. */
   void setUnavailable(boolean unavailable) {
-    setUnavailable = unavailable;
+    isUnavailable = unavailable;
   }
 
-  /** An add by a node; its outcome is told as the counter's client tells it. */
+  /**
+   * Adds to a total for a node, which gets the outcomes that the counter's client would report.
+   *
+   * @param ttlMs how long the counter keeps the total
+   * @param isPartitioned whether the node cannot reach the counter
+   */
   void add(ModelNode node, long name, double amount, double ttlMs, boolean isPartitioned) {
     counters.counterCalls++;
     counters.counterBytes += formats.addBytes(name, amount, ttlMs);
     double sentMs = timeline.nowMs();
     double receivedMs = sentMs + Assumptions.ONE_WAY_LATENCY_MS;
-    if (setUnavailable || isPartitioned) {
+    if (isUnavailable || isPartitioned) {
       timeline.scheduleAfter(
           Assumptions.COUNTER_TIMEOUT_MS,
           () -> node.counterCallEnded(name, CallOutcome.OVERDUE, sentMs, 0));
--- a/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
+++ b/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
@@ -8,19 +8,14 @@
 import java.util.Set;
 
 /**
- * One list of discovery's, thinly: versions, and watches to which changes are pushed in the real
- * form over a link of so many bytes a ms that all share.
+ * Model of one endpoint list at discovery: a version for each change, and nodes that watch it.
+ * Messages have their real form, and take the time of their bytes on a link that all lists share.
  */
 final class DiscoveryModel {
-  /**
-   * Changes kept for watches that go on from an older version; before them the whole list is sent.
-   */
+  /** A watch that resumes from further back (changes) gets the complete list. */
   private static final int MAX_CHANGE_LOG = 4096;
 
-  /**
-   * What it does wrong all the time: whole lists or all entries for each change, or every other
-   * change not told.
-   */
+  /** A permanent fault, for tests of the verdicts. */
   enum Fault {
     NONE,
     ALWAYS_SENDS_COMPLETE_LIST,
@@ -28,7 +23,7 @@
     DROPS_EVERY_SECOND_CHANGE
   }
 
-  /** The link that all lists' messages take, one after another. */
+  /** The link that the messages of all lists take, one after another. */
   static final class Link {
     private final double bytesPerMs;
     private double freeAtMs;
@@ -37,6 +32,7 @@
       this.bytesPerMs = bytesPerMs;
     }
 
+    /** Queues a message and returns when it arrives (ms). */
     double deliveryTimeMs(double nowMs, int bytes) {
       freeAtMs = Math.max(nowMs, freeAtMs) + bytes / bytesPerMs;
       return freeAtMs + Assumptions.ONE_WAY_LATENCY_MS;
@@ -58,7 +54,7 @@
   private boolean isPushScheduled;
   private long pushCount;
 
-  /** Entries that the last message of changes had to tell. */
+  /** Entries that the last message of changes had to contain. */
   private int dueEntries;
 
   private WireFormats.ListMessage completeList;
@@ -79,7 +75,7 @@
     this.size = size;
   }
 
-  /** Planted for tests of the judges. */
+  /** For tests of the verdicts. */
   void injectFault(Fault injected) {
     fault = injected;
   }
@@ -107,10 +103,7 @@
         index / Assumptions.SERVERS_PER_RACK + (server.changeCount & 1) * servers.length);
   }
 
-  /**
-   * The whole list as it stands; the same object while nothing changes, as all nodes are told the
-   * same bytes.
-   */
+  /** The complete list at the present version; the same object until the next change. */
   WireFormats.ListMessage completeList() {
     if (completeList == null || completeList.version() != version()) {
       List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>(size);
@@ -144,7 +137,7 @@
     return WireFormats.listMessage(version(), false, hosts);
   }
 
-  /** A server has changed: the watches are told shortly, with what else changes meanwhile. */
+  /** Lists a change of a server: the watchers get it with the other changes of a short time. */
   void serverChanged(AppServerModel server) {
     server.changedAtMs = timeline.nowMs();
     server.changeCount++;
@@ -174,7 +167,7 @@
         link.deliveryTimeMs(timeline.nowMs(), message.bytes()), () -> node.listReceived(message));
   }
 
-  /** A node's watch stands from now on, from the version that it has; -1 for none. */
+  /** Subscribes a node from the version that it has; -1 where it has no list. */
   void watch(ModelNode node, long version) {
     if (version != version()) {
       send(node, changesSince(version));
@@ -189,7 +182,10 @@
   }
 
   /**
-   * It tells something wrong, or right again, to all: the first so many servers as the whole list.
+   * Sends a wrong complete list to all watchers.
+   *
+   * @param listShare part of the servers that it contains, 0 to 1
+   * @param versionsBack how far its version is behind; 0 for a new version
    */
   void sendWrongList(double listShare, long versionsBack) {
     List<DiscoveryAgentEmulator.Host> hosts = new ArrayList<>();
@@ -207,14 +203,14 @@
     watchers.forEach(node -> send(node, message));
   }
 
-  /** The whole list to all, as a version of its own. */
+  /** Sends the correct complete list to all watchers, as a new version. */
   void sendCorrectList() {
     changeLog.add(firstServer);
     pushedVersion = version();
     watchers.forEach(node -> send(node, completeList()));
   }
 
-  /** A node asks for all of it. */
+  /** A node asks for the complete list; ignored where it has no watch. */
   void resync(ModelNode node) {
     if (watchers.contains(node)) {
       timeline.scheduleAfter(2 * Assumptions.ONE_WAY_LATENCY_MS, () -> send(node, completeList()));
--- a/src/main/java/edgenode/simulation/fleet/FleetCounters.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetCounters.java
@@ -22,31 +22,34 @@
   long rejected;
   long failed;
 
-  /** Open when their node was killed. */
+  /** Requests that were open when their node was killed. */
   long lostWithNode;
 
-  /** Answered more than once, or never. */
+  /** Answers to requests that were answered before. */
   long answeredAgain;
 
+  /** Requests that never got an answer. */
   long unanswered;
+
   long sends;
 
-  /**
-   * To a server that this node had been told as draining or gone, or not told at all; for a request
-   * that is over.
-   */
+  /** Sends to a server that the node had as draining, removed or unknown. */
   long sendsToDown;
 
+  /** Sends for a request that was over. */
   long sendsAfterEnd;
+
   long connectFailures;
   long rejectedByServer;
   long resets;
   long timeouts;
 
-  /** First sends to a server for a keep-alive time, and tries of dead and held ones. */
+  /** Sends to a server that had none within the keep-alive time. */
   long connects;
 
+  /** Connection probes of ejected or quarantined servers. */
   long probes;
+
   long counterCalls;
   long counterBytes;
   long counterRejected;
@@ -56,13 +59,15 @@
   long changeMessages;
   long changeBytes;
 
-  /** Entries told in change messages, over all nodes, and those that had to be. */
+  /** Entries in messages of changes, over all nodes. */
   long changesSent;
 
+  /** Entries that these messages had to contain. */
   long changesDue;
+
   long heartbeatBytes;
 
-  /** Changes of entries at discovery, once each however many nodes are told. */
+  /** Changes of entries at discovery, each counted once. */
   long changesMade;
 
   long listBytes;
@@ -71,7 +76,7 @@
   long nodeRestarts;
   long nodeSeconds;
 
-  /** Nodes that show another state of a server at the end than discovery's, by server. */
+  /** Entries, over all nodes, whose state at the end is another than discovery's. */
   long differingEntries;
 
   long policyEvents;
@@ -79,17 +84,20 @@
   long membershipCpuNs;
   double usedServers;
   double listEntries;
+
+  /** Heap of the cores of a node; -1 where it was not measured. */
   long stateBytes = -1;
+
   long events;
   long warmUpsNotJudged;
   final List<WarmUpSample> warmUps = new ArrayList<>();
 
-  /** From a change at discovery to the node's decisions (us of virtual time). */
+  /** From a change at discovery until a node's policy has it (us of virtual time). */
   final Histogram changeLatencyUs = new Histogram(3_600_000_000L, 3);
 
   private long digest = 0x9e3779b97f4a7c15L;
 
-  /** Takes in what passed: the same run gives the same sum. */
+  /** Adds an event to the digest: the same events in the same order give the same digest. */
   void addToDigest(long event) {
     long mixed = (digest ^ event) * 0xbf58476d1ce4e5b9L;
     digest = mixed ^ (mixed >>> 29);
@@ -100,6 +108,7 @@
     return THREADS.getCurrentThreadCpuTime();
   }
 
+  /** 16 hex digits. */
   String digest() {
     return String.format("%016x", digest);
   }
--- a/src/main/java/edgenode/simulation/fleet/FleetReport.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetReport.java
@@ -7,183 +7,18 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 
 /**
- * What runs came to: a table for people, {@code scale.json} for programs. Fields are only added to
- * it within one {@link #SCHEMA}.
+ * The results of runs: a table for people, {@code scale.json} for programs. Within one {@link
+ * #SCHEMA} fields are only added to the file.
  */
 final class FleetReport {
   static final int SCHEMA = 1;
 
-  /**
-   * What the issue on size allows a node for control: bytes a second, bytes of memory, share of a
-   * core; ms.
-   */
-  private static final double CONTROL_BYTES_PER_SECOND_BUDGET = 10_000;
-
-  private static final double MEMORY_BYTES_BUDGET = 256e6;
-  private static final double CORE_SHARE_BUDGET = 0.014;
-  private static final double CHANGE_LATENCY_MS_BUDGET = 4000;
-
-  /**
-   * The longest list that the node's own sources take (bytes): {@code AgentSource}, {@code *
-   * HttpSource}.
-   */
-  private static final double MAX_LIST_BYTES = 8 << 20;
-
-  /**
-   * {@code AgentSource} asks for a list this long at most so often (bytes, times a second), on its
-   * own machine.
-   */
-  private static final int MAX_POLLED_LIST_BYTES = 48 << 10;
-
-  private static final double POLLS_PER_SECOND = 8;
-
-  /** How a figure came about. */
-  enum Kind {
-    MEASURED,
-    TIMED,
-    COMPUTED
-  }
-
-  /** One line of the table; {@code budget} is NaN where the issue names none. */
-  record ReportLine(String name, double value, String unit, Kind kind, double budget) {}
-
   private FleetReport() {}
 
-  static List<ReportLine> lines(FleetVerdicts.Run run) {
-    FleetCounters counters = run.counters();
-    FleetShape shape = run.shape();
-    List<ReportLine> lines = new ArrayList<>();
-    double seconds = Math.max(1, counters.nodeSeconds);
-    double controlBytes =
-        counters.counterBytes
-            + counters.completeListBytes
-            + counters.changeBytes
-            + counters.heartbeatBytes;
-    add(lines, "requests decided a node and second", counters.arrived / seconds, "1/s");
-    add(lines, "served", (double) counters.served / counters.arrived, "of requests");
-    add(lines, "refused", (double) counters.rejected / counters.arrived, "of requests");
-    add(lines, "failed", (double) counters.failed / counters.arrived, "of requests");
-    add(
-        lines,
-        "units beyond quotas",
-        (double) counters.unitsOverQuota / Math.max(1, counters.units),
-        "of those sent");
-    add(lines, "sends a request", (double) counters.sends / counters.arrived, "");
-    add(lines, "new connections a node and second", counters.connects / seconds, "1/s");
-    add(lines, "servers that a node has sent to", counters.usedServers, "");
-    add(lines, "entries on a node's list", counters.listEntries, "");
-    add(
-        lines,
-        "connect tries of dead and held servers a node and second",
-        counters.probes / seconds,
-        "1/s");
-    add(lines, "counter calls a node and second", counters.counterCalls / seconds, "1/s");
-    add(
-        lines,
-        "counter calls turned away or late",
-        (double) (counters.counterRejected + counters.counterLate)
-            / Math.max(1, counters.counterCalls),
-        "of calls");
-    add(
-        lines,
-        "counter bytes a node and second, both ways",
-        counters.counterBytes / seconds,
-        "B/s");
-    add(lines, "changes made at discovery", counters.changesMade, "");
-    add(lines, "changes told a node", (double) counters.changesSent / shape.modelledNodes(), "");
-    add(
-        lines,
-        "bytes a change told",
-        (double) counters.changeBytes / Math.max(1, counters.changesDue),
-        "B");
-    add(lines, "whole lists a node", (double) counters.completeLists / shape.modelledNodes(), "");
-    lines.add(
-        new ReportLine(
-            "bytes of a whole list", counters.listBytes, "B", Kind.MEASURED, MAX_LIST_BYTES));
-    lines.add(
-        new ReportLine(
-            "control bytes a node and second, churn pressed together",
-            controlBytes / seconds,
-            "B/s",
-            Kind.MEASURED,
-            CONTROL_BYTES_PER_SECOND_BUDGET));
-    if (shape.hours()
-        > 0) { // so that the churn of hours is not held against a budget of each second
-      lines.add(
-          new ReportLine(
-              "the same at the day's own pace",
-              (counters.counterBytes + counters.heartbeatBytes) / seconds
-                  + (counters.completeListBytes + counters.changeBytes)
-                      / (shape.hours() * 3600 * shape.modelledNodes()),
-              "B/s",
-              Kind.COMPUTED,
-              CONTROL_BYTES_PER_SECOND_BUDGET));
-    }
-    if (counters.listBytes <= MAX_POLLED_LIST_BYTES) {
-      lines.add(
-          new ReportLine(
-              "looks at the agent on the node's own machine",
-              POLLS_PER_SECOND * counters.listBytes,
-              "B/s",
-              Kind.COMPUTED,
-              Double.NaN));
-    }
-    lines.add(
-        new ReportLine(
-            "change in force, 99 in 100",
-            counters.changeLatencyUs.getValueAtPercentile(99) / 1000.0,
-            "ms virtual",
-            Kind.MEASURED,
-            CHANGE_LATENCY_MS_BUDGET));
-    lines.add(
-        new ReportLine(
-            "change in force, last",
-            counters.changeLatencyUs.getMaxValue() / 1000.0,
-            "ms virtual",
-            Kind.MEASURED,
-            CHANGE_LATENCY_MS_BUDGET));
-    lines.add(
-        new ReportLine(
-            "decision CPU a request",
-            counters.policyCpuNs / 1e3 / counters.arrived,
-            "us",
-            Kind.TIMED,
-            Double.NaN));
-    lines.add(
-        new ReportLine(
-            "decision CPU a node",
-            counters.policyCpuNs / 1e9 / seconds,
-            "of a core",
-            Kind.TIMED,
-            Double.NaN));
-    lines.add(
-        new ReportLine(
-            "membership CPU a node",
-            counters.membershipCpuNs / 1e9 / seconds,
-            "of a core",
-            Kind.TIMED,
-            CORE_SHARE_BUDGET));
-    if (counters.stateBytes >= 0) {
-      lines.add(
-          new ReportLine(
-              "state of the cores a node",
-              counters.stateBytes,
-              "B",
-              Kind.TIMED,
-              MEMORY_BYTES_BUDGET));
-    }
-    return lines;
-  }
-
-  private static void add(List<ReportLine> lines, String name, double value, String unit) {
-    lines.add(new ReportLine(name, value, unit, Kind.MEASURED, Double.NaN));
-  }
-
   static String title(FleetVerdicts.Run run) {
     FleetShape shape = run.shape();
     return String.format(
@@ -209,18 +44,21 @@
 
   static String text(FleetVerdicts.Run run) {
     StringBuilder out = new StringBuilder(title(run)).append('\n');
-    for (ReportLine line : lines(run)) {
+    for (FleetFigures.Figure line : FleetFigures.of(run)) {
       out.append(
           String.format(
               Locale.ROOT,
               "  %-58s %14s %-13s %s%s%n",
-              line.name,
-              format(line.value),
-              line.unit,
-              line.kind == Kind.MEASURED ? "" : line.kind.name().toLowerCase(Locale.ROOT),
-              Double.isNaN(line.budget)
+              line.name(),
+              format(line.value()),
+              line.unit(),
+              line.kind() == FleetFigures.Kind.MEASURED
+                  ? ""
+                  : line.kind().name().toLowerCase(Locale.ROOT),
+              Double.isNaN(line.budget())
                   ? ""
-                  : String.format(Locale.ROOT, "  need/budget %.3g", line.value / line.budget)));
+                  : String.format(
+                      Locale.ROOT, "  need/budget %.3g", line.value() / line.budget())));
     }
     out.append(
         String.format(
@@ -293,14 +131,14 @@
     out.writeNumberField("events", run.counters().events);
     out.writeNumberField("took_ms", run.tookMs());
     out.writeArrayFieldStart("figures");
-    for (ReportLine line : lines(run)) {
+    for (FleetFigures.Figure line : FleetFigures.of(run)) {
       out.writeStartObject();
-      out.writeStringField("name", line.name);
-      out.writeNumberField("value", line.value);
-      out.writeStringField("unit", line.unit);
-      out.writeStringField("kind", line.kind.name().toLowerCase(Locale.ROOT));
-      if (!Double.isNaN(line.budget)) {
-        out.writeNumberField("budget", line.budget);
+      out.writeStringField("name", line.name());
+      out.writeNumberField("value", line.value());
+      out.writeStringField("unit", line.unit());
+      out.writeStringField("kind", line.kind().name().toLowerCase(Locale.ROOT));
+      if (!Double.isNaN(line.budget())) {
+        out.writeNumberField("budget", line.budget());
       }
       out.writeEndObject();
     }
--- a/src/main/java/edgenode/simulation/fleet/FleetShape.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetShape.java
@@ -7,14 +7,15 @@
  * @param servers app servers of the whole fleet
  * @param services that the servers are divided into evenly; a node's list is one service's servers
  * @param tenants customers of the whole fleet
- * @param requestsPerSecond requests a second of the whole fleet
+ * @param requestsPerSecond rate of the whole fleet
  * @param seconds of virtual time in which requests arrive
  * @param hours of the day's ordinary churn that are put into these seconds
- * @param modelledNodes nodes that are run; the others are modelled by what they leave of counter,
- *     discovery and servers
+ * @param modelledNodes nodes that run; of counter, discovery and servers the part of the others is
+ *     taken away
  * @param isFlat one list of all servers for every node, in place of one for each service
- * @param hasIncidents whether a rack and a zone are lost, a list is bad, a region is cut off, the
- *     counter is away and the fleet restarts
+ * @param hasIncidents whether a rack and a zone fail, lists are wrong, a region is partitioned, the
+ *     counter has an outage and the fleet restarts
+ * @param seed of all random draws
  */
 public record FleetShape(
     int nodes,
@@ -29,12 +30,13 @@
     boolean hasIncidents,
     long seed) {
 
-  /** Nodes that share their customers: a zone's of the whole fleet. */
+  /** Nodes that share their tenants: those of a zone of the target fleet. */
   static final int NODES_PER_GROUP = 110;
 
   private static final int MAX_FLAT_ENTRIES = 400_000;
   private static final int MIN_NODES = 4;
 
+  /** Throws {@link IllegalArgumentException} where the fleet is not possible. */
   public FleetShape {
     if (nodes < 1
         || servers < 1
@@ -65,7 +67,7 @@
     }
   }
 
-  /** The fleet of the issue on size, divided; {@code size} 1 is all of it. */
+  /** The target fleet of 5,500 nodes and 190,000 servers, divided; 1 is all of it. */
   public static FleetShape target(int divisor, int seconds, boolean isFlat, long seed) {
     int nodes = Math.max(1, 5500 / divisor);
     int servers = 190_000 / divisor;
@@ -84,8 +86,8 @@
   }
 
   /**
-   * How many nodes are run where nobody says: what some 400,000 entries of lists allow, a zone's at
-   * most.
+   * Modelled nodes by default: as many as have {@link #MAX_FLAT_ENTRIES} entries on their lists, a
+   * group at most.
    */
   static int defaultModelledNodes(int nodes, int servers, boolean isFlat) {
     return Math.min(
@@ -95,16 +97,17 @@
             : NODES_PER_GROUP);
   }
 
-  /** The part of the fleet that is run, 0 to 1. */
+  /** Modelled share of the nodes, 0 to 1. */
   public double modelledShare() {
     return (double) modelledNodes / nodes;
   }
 
+  /** Whether a part of the nodes is modelled only. */
   public boolean isSampled() {
     return modelledNodes < nodes;
   }
 
-  /** Lists that are run. */
+  /** Modelled endpoint lists. */
   int modelledLists() {
     return isFlat
         ? 1
@@ -116,12 +119,12 @@
     return isFlat ? servers : Math.max(1, servers / services);
   }
 
-  /** Servers that are run. */
+  /** Modelled app servers. */
   int modelledServers() {
     return modelledLists() * serversPerList();
   }
 
-  /** The part of the servers that is run. */
+  /** Modelled share of the app servers, 0 to 1. */
   double modelledServerShare() {
     return Math.min(1, (double) modelledServers() / servers);
   }
--- a/src/main/java/edgenode/simulation/fleet/FleetVerdicts.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetVerdicts.java
@@ -6,12 +6,13 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Judges what a run counted: counts, bounds, and how a node's costs grow with the fleet; never how
- * long code took.
+ * Checks the counts of runs: invariants, bounds, and how the costs of a node grow with the fleet.
+ * Never how long code took.
  */
 public final class FleetVerdicts {
   /**
-   * Held, broken, or a cost that is known to grow with the fleet and does: a mechanism is missing.
+   * {@code GROWS} is a cost that grows with the fleet, and is known to. The lower-case names are in
+   * the report.
    */
   public enum Outcome {
     HELD,
@@ -19,7 +20,7 @@
     GROWS
   }
 
-  /** One judgement with its figures. */
+  /** The outcome of one check, with its figures. */
   public record Verdict(String name, Outcome outcome, String figures) {
     @Override
     public String toString() {
@@ -27,47 +28,38 @@
     }
   }
 
-  /**
-   * Calls to the counter for each request that arrives: a claim, what puts it right and what gives
-   * back.
-   */
+  /** Counter calls for each request: a reservation, its correction and its release, batched. */
   static final double MAX_COUNTER_CALLS_PER_REQUEST = 1.5;
 
-  /**
-   * Bytes for each entry that a change names, with the message around it where it names one only.
-   */
+  /** Bytes for each changed entry, with the message around it where it is the only one. */
   static final double MAX_BYTES_PER_CHANGE = 260;
 
-  /**
-   * Whole lists that a node is told for each start, and for each of the three wrong lists and their
-   * mends.
-   */
+  /** Complete lists that a node gets for each start. */
   private static final int MAX_LISTS_PER_START = 2;
 
+  /** Complete lists that a node gets for the wrong lists and their corrections. */
   private static final int MAX_LISTS_FOR_INCIDENTS = 8;
 
-  /**
-   * Share of cold servers that may be sent more than the bound: it is two standard deviations above
-   * the mean.
-   */
+  /** Share of warm-ups that may exceed {@link #warmUpBound}. */
   static final double MAX_WARM_UP_EXCESS_SHARE = 0.05;
 
-  /** Up to this share not served is the customers' quotas and chance. */
+  /** Up to this share not served is due to the tenants' quotas and chance. */
   static final double TOLERATED_UNSERVED_SHARE = 0.05;
 
-  /** A cost grows with the fleet where it goes with its size to this power or more. */
+  /** A cost grows with the fleet where it goes with more than this power of its size. */
   static final double MAX_GROWTH_EXPONENT = 0.15;
 
-  /** One cost of a node in counts. */
+  /**
+   * A cost of one node, in counts.
+   *
+   * @param growsWithFlatList whether it is known to grow with one list for all servers
+   */
   record Cost(String name, boolean growsWithFlatList, ToDoubleFunction<Run> value) {}
 
-  /** A shape and what its run counted. */
+  /** A shape, the counts of its run, and the wall-clock time that the run took. */
   public record Run(FleetShape shape, FleetCounters counters, double tookMs) {}
 
-  /**
-   * The costs whose growth is judged; {@code growsFlat} is said of those known to grow with one
-   * list for all.
-   */
+  /** The costs whose growth is checked. */
   static final List<Cost> COSTS =
       List.of(
           new Cost(
@@ -97,11 +89,17 @@
 
   private FleetVerdicts() {}
 
-  /** Of one run. */
+  /** Verdicts on one run, always the same ones in the same order. */
   public static List<Verdict> evaluate(Run run) {
-    FleetCounters counters = run.counters();
-    FleetShape shape = run.shape();
     List<Verdict> verdicts = new ArrayList<>();
+    evaluateRequests(verdicts, run.counters());
+    evaluateControl(verdicts, run);
+    evaluateWarmUps(verdicts, run.counters());
+    evaluateEvidence(verdicts, run.counters());
+    return verdicts;
+  }
+
+  private static void evaluateRequests(List<Verdict> verdicts, FleetCounters counters) {
     long answers = counters.served + counters.rejected + counters.failed;
     addVerdict(
         verdicts,
@@ -129,6 +127,11 @@
         "%d of %d sends",
         counters.sendsAfterEnd,
         counters.sends);
+  }
+
+  private static void evaluateControl(List<Verdict> verdicts, Run run) {
+    FleetCounters counters = run.counters();
+    FleetShape shape = run.shape();
     addVerdict(
         verdicts,
         "counter calls a request",
@@ -159,6 +162,9 @@
         counters.differingEntries == 0,
         "%d entries differ",
         counters.differingEntries);
+  }
+
+  private static void evaluateWarmUps(List<Verdict> verdicts, FleetCounters counters) {
     long overBound =
         counters.warmUps.stream().filter(c -> c.sends() > warmUpBound(c.expectedSends())).count();
     addVerdict(
@@ -171,6 +177,10 @@
         1 / MAX_WARM_UP_EXCESS_SHARE,
         counters.warmUpsNotJudged,
         describeWorst(counters));
+  }
+
+  /** A run that serves or changes next to nothing proves nothing. */
+  private static void evaluateEvidence(List<Verdict> verdicts, FleetCounters counters) {
     addVerdict(
         verdicts,
         "evidence",
@@ -179,9 +189,9 @@
         counters.served,
         counters.arrived,
         counters.changesSent);
-    return verdicts;
   }
 
+  /** Sends that a server may get in its warm-up: two standard deviations above the mean, and 2. */
   static double warmUpBound(double expectedSends) {
     return expectedSends + 2 * Math.sqrt(expectedSends) + 2;
   }
@@ -207,7 +217,9 @@
   }
 
   /**
-   * How each cost goes with the size, over three runs or more: the power of nodes by least squares.
+   * Verdicts on the growth of each cost with the number of nodes.
+   *
+   * @param runs three or more, of different size
    */
   public static List<Verdict> evaluateGrowth(List<Run> runs) {
     List<Verdict> verdicts = new ArrayList<>();
@@ -238,7 +250,7 @@
     return verdicts;
   }
 
-  /** Slope of log cost by log nodes; a cost of nothing counts as a thousandth. */
+  /** Slope of log cost over log nodes by least squares; a cost under 0.001 counts as 0.001. */
   static double growthExponent(List<Run> runs, Cost cost) {
     double meanX = 0;
     double meanY = 0;
--- a/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
+++ b/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
@@ -14,14 +14,14 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code scale}: a fleet of hollow edge nodes in virtual time, judged by what it counts. */
+/** The command {@code simulate-fleet}: runs fleets of model nodes and checks their counts. */
 @Command(
     name = "simulate-fleet",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
-      "Runs a fleet of edge nodes without sockets, their own cores on virtual time among thin models of",
-      "app servers, counter, discovery and clients, and judges counts, bounds and growth. Large fleets are sampled.",
+      "Runs the decision and membership code of many edge nodes in virtual time, without sockets, with models of",
+      "app servers, counter, discovery and clients; checks counts, bounds and growth. Large fleets are sampled.",
       "The same shape, seed and build give the same digest. Exit code: 0 held, 1 broken, 2 wrong input."
     })
 public final class SimulateFleetCommand implements Callable<Integer> {
@@ -35,14 +35,14 @@
       split = ",",
       defaultValue = "50",
       description =
-          "the fleet of 5,500 nodes and 190,000 servers divided by D, 1 to 1000, a run each; three or more"
-              + " are judged by growth too; default ${DEFAULT-VALUE}")
+          "the fleet of 5,500 nodes and 190,000 servers divided by D, 1 to 1000, a run each; growth is"
+              + " checked where there are three or more; default ${DEFAULT-VALUE}")
   private List<Integer> sizes;
 
   @Option(
       names = "--nodes",
       paramLabel = "N",
-      description = "edge nodes, 1 to 10,000, in place of the size's")
+      description = "edge nodes, 1 to 10,000, in place of those of --size")
   private Integer nodes;
 
   @Option(names = "--servers", paramLabel = "N", description = "app servers, 1 to 500,000")
@@ -65,7 +65,7 @@
       paramLabel = "T",
       defaultValue = "1",
       description =
-          "divides the rate, 1 to 1000, where a request costs much; default ${DEFAULT-VALUE}")
+          "divides the request rate, 1 to 1000, for a shorter run; default ${DEFAULT-VALUE}")
   private double rateDivisor;
 
   @Option(
@@ -80,15 +80,14 @@
       paramLabel = "H",
       defaultValue = "1",
       description =
-          "hours of the day's ordinary churn put into these seconds, 0 to 24; default ${DEFAULT-VALUE}")
+          "hours of ordinary churn compressed into these seconds, 0 to 24; default ${DEFAULT-VALUE}")
   private double hours;
 
   @Option(
       names = "--detail",
       paramLabel = "K",
       description =
-          "nodes that are run; default 110, or with --flat what"
-              + " 400,000 entries of lists allow")
+          "nodes that run; default 110, or with --flat what" + " 400,000 entries of lists allow")
   private Integer modelledNodes;
 
   @Option(
@@ -98,13 +97,14 @@
 
   @Option(
       names = "--calm",
-      description = "no incidents: no rack, zone, region or list is lost, nothing restarts")
+      description =
+          "no incidents: no failures of racks or zones, no wrong lists, partitions or fleet restart")
   private boolean calm;
 
   @Option(
       names = "--seed",
       paramLabel = "N",
-      description = "the draw; default ${DEFAULT-VALUE}",
+      description = "seed of all random draws; default ${DEFAULT-VALUE}",
       defaultValue = "1")
   private long seed;
 
@@ -120,7 +120,7 @@
       shapes.add(shape(size));
     }
     try {
-      if (reportFolder != null) { // before anything is run: a run is not thrown away at its end
+      if (reportFolder != null) { // fails before the runs, not after them
         Files.createDirectories(reportFolder);
         Files.delete(Files.createTempFile(reportFolder, "scale", ".tmp"));
       }
--- a/src/main/java/edgenode/simulation/fleet/VirtualTimeline.java
+++ b/src/main/java/edgenode/simulation/fleet/VirtualTimeline.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time (ms): what is due, in the order of time, and of asking where times are equal. */
+/** Virtual clock (ms) and scheduled tasks, in the order of time, then of scheduling. */
 final class VirtualTimeline {
   private record ScheduledTask(double dueMs, long serial, Runnable task) {}
 
@@ -21,11 +21,12 @@
     return nowMs;
   }
 
-  /** Things done so far. */
+  /** Tasks that have run. */
   long executedCount() {
     return serial - scheduled.size();
   }
 
+  /** Schedules a task; now, where the time has passed. */
   void scheduleAt(double dueMs, Runnable task) {
     scheduled.add(new ScheduledTask(Math.max(nowMs, dueMs), serial++, task));
   }
@@ -34,7 +35,11 @@
     scheduleAt(nowMs + delayMs, task);
   }
 
-  /** Does the next thing, unless it is due after this time; then the clock stands there. */
+  /**
+   * Runs the next task that is due at {@code untilMs} or before.
+   *
+   * @return false where there is none; the clock is at {@code untilMs} then
+   */
   boolean runNext(double untilMs) {
     if (scheduled.isEmpty() || scheduled.peek().dueMs > untilMs) {
       nowMs = Math.max(nowMs, untilMs);
@@ -46,7 +51,7 @@
     return true;
   }
 
-  /** Nothing more is done. */
+  /** Drops all tasks. */
   void clear() {
     scheduled.clear();
   }
--- a/src/main/java/edgenode/simulation/fleet/WireFormats.java
+++ b/src/main/java/edgenode/simulation/fleet/WireFormats.java
@@ -12,14 +12,19 @@
 import java.util.List;
 import java.util.StringJoiner;
 
-/** Messages as the connections write and read them, for their lengths (bytes) and what they say. */
+/**
+ * Messages in the form that the node's connections write and read, for their length and content.
+ * One owner, {@link FleetSimulation}, closes it.
+ */
 final class WireFormats {
   /** A chunk's length and line ends (RFC 9112 7.1): hex digits and two CRLF. */
   private static final int CHUNK_OVERHEAD_BYTES = 4;
 
   /**
-   * A list or change as told: its entries as the node's own reader has them, and its bytes on the
-   * wire.
+   * A complete list or a change of discovery.
+   *
+   * @param entries as the node's own reader parses them
+   * @param bytes length on the wire
    */
   record ListMessage(
       long version, boolean isComplete, List<DiscoveredEndpoint> entries, int bytes) {}
@@ -42,19 +47,19 @@
     return length;
   }
 
-  /** {@code CNT.ADD} as the counter's client writes it. */
+  /** Length of {@code CNT.ADD} as the counter's client writes it (bytes). */
   int addBytes(long name, double amount, double ttlMs) {
     return encodedBytes(
         RespCodec.command(respChannel.alloc(), CounterCodec.addCommand(name, amount, ttlMs)));
   }
 
-  /** Its answer. */
+  /** Length of the answer to {@code CNT.ADD} (bytes). */
   int totalBytes(double total) {
     return encodedBytes(
         RespCodec.bulkString(respChannel.alloc(), CounterCodec.formatAmount(total)));
   }
 
-  /** A line of the watch, in its chunk. */
+  /** A message of a watch: one line in a chunk of its own. */
   static ListMessage listMessage(
       long version, boolean isComplete, Iterable<DiscoveryAgentEmulator.Host> hosts) {
     StringJoiner json =
@@ -76,7 +81,7 @@
           parsed.endpoints(),
           text.length + CHUNK_OVERHEAD_BYTES + Integer.toHexString(text.length).length());
     } catch (IOException e) {
-      throw new IllegalStateException(e); // it is a text of ours
+      throw new IllegalStateException("text of this class", e);
     }
   }
 
