--- a/src/main/java/edgenode/simulation/fleet/FleetFigures.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetFigures.java
@@ -17,7 +17,7 @@
   /** Budget for a change until all nodes have it. */
   private static final double CHANGE_LATENCY_MS_BUDGET = 4000;
 
-  /** The longest list that {@code AgentSource} and {@code DiscoveryHttpSource} accept. */
+  /** The longest list that {@code AgentSource} and {@code HttpPollingSource} accept. */
   private static final double MAX_LIST_BYTES = 8 << 20;
 
   /** {@code AgentSource} polls at {@link #POLLS_PER_SECOND} where the list is no longer. */
--- a/src/main/java/edgenode/simulation/fleet/FleetVerdicts.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetVerdicts.java
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Counter calls for each request: a reservation, its correction and its release, batched. */
+  /** Counter calls for each request: reservations, corrections and releases. */
   static final double MAX_COUNTER_CALLS_PER_REQUEST = 1.5;
 
   /** Bytes for each changed entry, with the message around it where it is the only one. */
--- a/src/test/java/edgenode/simulation/fleet/FaultyPolicy.java
+++ b/src/test/java/edgenode/simulation/fleet/FaultyPolicy.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The decision module with one fault planted in it, for the judges to find. */
+/** The decision module with one injected fault, which the verdicts must find. */
 final class FaultyPolicy implements PolicyEvents {
   enum Fault {
     NEVER_ANSWERS,
@@ -35,105 +35,106 @@
   private String lastServer = "s0";
   private final List<EndpointInfo> warmingUp = new ArrayList<>();
 
-  FaultyPolicy(Fault fault, PolicySettings settings, long seed, double now, PolicyActions host) {
+  FaultyPolicy(
+      Fault fault, PolicySettings settings, long seed, double nowMs, PolicyActions actions) {
     this.fault = fault;
-    this.actions = host;
-    this.nowMs = now;
-    policy = new PolicyEngine(settings, seed, now, new FaultyActions());
+    this.actions = actions;
+    this.nowMs = nowMs;
+    policy = new PolicyEngine(settings, seed, nowMs, new FaultyActions());
   }
 
-  private boolean isFaultDue(Fault of) {
-    return fault == of && ++eventCount % FAULT_INTERVAL == 0;
+  private boolean isFaultDue(Fault candidate) {
+    return fault == candidate && ++eventCount % FAULT_INTERVAL == 0;
   }
 
   @Override
-  public void endpointsChanged(double nowMs, List<EndpointInfo> list, boolean whole) {
-    for (EndpointInfo s : list) {
-      warmingUp.removeIf(c -> c.id().equals(s.id()));
-      if (s.state() != EndpointState.UP) {
-        removedServer = s.id();
-      } else if (s.startedAtMs() > 0) {
-        warmingUp.add(s);
-        removedServer = s.id().equals(removedServer) ? null : removedServer;
+  public void endpointsChanged(double nowMs, List<EndpointInfo> endpoints, boolean isComplete) {
+    for (EndpointInfo endpoint : endpoints) {
+      warmingUp.removeIf(c -> c.id().equals(endpoint.id()));
+      if (endpoint.state() != EndpointState.UP) {
+        removedServer = endpoint.id();
+      } else if (endpoint.startedAtMs() > 0) {
+        warmingUp.add(endpoint);
+        removedServer = endpoint.id().equals(removedServer) ? null : removedServer;
       }
     }
     this.nowMs = nowMs;
-    policy.endpointsChanged(nowMs, list, whole);
+    policy.endpointsChanged(nowMs, endpoints, isComplete);
   }
 
   @Override
-  public void discoveryFailed(double time) {
-    policy.discoveryFailed(time);
+  public void discoveryFailed(double timeMs) {
+    policy.discoveryFailed(timeMs);
   }
 
   @Override
-  public void requestArrived(double time, IncomingRequest request) {
-    nowMs = time;
+  public void requestArrived(double timeMs, IncomingRequest request) {
+    nowMs = timeMs;
     if (fault == Fault.REJECTS_ALL) {
       actions.reject(request.id(), 0);
     } else {
-      policy.requestArrived(time, request);
+      policy.requestArrived(timeMs, request);
     }
   }
 
   @Override
-  public void responseStarted(double time, long id, int attempt) {
-    policy.responseStarted(time, id, attempt);
+  public void responseStarted(double timeMs, long id, int attempt) {
+    policy.responseStarted(timeMs, id, attempt);
   }
 
   @Override
   public void attemptEnded(
-      double time,
+      double timeMs,
       long id,
       int attempt,
       CallOutcome outcome,
-      double took,
-      boolean over,
+      double tookMs,
+      boolean isOver,
       int trueUnits,
       double[] load) {
-    nowMs = time;
-    policy.attemptEnded(time, id, attempt, outcome, took, over, trueUnits, load);
-    if (over && isFaultDue(Fault.SENDS_AFTER_END)) {
+    nowMs = timeMs;
+    policy.attemptEnded(timeMs, id, attempt, outcome, tookMs, isOver, trueUnits, load);
+    if (isOver && isFaultDue(Fault.SENDS_AFTER_END)) {
       actions.send(id, lastServer, 0);
     }
   }
 
   @Override
-  public void clientDisconnected(double time, long id) {
-    policy.clientDisconnected(time, id);
+  public void clientDisconnected(double timeMs, long id) {
+    policy.clientDisconnected(timeMs, id);
   }
 
   @Override
-  public void timerFired(double time, long token) {
-    nowMs = time;
-    policy.timerFired(time, token);
+  public void timerFired(double timeMs, long token) {
+    nowMs = timeMs;
+    policy.timerFired(timeMs, token);
   }
 
   @Override
   public void healthCheckEnded(
-      double time, String server, CallOutcome outcome, double took, double[] load) {
-    policy.healthCheckEnded(time, server, outcome, took, load);
+      double timeMs, String server, CallOutcome outcome, double tookMs, double[] load) {
+    policy.healthCheckEnded(timeMs, server, outcome, tookMs, load);
   }
 
   @Override
   public void counterCallEnded(
-      double time, long name, CallOutcome outcome, double took, double total) {
-    policy.counterCallEnded(time, name, outcome, took, total);
+      double timeMs, long name, CallOutcome outcome, double tookMs, double total) {
+    policy.counterCallEnded(timeMs, name, outcome, tookMs, total);
   }
 
-  /** What it asks of its host. */
+  /** The actions of the wrapped module, with the fault. */
   private final class FaultyActions implements PolicyActions {
     @Override
-    public void send(long id, String server, double until) {
+    public void send(long id, String server, double untilMs) {
       lastServer = server;
       warmingUp.removeIf(c -> nowMs - c.startedAtMs() > Assumptions.WARM_UP_MS);
-      String to =
+      String target =
           fault == Fault.OVERLOADS_WARMING_UP && !warmingUp.isEmpty()
               ? warmingUp.get(0).id()
               : removedServer != null && isFaultDue(Fault.SENDS_TO_REMOVED)
                   ? removedServer
                   : server;
-      actions.send(id, to, until);
+      actions.send(id, target, untilMs);
     }
 
     @Override
@@ -142,12 +143,12 @@
     }
 
     @Override
-    public void reject(long id, double retryAfter) {
+    public void reject(long id, double retryAfterMs) {
       if (fault != Fault.NEVER_ANSWERS) {
-        actions.reject(id, retryAfter);
+        actions.reject(id, retryAfterMs);
       }
       if (isFaultDue(Fault.ANSWERS_TWICE)) {
-        actions.reject(id, retryAfter);
+        actions.reject(id, retryAfterMs);
       }
     }
 
@@ -157,8 +158,8 @@
     }
 
     @Override
-    public void setTimer(double delay, long token) {
-      actions.setTimer(delay, token);
+    public void setTimer(double delayMs, long token) {
+      actions.setTimer(delayMs, token);
     }
 
     @Override
@@ -167,11 +168,11 @@
     }
 
     @Override
-    public void addToCounter(long name, double amount, double keepFor) {
-      actions.addToCounter(name, amount, keepFor);
+    public void addToCounter(long name, double amount, double ttlMs) {
+      actions.addToCounter(name, amount, ttlMs);
       for (int i = 1; fault == Fault.REPEATS_COUNTER_CALLS && i < COUNTER_CALLS; i++) {
         actions.addToCounter(
-            ~name & Long.MAX_VALUE, 0, keepFor); // under a name that the module does not wait for
+            ~name & Long.MAX_VALUE, 0, ttlMs); // under a name that no call of the module has
       }
     }
 
--- a/src/test/java/edgenode/simulation/fleet/SimulateFleetTest.java
+++ b/src/test/java/edgenode/simulation/fleet/SimulateFleetTest.java
@@ -21,24 +21,32 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A small fleet of hollow nodes: it repeats, it is judged by counts, and each judge finds what is
- * planted for it.
+ * Small fleets of model nodes: the same seed gives the same run, and each verdict finds the fault
+ * injected for it and no other run's.
  */
 @Timeout(120)
 class SimulateFleetTest {
   private static final int SECONDS = 15;
 
-  /**
-   * The honest twins of what is planted: a day with incidents, and one with a day's ordinary churn.
-   */
+  /** Runs without an injected fault: one with incidents, one with ordinary churn alone. */
   private static final FleetVerdicts.Run FAULTLESS_WITH_INCIDENTS = run(shape(8, 160, false, 5));
 
   private static final FleetVerdicts.Run FAULTLESS_WITH_CHURN =
       run(new FleetShape(6, 120, 3, 200, 300, SECONDS, 24, 6, false, false, 5));
 
-  private static FleetShape shape(int nodes, int servers, boolean flat, long seed) {
+  private static FleetShape shape(int nodes, int servers, boolean isFlat, long seed) {
     return new FleetShape(
-        nodes, servers, servers / 40, 30 * nodes, 40 * nodes, SECONDS, 1, nodes, flat, true, seed);
+        nodes,
+        servers,
+        servers / 40,
+        30 * nodes,
+        40 * nodes,
+        SECONDS,
+        1,
+        nodes,
+        isFlat,
+        true,
+        seed);
   }
 
   private static FleetVerdicts.Run run(FleetShape shape) {
@@ -74,16 +82,13 @@
     assertNotEquals(one.digest(), run(shape(6, 120, false, 8)).counters().digest());
   }
 
-  /**
-   * One service's list costs a node the same however large the fleet is; one list for all does not,
-   * and is named.
-   */
+  /** With a list for each service no cost grows with the fleet; with one list two do. */
   @ParameterizedTest
   @CsvSource({"false", "true"})
-  void givenSmallFleetsWhenRunThenNoVerdictIsBrokenAndOnlyKnownCostsGrow(boolean flat) {
+  void givenSmallFleetsWhenRunThenNoVerdictIsBrokenAndOnlyKnownCostsGrow(boolean isFlat) {
     List<FleetVerdicts.Run> runs = new ArrayList<>();
     for (int nodes : new int[] {4, 8, 16}) {
-      FleetVerdicts.Run run = run(shape(nodes, 20 * nodes, flat, 3));
+      FleetVerdicts.Run run = run(shape(nodes, 20 * nodes, isFlat, 3));
       List<FleetVerdicts.Verdict> all = FleetVerdicts.evaluate(run);
       assertEquals("", brokenVerdicts(all), all.toString());
       runs.add(run);
@@ -91,10 +96,10 @@
     List<FleetVerdicts.Verdict> slopes = FleetVerdicts.evaluateGrowth(runs);
     assertEquals("", brokenVerdicts(slopes), slopes.toString());
     assertEquals(
-        flat ? FleetVerdicts.Outcome.GROWS : FleetVerdicts.Outcome.HELD,
+        isFlat ? FleetVerdicts.Outcome.GROWS : FleetVerdicts.Outcome.HELD,
         outcomes(slopes).get("growth of entries listed"));
     assertEquals(
-        flat ? FleetVerdicts.Outcome.GROWS : FleetVerdicts.Outcome.HELD,
+        isFlat ? FleetVerdicts.Outcome.GROWS : FleetVerdicts.Outcome.HELD,
         outcomes(slopes).get("growth of bytes of a whole list"));
   }
 
@@ -110,7 +115,7 @@
   })
   void givenFaultyPolicyWhenRunThenVerdictIsBroken(FaultyPolicy.Fault fault, String verdict) {
     assertEquals(
-        "", brokenVerdicts(FleetVerdicts.evaluate(FAULTLESS_WITH_INCIDENTS)), "its honest twin");
+        "", brokenVerdicts(FleetVerdicts.evaluate(FAULTLESS_WITH_INCIDENTS)), "without the fault");
     FleetCounters tally =
         new FleetSimulation(
                 FAULTLESS_WITH_INCIDENTS.shape(),
@@ -129,7 +134,7 @@
   })
   void givenFaultyDiscoveryWhenRunThenVerdictIsBroken(DiscoveryModel.Fault fault, String verdict) {
     assertEquals(
-        "", brokenVerdicts(FleetVerdicts.evaluate(FAULTLESS_WITH_CHURN)), "its honest twin");
+        "", brokenVerdicts(FleetVerdicts.evaluate(FAULTLESS_WITH_CHURN)), "without the fault");
     FleetSimulation fleet = new FleetSimulation(FAULTLESS_WITH_CHURN.shape(), PolicyEngine::new);
     for (int i = 0; i < FAULTLESS_WITH_CHURN.shape().modelledLists(); i++) {
       fleet.servers().list(i).injectFault(fault);
@@ -140,10 +145,7 @@
     assertEquals(FleetVerdicts.Outcome.BROKEN, outcomes(all).get(verdict), all.toString());
   }
 
-  /**
-   * Hand-made runs: a cost that should not grow and does, and one that grows by a tenth of the
-   * size.
-   */
+  /** Given counts: two costs that grow with the fleet, one that grows by a tenth, one constant. */
   @Test
   void givenGrowingCostsWhenGrowthIsEvaluatedThenVerdictIsBroken() {
     List<FleetVerdicts.Run> runs = new ArrayList<>();
@@ -163,7 +165,7 @@
     assertEquals(FleetVerdicts.Outcome.HELD, words.get("growth of entries listed"));
   }
 
-  /** Of a large fleet a part is run, and the report says so. */
+  /** A part of a large fleet runs, and the report says so. */
   @Test
   void givenSampledFleetWhenReportedThenReportSaysSoAndIsValidJson() throws Exception {
     FleetShape shape = new FleetShape(1000, 40_000, 1000, 30_000, 60_000, 5, 1, 4, false, false, 1);
