--- a/src/main/java/edgenode/benchmark/Run.java
+++ b/src/main/java/edgenode/benchmark/BenchmarkRun.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** One run of the command: its sizes and its budget, what it has measured, and what it has not. */
-final class Run {
+final class BenchmarkRun {
   /**
    * The sizes at which all is measured.
    *
@@ -16,24 +16,24 @@
   record Sizes(int[] servers, int[] customers, int[] fleets, int[] plans) {}
 
   /** Measures at one size. */
-  interface At {
-    Slope.Point at(int size) throws Exception;
+  interface PointMeasurement {
+    CostCurve.Measurement at(int size) throws Exception;
   }
 
   private final Sizes sizes;
-  private final Meter meter;
-  private final long until;
+  private final CpuMeter meter;
+  private final long deadlineNs;
   private final Consumer<String> progress;
-  private final List<Slope> slopes = new ArrayList<>();
+  private final List<CostCurve> curves = new ArrayList<>();
   private String study = "";
 
   /**
    * @param progress hears a line for each point
    */
-  Run(Sizes sizes, Meter meter, double budgetSeconds, Consumer<String> progress) {
+  BenchmarkRun(Sizes sizes, CpuMeter meter, double budgetSeconds, Consumer<String> progress) {
     this.sizes = sizes;
     this.meter = meter;
-    until = System.nanoTime() + (long) (budgetSeconds * 1e9);
+    deadlineNs = System.nanoTime() + (long) (budgetSeconds * 1e9);
     this.progress = progress;
   }
 
@@ -41,31 +41,32 @@
     return sizes;
   }
 
-  Meter meter() {
+  CpuMeter meter() {
     return meter;
   }
 
-  List<Slope> slopes() {
-    return slopes;
+  List<CostCurve> curves() {
+    return curves;
   }
 
-  void begin(String name) {
+  void beginStudy(String name) {
     study = name;
   }
 
   /** Measures a quantity at these sizes, as long as the budget lasts. */
-  void slope(String quantity, String unit, String against, int[] at, At measure)
+  void measure(
+      String quantity, String unit, String against, int[] sizes, PointMeasurement measurement)
       throws InterruptedException {
-    List<Slope.Point> points = new ArrayList<>();
+    List<CostCurve.Measurement> points = new ArrayList<>();
     List<String> missing = new ArrayList<>();
-    for (int size : at) {
-      if (System.nanoTime() > until) {
+    for (int size : sizes) {
+      if (System.nanoTime() > deadlineNs) {
         missing.add(size + ": not run, --budget was over");
         continue;
       }
       try {
-        Slope.Point p = measure.at(size);
-        points.add(p);
+        CostCurve.Measurement point = measurement.at(size);
+        points.add(point);
         progress.accept(
             String.format(
                 Locale.ROOT,
@@ -74,10 +75,10 @@
                 quantity,
                 size,
                 against,
-                p.median(),
+                point.median(),
                 unit,
-                p.least(),
-                p.most()));
+                point.min(),
+                point.max()));
       } catch (InterruptedException e) {
         throw e;
       } catch (Exception | OutOfMemoryError e) {
@@ -86,7 +87,7 @@
             study + ", " + quantity + ": " + size + " " + against + ": " + e.getMessage());
       }
     }
-    slopes.add(
-        new Slope(study, quantity, unit, against, List.copyOf(points), List.copyOf(missing)));
+    curves.add(
+        new CostCurve(study, quantity, unit, against, List.copyOf(points), List.copyOf(missing)));
   }
 }
--- a/src/main/java/edgenode/benchmark/BenchmarkScalingCommand.java
+++ b/src/main/java/edgenode/benchmark/BenchmarkScalingCommand.java
@@ -30,11 +30,11 @@
       "Exit code: 0 all measured, 1 some not (the table tells which and why), 2 wrong input."
     })
 public final class BenchmarkScalingCommand implements Callable<Integer> {
-  private static final int MOST = 1_000_000;
+  private static final int MAX_VALUE = 1_000_000;
 
   /** A part of the whole that can be run alone. */
   private interface Study {
-    void run(Run run) throws InterruptedException;
+    void run(BenchmarkRun run) throws InterruptedException;
   }
 
   private static final Map<String, Study> STUDIES = studies();
@@ -100,24 +100,24 @@
   private int budget;
 
   @Option(names = "--report", paramLabel = "DIR", description = "writes slopes.json there")
-  private Path report;
+  private Path reportFolder;
 
   private final PrintStream out = System.out;
 
   private static Map<String, Study> studies() {
-    Map<String, Study> all = new LinkedHashMap<>();
-    all.put("decide", Cores::decideServers);
-    all.put("customers", Cores::decideCustomers);
-    all.put("membership", Cores::membership);
-    all.put("forms", Wires::forms);
-    all.put("start", Wires::start);
-    all.put("discovery", Wires::discovery);
-    all.put("calls", Fleet::counter);
-    all.put("counter", Wires::counter);
-    all.put("cut", Fleet::cutOff);
-    all.put("front", Wires::front);
-    all.put("configuration", Wires::configuration);
-    return all;
+    Map<String, Study> studies = new LinkedHashMap<>();
+    studies.put("decide", CoreStudies::decideServers);
+    studies.put("customers", CoreStudies::decideCustomers);
+    studies.put("membership", CoreStudies::membership);
+    studies.put("forms", WireStudies::forms);
+    studies.put("start", WireStudies::start);
+    studies.put("discovery", WireStudies::discovery);
+    studies.put("calls", FleetStudies::counter);
+    studies.put("counter", WireStudies::counter);
+    studies.put("cut", FleetStudies::counterOutages);
+    studies.put("front", WireStudies::downstream);
+    studies.put("configuration", WireStudies::configuration);
+    return studies;
   }
 
   @Override
@@ -126,12 +126,12 @@
       STUDIES.keySet().forEach(out::println);
       return 0;
     }
-    check("--servers", servers);
-    check("--customers", customers);
-    check("--fleets", fleets);
-    check("--plans", plans);
-    check("--point-ms", pointMs);
-    check("--budget", budget);
+    requireInRange("--servers", servers);
+    requireInRange("--customers", customers);
+    requireInRange("--fleets", fleets);
+    requireInRange("--plans", plans);
+    requireInRange("--point-ms", pointMs);
+    requireInRange("--budget", budget);
     for (String name : only) {
       if (!STUDIES.containsKey(name)) {
         throw new ParameterException(
@@ -139,105 +139,109 @@
             "--only: found '" + name + "', allowed are " + String.join(", ", STUDIES.keySet()));
       }
     }
-    Run run =
-        new Run(
-            new Run.Sizes(servers, customers, fleets, plans),
-            Meter.real(pointMs),
+    BenchmarkRun run =
+        new BenchmarkRun(
+            new BenchmarkRun.Sizes(servers, customers, fleets, plans),
+            CpuMeter.real(pointMs),
             budget,
             System.err::println);
     try {
-      if (report != null) {
-        Files.createDirectories(report);
+      if (reportFolder != null) {
+        Files.createDirectories(reportFolder);
       }
       for (Map.Entry<String, Study> study : STUDIES.entrySet()) {
         if (only.isEmpty() || only.contains(study.getKey())) {
-          run.begin(study.getKey());
+          run.beginStudy(study.getKey());
           study.getValue().run(run);
         }
       }
-      table(run.slopes());
-      if (report != null) {
-        write(run.slopes(), report.resolve("slopes.json"));
+      printTable(run.curves());
+      if (reportFolder != null) {
+        write(run.curves(), reportFolder.resolve("slopes.json"));
       }
     } catch (IOException e) {
       System.err.println("benchmark-scaling: " + e.getMessage());
       return 2;
     }
-    return run.slopes().stream().allMatch(s -> s.missing().isEmpty()) ? 0 : 1;
+    return run.curves().stream().allMatch(s -> s.missing().isEmpty()) ? 0 : 1;
   }
 
-  private void check(String option, int... values) {
-    if (values.length == 0 || Arrays.stream(values).anyMatch(v -> v < 1 || v > MOST)) {
+  private void requireInRange(String option, int... values) {
+    if (values.length == 0 || Arrays.stream(values).anyMatch(v -> v < 1 || v > MAX_VALUE)) {
       throw new ParameterException(
           spec.commandLine(),
-          option + ": found " + Arrays.toString(values) + ", allowed is 1 to " + MOST);
+          option + ": found " + Arrays.toString(values) + ", allowed is 1 to " + MAX_VALUE);
     }
   }
 
   // ---- what is told ----
 
-  private void table(List<Slope> slopes) {
+  private void printTable(List<CostCurve> curves) {
     out.println(
         "| study | quantity | unit | size: median (least to most) | power law: exponent, R2, worst | "
             + "line: a unit of size, worst |");
     out.println("| --- | --- | --- | --- | --- | --- |");
-    for (Slope s : slopes) {
+    for (CostCurve curve : curves) {
       StringBuilder points = new StringBuilder();
-      for (Slope.Point p : s.points()) {
+      for (CostCurve.Measurement point : curve.points()) {
         points
             .append(points.isEmpty() ? "" : "; ")
-            .append(String.format(Locale.ROOT, "%.0f: %s", p.size(), number(p.median())));
-        if (p.repeats() > 1) {
+            .append(String.format(Locale.ROOT, "%.0f: %s", point.size(), number(point.median())));
+        if (point.repeats() > 1) {
           points
               .append(" (")
-              .append(number(p.least()))
+              .append(number(point.min()))
               .append(" to ")
-              .append(number(p.most()))
+              .append(number(point.max()))
               .append(')');
         }
       }
       out.println(
           "| "
-              + s.study()
+              + curve.study()
               + " | "
-              + s.quantity()
+              + curve.quantity()
               + ", by "
-              + s.against()
+              + curve.against()
               + " | "
-              + s.unit()
+              + curve.unit()
               + " | "
               + points
               + " | "
-              + power(s.power())
+              + power(curve.power())
               + " | "
-              + line(s.line())
+              + line(curve.line())
               + " |");
     }
-    for (Slope s : slopes) {
-      s.missing()
-          .forEach(m -> out.println("not measured: " + s.study() + ", " + s.quantity() + ": " + m));
+    for (CostCurve curve : curves) {
+      curve
+          .missing()
+          .forEach(
+              m ->
+                  out.println(
+                      "not measured: " + curve.study() + ", " + curve.quantity() + ": " + m));
     }
   }
 
-  private static String power(Fit fit) {
+  private static String power(LeastSquaresFit fit) {
     return fit == null
         ? ""
         : String.format(
             Locale.ROOT,
             "%.2f +- %.2f, %.3f, %.0f%%",
             fit.slope(),
-            fit.error(),
-            fit.r2(),
-            100 * fit.worst());
+            fit.standardError(),
+            fit.rSquared(),
+            100 * fit.maxRelativeError());
   }
 
-  private static String line(Fit fit) {
+  private static String line(LeastSquaresFit fit) {
     return fit == null
         ? ""
         : number(fit.slope())
             + " +- "
-            + number(fit.error())
-            + String.format(Locale.ROOT, ", %.0f%%", 100 * fit.worst());
+            + number(fit.standardError())
+            + String.format(Locale.ROOT, ", %.0f%%", 100 * fit.maxRelativeError());
   }
 
   /** Three digits that count. */
@@ -250,32 +254,32 @@
             : String.format(Locale.ROOT, "%.1e", value);
   }
 
-  private static void write(List<Slope> slopes, Path file) throws IOException {
+  private static void write(List<CostCurve> curves, Path file) throws IOException {
     try (JsonGenerator json = new JsonFactory().createGenerator(Files.newOutputStream(file))) {
       json.useDefaultPrettyPrinter();
       json.writeStartArray();
-      for (Slope s : slopes) {
+      for (CostCurve curve : curves) {
         json.writeStartObject();
-        json.writeStringField("study", s.study());
-        json.writeStringField("quantity", s.quantity());
-        json.writeStringField("unit", s.unit());
-        json.writeStringField("against", s.against());
+        json.writeStringField("study", curve.study());
+        json.writeStringField("quantity", curve.quantity());
+        json.writeStringField("unit", curve.unit());
+        json.writeStringField("against", curve.against());
         json.writeArrayFieldStart("points");
-        for (Slope.Point p : s.points()) {
+        for (CostCurve.Measurement point : curve.points()) {
           json.writeStartObject();
-          json.writeNumberField("size", p.size());
-          json.writeNumberField("median", p.median());
-          json.writeNumberField("least", p.least());
-          json.writeNumberField("most", p.most());
-          json.writeNumberField("repeats", p.repeats());
+          json.writeNumberField("size", point.size());
+          json.writeNumberField("median", point.median());
+          json.writeNumberField("least", point.min());
+          json.writeNumberField("most", point.max());
+          json.writeNumberField("repeats", point.repeats());
           json.writeEndObject();
         }
         json.writeEndArray();
-        fit(json, "power", s.power());
-        fit(json, "line", s.line());
+        writeFit(json, "power", curve.power());
+        writeFit(json, "line", curve.line());
         json.writeArrayFieldStart("missing");
-        for (String m : s.missing()) {
-          json.writeString(m);
+        for (String reason : curve.missing()) {
+          json.writeString(reason);
         }
         json.writeEndArray();
         json.writeEndObject();
@@ -284,14 +288,15 @@
     }
   }
 
-  private static void fit(JsonGenerator json, String name, Fit fit) throws IOException {
+  private static void writeFit(JsonGenerator json, String name, LeastSquaresFit fit)
+      throws IOException {
     if (fit != null) {
       json.writeObjectFieldStart(name);
       json.writeNumberField("slope", fit.slope());
       json.writeNumberField("intercept", fit.intercept());
-      json.writeNumberField("error", fit.error());
-      json.writeNumberField("r2", fit.r2());
-      json.writeNumberField("worst", fit.worst());
+      json.writeNumberField("error", fit.standardError());
+      json.writeNumberField("r2", fit.rSquared());
+      json.writeNumberField("worst", fit.maxRelativeError());
       json.writeEndObject();
     }
   }
--- a/src/main/java/edgenode/benchmark/Instance.java
+++ b/src/main/java/edgenode/benchmark/PolicyHarness.java
@@ -26,50 +26,51 @@
  * virtual time that its user moves on: any build of it can be measured side by side. The counter
  * answers at once, or never.
  */
-final class Instance implements PolicyActions {
+final class PolicyHarness implements PolicyActions {
   /** Unix time (ms), as a real clock gives it: what was never seen is as old as that. */
-  static final double START = 1_700_000_000_000.0;
+  static final double START_MS = 1_700_000_000_000.0;
 
-  static final double EDGE = 250;
-  private static final double TOOK = 20;
-  private static final int STARTS = 24;
+  static final double TICK_MS = 250;
+  private static final double SERVICE_TIME_MS = 20;
+  private static final int WARM_UP_REQUESTS = 24;
 
   private record Call(long name, double total) {}
 
-  private final PolicyEvents module;
+  private final PolicyEvents policy;
   private final boolean counterAnswers;
   private final Map<Long, Double> sums = new HashMap<>();
-  private final ArrayDeque<Call> calls = new ArrayDeque<>();
-  private final ArrayDeque<Long> out = new ArrayDeque<>();
-  private double now = START;
-  private long id;
-  private long counted;
+  private final ArrayDeque<Call> pendingCalls = new ArrayDeque<>();
+  private final ArrayDeque<Long> inFlight = new ArrayDeque<>();
+  private double nowMs = START_MS;
+  private long lastRequestId;
+  private long counterCalls;
   private long sent;
 
-  Instance(int nodes, boolean counter, boolean counterAnswers) {
+  PolicyHarness(int nodeCount, boolean hasCounter, boolean counterAnswers) {
     this.counterAnswers = counterAnswers;
-    module = new PolicyEngine(settings(0, nodes, counter), 1, now, this);
+    policy = new PolicyEngine(settings(0, nodeCount, hasCounter), 1, nowMs, this);
   }
 
   /**
    * As the settings of a site are: a plan of some units a second, a wide one, one without a limit;
    * aim 600 ms.
    */
-  static PolicySettings settings(int me, int nodes, boolean counter) {
+  static PolicySettings settings(int nodeIndex, int nodeCount, boolean hasCounter) {
     return settings(
-        me,
-        nodes,
-        counter,
+        nodeIndex,
+        nodeCount,
+        hasCounter,
         List.of(
             new QuotaPlan("rate", 8, 8, 0, 1, 0, 1, 0, 0, 0),
             new QuotaPlan("wide", 1e5, 1e5, 0, 1, 0, 1, 0, 0, 0),
             new QuotaPlan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0)));
   }
 
-  static PolicySettings settings(int me, int nodes, boolean counter, List<QuotaPlan> plans) {
+  static PolicySettings settings(
+      int nodeIndex, int nodeCount, boolean hasCounter, List<QuotaPlan> plans) {
     return new PolicySettings(
-        me,
-        nodes,
+        nodeIndex,
+        nodeCount,
         "a",
         2,
         false,
@@ -80,58 +81,60 @@
             new RequestClass(
                 "read", Idempotency.IDEMPOTENT, IdempotencyGroup.ALL, 600, 2000, 1, 0, 0, false)),
         plans,
-        new Capabilities(false, true, true, true, false, counter, 3, 2000, 50, 15_000),
+        new Capabilities(false, true, true, true, false, hasCounter, 3, 2000, 50, 15_000),
         new RuleLimits(16, 250, 0.2, 15_000, 2, 2000),
         new Prices(0.05, 0.01, 0.02, 0, 0.03));
   }
 
-  PolicyEvents module() {
-    return module;
+  PolicyEvents policy() {
+    return policy;
   }
 
-  double now() {
-    return now;
+  double nowMs() {
+    return nowMs;
   }
 
   long sent() {
     return sent;
   }
 
-  long counted() {
-    return counted;
+  long counterCalls() {
+    return counterCalls;
   }
 
-  void servers(List<EndpointInfo> list, boolean whole) {
-    module.endpointsChanged(now, list, whole);
+  void endpointsChanged(List<EndpointInfo> list, boolean isComplete) {
+    policy.endpointsChanged(nowMs, list, isComplete);
   }
 
   /** One request; the oldest is answered once more than {@code depth} are out. */
-  void request(String plan, String customer, int spread, boolean again, int depth) {
-    module.requestArrived(
-        now, new IncomingRequest(++id, "read", plan, customer, 2000, 1, spread, 0, again));
+  void request(String plan, String customer, int spread, boolean isRetry, int depth) {
+    policy.requestArrived(
+        nowMs,
+        new IncomingRequest(++lastRequestId, "read", plan, customer, 2000, 1, spread, 0, isRetry));
     answerCounter();
-    while (out.size() > depth) {
+    while (inFlight.size() > depth) {
       answer();
     }
   }
 
   private void answer() {
-    module.attemptEnded(now, out.poll(), 0, CallOutcome.OK, TOOK, true, 0, new double[0]);
+    policy.attemptEnded(
+        nowMs, inFlight.poll(), 0, CallOutcome.OK, SERVICE_TIME_MS, true, 0, new double[0]);
     answerCounter();
   }
 
   /** Answers all that is out. */
-  void quiet() {
-    while (!out.isEmpty()) {
+  void answerAll() {
+    while (!inFlight.isEmpty()) {
       answer();
     }
   }
 
   /** Answers in time take the pace away, with which a start is careful. */
-  void unpaced() {
-    for (int i = 0; i < STARTS; i++) {
+  void endSlowStart() {
+    for (int i = 0; i < WARM_UP_REQUESTS; i++) {
       request("free", "first", 1, false, 0);
-      edges(1);
+      ticks(1);
     }
   }
 
@@ -145,7 +148,7 @@
     long before = sent;
     for (int k = 0; k < times; k++) {
       request("free", "first", 1, false, depth);
-      now += 1e-3;
+      nowMs += 1e-3;
     }
     if (sent - before != times) {
       throw new IllegalStateException(
@@ -154,64 +157,70 @@
   }
 
   /** Moves time on, edge by edge. */
-  void edges(int times) {
+  void ticks(int times) {
     for (int i = 0; i < times; i++) {
-      now += EDGE;
-      module.timerFired(now, 0);
+      nowMs += TICK_MS;
+      policy.timerFired(nowMs, 0);
       answerCounter();
     }
   }
 
-  void step(double ms) {
-    now += ms;
+  void advance(double ms) {
+    nowMs += ms;
   }
 
   private void answerCounter() {
-    while (counterAnswers && !calls.isEmpty()) {
-      Call call = calls.poll();
-      module.counterCallEnded(now, call.name, CallOutcome.OK, 2, call.total);
+    while (counterAnswers && !pendingCalls.isEmpty()) {
+      Call call = pendingCalls.poll();
+      policy.counterCallEnded(nowMs, call.name, CallOutcome.OK, 2, call.total);
     }
   }
 
   /** Servers s0 to s(n-1), in racks of 40 and ten zones. */
-  static List<EndpointInfo> servers(int n) {
-    List<EndpointInfo> all = new ArrayList<>(n);
-    for (int i = 0; i < n; i++) {
+  static List<EndpointInfo> endpointsChanged(int count) {
+    List<EndpointInfo> all = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
       all.add(server(i, EndpointState.UP));
     }
     return all;
   }
 
-  static EndpointInfo server(int i, EndpointState state) {
+  static EndpointInfo server(int index, EndpointState state) {
     return new EndpointInfo(
-        "s-" + Integer.toHexString(0x10000000 + i), i / 40, "z" + i % 10, state, "m2", 0, 1);
+        "s-" + Integer.toHexString(0x10000000 + index),
+        index / 40,
+        "z" + index % 10,
+        state,
+        "m2",
+        0,
+        1);
   }
 
   @Override
-  public void send(long request, String server, double until) {
+  public void send(long request, String server, double untilMs) {
     sent++;
-    out.add(request);
+    inFlight.add(request);
   }
 
   @Override
   public void cancel(long request, int attempt) {}
 
   @Override
-  public void reject(long request, double retryAfter) {}
+  public void reject(long request, double retryAfterMs) {}
 
   @Override
   public void fail(long request) {}
 
   @Override
-  public void setTimer(double delay, long token) {}
+  public void setTimer(double delayMs, long token) {}
 
   @Override
   public void checkHealth(String server) {}
 
   @Override
-  public void addToCounter(long name, double amount, double keepFor) {
-    counted++;
-    calls.add(new Call(name, counterAnswers ? sums.merge(name, amount, Double::sum) : 0));
+  public void addToCounter(long name, double amount, double ttlMs) {
+    counterCalls++;
+    pendingCalls.add(new Call(name, counterAnswers ? sums.merge(name, amount, Double::sum) : 0));
   }
 
   @Override
--- a/src/main/java/edgenode/benchmark/Wires.java
+++ b/src/main/java/edgenode/benchmark/WireStudies.java
@@ -42,21 +42,21 @@
 /**
  * What passes on the wire, in its real forms, and what it takes to read it; sockets on loopback.
  */
-final class Wires {
+final class WireStudies {
   private static final int REPEATS = 3;
-  private static final double WARM = 18_000;
+  private static final double WARM_UP_MS = 18_000;
 
   /** A list that has not been read after so long (s) will not be. */
-  private static final int START = 12;
+  private static final int START_TIMEOUT_SECONDS = 12;
 
-  private static final int QUIET_MS = 3000;
-  private static final int COUNTER_MS = 1500;
+  private static final int STEADY_STATE_MS = 3000;
+  private static final int COUNTER_PERIOD_MS = 1500;
 
   /**
    * Calls that all nodes have out at a time: so many more would wait for longer than a line may owe
    * an answer.
    */
-  private static final int OUT = 100;
+  private static final int CALLS_IN_FLIGHT = 100;
 
   private static final double RECONNECT_MS = 100;
 
@@ -64,66 +64,67 @@
    * On a busy machine a line ends now and then; with more of them failed than this part it is no
    * measurement.
    */
-  private static final double MOST_FAILED = 0.05;
+  private static final double MAX_FAILED_SHARE = 0.05;
 
   /**
    * Calls a second, so many that no time lies between two: with less the stand-in sets a timer for
    * each.
    */
-  private static final double UNBOUNDED = 1e300;
+  private static final double UNBOUNDED_CALLS_PER_SECOND = 1e300;
 
-  private static final int[] FRONT = {50, 200, 800};
-  private static final int PINGS = 4000;
-  private static final int[] CLIENTS = {1, 10, 100};
+  private static final int[] CONNECTION_COUNTS = {50, 200, 800};
+  private static final int PINGS_PER_ROUND_SET = 4000;
+  private static final int[] CLIENT_COUNTS = {1, 10, 100};
 
-  private Wires() {}
+  private WireStudies() {}
 
   // ---- forms ----
 
-  static void forms(Run run) throws InterruptedException {
+  static void forms(BenchmarkRun run) throws InterruptedException {
     int[] sizes = run.sizes().servers();
-    run.slope(
+    run.measure(
         "a whole list",
         "B",
         "servers",
         sizes,
-        n -> Meter.value(n, 1, () -> Cores.list(n, 1, true).length()));
-    run.slope(
+        size -> CpuMeter.value(size, 1, () -> CoreStudies.list(size, 1, true).length()));
+    run.measure(
         "a watch's line, so many changes",
         "B",
         "changes",
         new int[] {1, 10, 100, 1000},
-        n -> Meter.value(n, 1, () -> chunk(Cores.list(n, 1_000_000, false))));
-    run.slope(
+        size ->
+            CpuMeter.value(size, 1, () -> chunkBytes(CoreStudies.list(size, 1_000_000, false))));
+    run.measure(
         "calls of the counter",
         "B",
         "calls",
         new int[] {1, 10, 100, 1000},
-        n -> Meter.value(n, 1, () -> calls(n, false)));
-    run.slope(
+        size -> CpuMeter.value(size, 1, () -> callBytes(size, false)));
+    run.measure(
         "answers of the counter",
         "B",
         "answers",
         new int[] {1, 10, 100, 1000},
-        n -> Meter.value(n, 1, () -> calls(n, true)));
+        size -> CpuMeter.value(size, 1, () -> callBytes(size, true)));
   }
 
   /** RFC 9112, 7.1. */
-  private static int chunk(String line) {
+  private static int chunkBytes(String line) {
     return Integer.toHexString(line.length()).length() + 2 + line.length() + 2;
   }
 
   /** Names are 63 bits, amounts small, totals those of some seconds at some requests a second. */
-  private static int calls(int n, boolean answers) {
+  private static int callBytes(int count, boolean isAnswer) {
     EmbeddedChannel channel = new EmbeddedChannel();
     RespCodec.addCodec(channel.pipeline(), 4);
     ByteBufAllocator alloc = channel.alloc();
     int bytes = 0;
     long name = 1;
-    for (int i = 0; i < n; i++) {
+    for (int i = 0; i < count; i++) {
       name = name * 6364136223846793005L + 1442695040888963407L; // Knuth's MMIX
       channel.writeOutbound(
-          answers
+          isAnswer
               ? RespCodec.bulkString(alloc, Integer.toString(i % 900 + 100))
               : RespCodec.command(
                   alloc,
@@ -131,9 +132,11 @@
                   Long.toString(name >>> 1),
                   Integer.toString(i % 9 + 1),
                   "60000"));
-      for (ByteBuf out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
-        bytes += out.readableBytes();
-        out.release();
+      for (ByteBuf buffer = channel.readOutbound();
+          buffer != null;
+          buffer = channel.readOutbound()) {
+        bytes += buffer.readableBytes();
+        buffer.release();
       }
     }
     channel.finishAndReleaseAll();
@@ -142,20 +145,20 @@
 
   // ---- a start ----
 
-  static void start(Run run) throws InterruptedException {
-    run.slope(
+  static void start(BenchmarkRun run) throws InterruptedException {
+    run.measure(
         "parsing a whole list",
         "us",
         "servers",
         run.sizes().servers(),
-        n -> {
-          byte[] text = Cores.list(n, 1, true).getBytes(StandardCharsets.US_ASCII);
+        size -> {
+          byte[] text = CoreStudies.list(size, 1, true).getBytes(StandardCharsets.US_ASCII);
           return run.meter()
               .time(
-                  n,
+                  size,
                   times -> {
                     for (int k = 0; k < times; k++) {
-                      if (parse(text) != n) {
+                      if (parse(text) != size) {
                         throw new IllegalStateException("entries are missing");
                       }
                     }
@@ -165,7 +168,7 @@
 
   private static int parse(byte[] text) {
     try {
-      return EndpointListJson.parse(text, text.length, bad -> {}).endpoints().size();
+      return EndpointListJson.parse(text, text.length, problem -> {}).endpoints().size();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -173,7 +176,7 @@
 
   // ---- discovery on loopback ----
 
-  private static final class Looked implements MembershipListener {
+  private static final class NoOpMembershipListener implements MembershipListener {
     @Override
     public void endpointsChanged(List<DiscoveredEndpoint> entries, boolean whole) {}
 
@@ -188,66 +191,84 @@
   }
 
   /** One node at an agent, from its start through some seconds in which nothing changes. */
-  record Quiet(double startMs, double startCpuMs, double requests, double bytes, double cpuMs) {}
+  record SteadyState(
+      double startMs, double startCpuMs, double requests, double bytes, double cpuMs) {}
 
-  static void discovery(Run run) throws InterruptedException {
+  static void discovery(BenchmarkRun run) throws InterruptedException {
     int[] sizes = run.sizes().servers();
-    List<List<Quiet>> all = new ArrayList<>();
-    run.slope(
+    List<List<SteadyState>> resultsBySize = new ArrayList<>();
+    run.measure(
         "start: CPU until the list is known",
         "ms",
         "servers",
         sizes,
-        n -> {
-          List<Quiet> of = new ArrayList<>();
+        size -> {
+          List<SteadyState> results = new ArrayList<>();
           for (int i = 0; i < REPEATS; i++) {
-            of.add(quiet(n));
+            results.add(steadyState(size));
           }
-          all.add(of);
-          return each(n, of.stream().mapToDouble(Quiet::startCpuMs).toArray());
+          resultsBySize.add(results);
+          return point(size, results.stream().mapToDouble(SteadyState::startCpuMs).toArray());
         });
-    int[] read = IntStream.range(0, all.size()).toArray();
+    int[] read = IntStream.range(0, resultsBySize.size()).toArray();
     if (read.length == 0) {
       return;
     }
-    int[] at = Arrays.copyOf(sizes, read.length);
-    run.slope(
+    int[] measuredSizes = Arrays.copyOf(sizes, read.length);
+    run.measure(
         "quiet: requests to discovery a second",
         "1/s",
         "servers",
-        at,
-        n -> each(n, of(all, at, n).stream().mapToDouble(Quiet::requests).toArray()));
-    run.slope(
+        measuredSizes,
+        size ->
+            point(
+                size,
+                resultsAt(resultsBySize, measuredSizes, size).stream()
+                    .mapToDouble(SteadyState::requests)
+                    .toArray()));
+    run.measure(
         "quiet: bytes of answers a second",
         "B/s",
         "servers",
-        at,
-        n -> each(n, of(all, at, n).stream().mapToDouble(Quiet::bytes).toArray()));
-    run.slope(
+        measuredSizes,
+        size ->
+            point(
+                size,
+                resultsAt(resultsBySize, measuredSizes, size).stream()
+                    .mapToDouble(SteadyState::bytes)
+                    .toArray()));
+    run.measure(
         "quiet: CPU of the loop a second",
         "ms/s",
         "servers",
-        at,
-        n -> each(n, of(all, at, n).stream().mapToDouble(Quiet::cpuMs).toArray()));
+        measuredSizes,
+        size ->
+            point(
+                size,
+                resultsAt(resultsBySize, measuredSizes, size).stream()
+                    .mapToDouble(SteadyState::cpuMs)
+                    .toArray()));
   }
 
-  private static Slope.Point each(int n, double[] values) {
-    return Meter.point(n, values);
+  private static CostCurve.Measurement point(int size, double[] values) {
+    return CpuMeter.point(size, values);
   }
 
-  private static List<Quiet> of(List<List<Quiet>> all, int[] at, int n) {
-    return all.get(IntStream.range(0, at.length).filter(i -> at[i] == n).findFirst().orElseThrow());
+  private static List<SteadyState> resultsAt(
+      List<List<SteadyState>> resultsBySize, int[] sizes, int size) {
+    return resultsBySize.get(
+        IntStream.range(0, sizes.length).filter(i -> sizes[i] == size).findFirst().orElseThrow());
   }
 
-  private static long thread(NettyEdgeEventLoop loop) throws InterruptedException {
+  private static long threadId(NettyEdgeEventLoop loop) throws InterruptedException {
     AtomicLong id = new AtomicLong();
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch isKnown = new CountDownLatch(1);
     loop.execute(
         () -> {
           id.set(Thread.currentThread().getId());
-          told.countDown();
+          isKnown.countDown();
         });
-    told.await();
+    isKnown.await();
     return id.get();
   }
 
@@ -255,52 +276,54 @@
     return ManagementFactory.getThreadMXBean().getThreadCpuTime(thread) / 1e6;
   }
 
-  private static Quiet quiet(int n) throws IOException, InterruptedException {
-    List<DiscoveryAgentEmulator.Host> hosts = IntStream.range(0, n).mapToObj(Cores::host).toList();
+  private static SteadyState steadyState(int servers) throws IOException, InterruptedException {
+    List<DiscoveryAgentEmulator.Host> hosts =
+        IntStream.range(0, servers).mapToObj(CoreStudies::host).toList();
     NettyEdgeEventLoop loop = NettyEdgeEventLoop.create();
     try (DiscoveryAgentEmulator agent = new DiscoveryAgentEmulator(1)) {
       agent.restart(1, hosts);
-      long thread = thread(loop);
-      double from = cpuMs(thread);
-      long began = System.nanoTime();
-      String[] at = agent.address().split(":");
+      long thread = threadId(loop);
+      double cpuFromMs = cpuMs(thread);
+      long startNs = System.nanoTime();
+      String[] hostAndPort = agent.address().split(":");
       MembershipService members =
           new MembershipService(
               loop,
-              new Looked(),
-              MembershipLimits.defaults(WARM),
+              new NoOpMembershipListener(),
+              MembershipLimits.defaults(WARM_UP_MS),
               List.of(
                   MembershipService.agentSource(
                       new InetSocketAddress(
-                          InetAddress.getByName(at[0]), Integer.parseInt(at[1])))),
+                          InetAddress.getByName(hostAndPort[0]),
+                          Integer.parseInt(hostAndPort[1])))),
               1e9);
       loop.execute(() -> members.start(null));
       try {
-        members.ready().get(START, TimeUnit.SECONDS);
+        members.ready().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
         throw new IllegalStateException(
             "the list of "
-                + Cores.list(n, 1, true).length()
+                + CoreStudies.list(servers, 1, true).length()
                 + " B was never read, in "
-                + START
+                + START_TIMEOUT_SECONDS
                 + " s",
             e);
       }
-      double startMs = (System.nanoTime() - began) / 1e6;
-      double startCpu = cpuMs(thread) - from;
-      Thread.sleep(QUIET_MS / 3); // the first looks
+      double startMs = (System.nanoTime() - startNs) / 1e6;
+      double startCpu = cpuMs(thread) - cpuFromMs;
+      Thread.sleep(STEADY_STATE_MS / 3); // the first looks
       long requests = agent.requests();
       long bytes = agent.bytes();
-      from = cpuMs(thread);
-      began = System.nanoTime();
-      Thread.sleep(QUIET_MS);
-      double seconds = (System.nanoTime() - began) / 1e9;
-      return new Quiet(
+      cpuFromMs = cpuMs(thread);
+      startNs = System.nanoTime();
+      Thread.sleep(STEADY_STATE_MS);
+      double seconds = (System.nanoTime() - startNs) / 1e9;
+      return new SteadyState(
           startMs,
           startCpu,
           (agent.requests() - requests) / seconds,
           (agent.bytes() - bytes) / seconds,
-          (cpuMs(thread) - from) / seconds);
+          (cpuMs(thread) - cpuFromMs) / seconds);
     } finally {
       loop.group().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
     }
@@ -308,116 +331,136 @@
 
   // ---- the counter on loopback ----
 
-  private record Calls(double each, double client, double perSecond) {}
+  private record CounterCosts(double each, double client, double perSecond) {}
 
-  static void counter(Run run) throws InterruptedException {
-    Map<Integer, Calls[]> all = new HashMap<>();
-    run.slope(
+  static void counter(BenchmarkRun run) throws InterruptedException {
+    Map<Integer, CounterCosts[]> costsByNodes = new HashMap<>();
+    run.measure(
         "a call, the counter's thread",
         "us",
         "nodes, 4 connections each",
-        CLIENTS,
-        n -> {
-          Calls[] of = new Calls[REPEATS];
+        CLIENT_COUNTS,
+        nodes -> {
+          CounterCosts[] costs = new CounterCosts[REPEATS];
           for (int i = 0; i < REPEATS; i++) {
-            of[i] = counted(n);
+            costs[i] = counterCosts(nodes);
           }
-          all.put(n, of);
-          return Meter.point(n, Arrays.stream(of).mapToDouble(Calls::each).toArray());
+          costsByNodes.put(nodes, costs);
+          return CpuMeter.point(
+              nodes, Arrays.stream(costs).mapToDouble(CounterCosts::each).toArray());
         });
-    run.slope(
+    run.measure(
         "a call, the nodes' thread",
         "us",
         "nodes, 4 connections each",
-        CLIENTS,
-        n -> Meter.point(n, Arrays.stream(after(all, n)).mapToDouble(Calls::client).toArray()));
-    run.slope(
+        CLIENT_COUNTS,
+        nodes ->
+            CpuMeter.point(
+                nodes,
+                Arrays.stream(measured(costsByNodes, nodes))
+                    .mapToDouble(CounterCosts::client)
+                    .toArray()));
+    run.measure(
         "calls answered a second, one thread each",
         "1/s",
         "nodes, 4 connections each",
-        CLIENTS,
-        n -> Meter.point(n, Arrays.stream(after(all, n)).mapToDouble(Calls::perSecond).toArray()));
+        CLIENT_COUNTS,
+        nodes ->
+            CpuMeter.point(
+                nodes,
+                Arrays.stream(measured(costsByNodes, nodes))
+                    .mapToDouble(CounterCosts::perSecond)
+                    .toArray()));
   }
 
-  private static Calls[] after(Map<Integer, Calls[]> all, int n) {
-    if (!all.containsKey(n)) {
+  private static CounterCosts[] measured(Map<Integer, CounterCosts[]> costsByNodes, int nodes) {
+    if (!costsByNodes.containsKey(nodes)) {
       throw new IllegalStateException("see the counter's thread");
     }
-    return all.get(n);
+    return costsByNodes.get(nodes);
   }
 
   /** Nodes that each keep some calls out; the second half of the time counts. */
-  private static Calls counted(int nodes) throws InterruptedException {
-    NettyEdgeEventLoop served = NettyEdgeEventLoop.create();
-    NettyEdgeEventLoop calling = NettyEdgeEventLoop.create();
+  private static CounterCosts counterCosts(int nodes) throws InterruptedException {
+    NettyEdgeEventLoop counterLoop = NettyEdgeEventLoop.create();
+    NettyEdgeEventLoop clientLoop = NettyEdgeEventLoop.create();
     try {
       AtomicLong answered = new AtomicLong();
       AtomicLong failed = new AtomicLong();
-      CounterEmulator.Size endless = new CounterEmulator.Size(UNBOUNDED, 1 << 20, 1 << 16);
+      CounterEmulator.Size endless =
+          new CounterEmulator.Size(UNBOUNDED_CALLS_PER_SECOND, 1 << 20, 1 << 16);
       CounterEmulator counter =
-          new CounterEmulator(served, endless, (now, name, amount, sum) -> {})
+          new CounterEmulator(counterLoop, endless, (now, name, amount, sum) -> {})
               .start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       CounterClient[] clients = new CounterClient[nodes];
       for (int i = 0; i < nodes; i++) {
-        int me = i;
+        int client = i;
         clients[i] =
             new CounterClient(
-                calling,
+                clientLoop,
                 (name, outcome, took, total) -> {
-                  long next = name + OUT * 4L * 997;
+                  long next = name + CALLS_IN_FLIGHT * 4L * 997;
                   if (outcome == CallOutcome.OK) {
                     answered.incrementAndGet();
-                    clients[me].add(next, 1, 60_000);
+                    clients[client].add(next, 1, 60_000);
                   } else { // a line that has ended fails them at once: again at once would be very
                     // quick calls
                     failed.incrementAndGet();
-                    calling.schedule(RECONNECT_MS, () -> clients[me].add(next, 1, 60_000));
+                    clientLoop.schedule(RECONNECT_MS, () -> clients[client].add(next, 1, 60_000));
                   }
                 },
                 counter.address(),
                 5000);
       }
-      calling.execute(
+      clientLoop.execute(
           () -> {
-            for (CounterClient c : clients) {
-              c.start();
+            for (CounterClient counterClient : clients) {
+              counterClient.start();
             }
           });
-      for (CounterClient c : clients) {
-        c.whenReady().join();
+      for (CounterClient counterClient : clients) {
+        counterClient.whenReady().join();
       }
-      calling.execute(
+      clientLoop.execute(
           () -> {
             for (int i = 0; i < nodes; i++) {
-              for (int k = 0; k < OUT / nodes; k++) {
-                clients[i].add((long) i * (OUT / nodes) + k, 1, 60_000);
+              for (int k = 0; k < CALLS_IN_FLIGHT / nodes; k++) {
+                clients[i].add((long) i * (CALLS_IN_FLIGHT / nodes) + k, 1, 60_000);
               }
             }
           });
-      long a = thread(served);
-      long b = thread(calling);
-      Thread.sleep(COUNTER_MS);
-      double[] from = {cpuMs(a), cpuMs(b), answered.get(), System.nanoTime()};
-      Thread.sleep(COUNTER_MS);
-      double calls = answered.get() - from[2];
-      if (failed.get() > MOST_FAILED * calls) {
+      long counterThread = threadId(counterLoop);
+      long clientThread = threadId(clientLoop);
+      Thread.sleep(COUNTER_PERIOD_MS);
+      double[] start = {
+        cpuMs(counterThread), cpuMs(clientThread), answered.get(), System.nanoTime()
+      };
+      Thread.sleep(COUNTER_PERIOD_MS);
+      double calls = answered.get() - start[2];
+      if (failed.get() > MAX_FAILED_SHARE * calls) {
         throw new IllegalStateException(
             failed.get() + " calls failed, " + (long) calls + " were answered");
       }
-      return new Calls(
-          (cpuMs(a) - from[0]) * 1000 / calls,
-          (cpuMs(b) - from[1]) * 1000 / calls,
-          calls / ((System.nanoTime() - from[3]) / 1e9));
+      return new CounterCosts(
+          (cpuMs(counterThread) - start[0]) * 1000 / calls,
+          (cpuMs(clientThread) - start[1]) * 1000 / calls,
+          calls / ((System.nanoTime() - start[3]) / 1e9));
     } finally {
-      calling.group().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
-      served.group().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
+      clientLoop
+          .group()
+          .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
+          .awaitUninterruptibly(1000);
+      counterLoop
+          .group()
+          .shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
+          .awaitUninterruptibly(1000);
     }
   }
 
   // ---- clients' front on loopback ----
 
   /** Takes nothing: only PINGs come. */
-  private static final class Refusing implements ClientListener.RequestHandler {
+  private static final class RejectingRequestHandler implements ClientListener.RequestHandler {
     @Override
     public String requestReceived(
         ClientListener.ResponseSlot slot, ArrayRedisMessage command, boolean crowded) {
@@ -425,29 +468,30 @@
     }
   }
 
-  static void front(Run run) throws InterruptedException {
+  static void downstream(BenchmarkRun run) throws InterruptedException {
     List<Double> heaps = new ArrayList<>();
-    run.slope(
+    run.measure(
         "a PING, the node's thread",
         "us",
         "connections",
-        FRONT,
-        n -> {
-          double[] each = new double[REPEATS + 1];
-          for (int i = 0; i < each.length; i++) { // the first one warms up
-            each[i] = pings(n, heaps);
+        CONNECTION_COUNTS,
+        connections -> {
+          double[] micros = new double[REPEATS + 1];
+          for (int i = 0; i < micros.length; i++) { // the first one warms up
+            micros[i] = pings(connections, heaps);
           }
-          return Meter.point(n, Arrays.copyOfRange(each, 1, each.length));
+          return CpuMeter.point(connections, Arrays.copyOfRange(micros, 1, micros.length));
         });
-    run.slope(
+    run.measure(
         "heap, with the peer's socket",
         "B",
         "connections",
-        FRONT,
-        n -> {
-          int at = Arrays.binarySearch(FRONT, n) * (REPEATS + 1);
-          return Meter.point(
-              n, heaps.subList(at + 1, at + 1 + REPEATS).stream().mapToDouble(d -> d).toArray());
+        CONNECTION_COUNTS,
+        connections -> {
+          int first = Arrays.binarySearch(CONNECTION_COUNTS, connections) * (REPEATS + 1);
+          return CpuMeter.point(
+              connections,
+              heaps.subList(first + 1, first + 1 + REPEATS).stream().mapToDouble(d -> d).toArray());
         });
   }
 
@@ -455,44 +499,45 @@
   private static double pings(int connections, List<Double> heaps)
       throws IOException, InterruptedException {
     NettyEdgeEventLoop loop = NettyEdgeEventLoop.create();
-    List<SocketChannel> open = new ArrayList<>();
+    List<SocketChannel> channels = new ArrayList<>();
     try {
-      ClientListener clients = new ClientListener(loop, new Refusing(), 2 * connections, false);
-      SocketAddress at =
+      ClientListener clients =
+          new ClientListener(loop, new RejectingRequestHandler(), 2 * connections, false);
+      SocketAddress address =
           clients
               .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
               .sync()
               .channel()
               .localAddress();
-      long thread = thread(loop);
-      long before = Meter.used();
+      long thread = threadId(loop);
+      long heapBefore = CpuMeter.usedHeapBytes();
       for (int i = 0; i < connections; i++) {
-        open.add(SocketChannel.open(at));
-        ping(open.get(i));
+        channels.add(SocketChannel.open(address));
+        ping(channels.get(i));
       }
-      heaps.add((double) (Meter.used() - before));
-      double from = 0;
-      int rounds = 2 * Math.max(1, PINGS / connections);
+      heaps.add((double) (CpuMeter.usedHeapBytes() - heapBefore));
+      double cpuFromMs = 0;
+      int rounds = 2 * Math.max(1, PINGS_PER_ROUND_SET / connections);
       for (int r = 0; r < rounds; r++) {
-        from = r == rounds / 2 ? cpuMs(thread) : from;
-        for (SocketChannel c : open) {
-          ping(c);
+        cpuFromMs = r == rounds / 2 ? cpuMs(thread) : cpuFromMs;
+        for (SocketChannel channel : channels) {
+          ping(channel);
         }
       }
-      return (cpuMs(thread) - from) * 1000 / (rounds - rounds / 2) / connections;
+      return (cpuMs(thread) - cpuFromMs) * 1000 / (rounds - rounds / 2) / connections;
     } finally {
-      for (SocketChannel c : open) {
-        c.close();
+      for (SocketChannel channel : channels) {
+        channel.close();
       }
       loop.group().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
     }
   }
 
-  private static void ping(SocketChannel c) throws IOException {
-    c.write(ByteBuffer.wrap("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII)));
+  private static void ping(SocketChannel channel) throws IOException {
+    channel.write(ByteBuffer.wrap("*1\r\n$4\r\nPING\r\n".getBytes(StandardCharsets.US_ASCII)));
     ByteBuffer in = ByteBuffer.allocate("+PONG\r\n".length());
     while (in.hasRemaining()) {
-      if (c.read(in) < 0) {
+      if (channel.read(in) < 0) {
         throw new IOException("the node has closed");
       }
     }
@@ -500,53 +545,56 @@
 
   // ---- configuration ----
 
-  static void configuration(Run run) throws InterruptedException {
+  static void configuration(BenchmarkRun run) throws InterruptedException {
     int[] sizes = run.sizes().plans();
-    run.slope(
+    run.measure(
         "the file",
         "B",
         "plans",
         sizes,
-        n -> Meter.value(n, 1, () -> configuration(n).getBytes(StandardCharsets.UTF_8).length));
-    run.slope(
+        plans ->
+            CpuMeter.value(
+                plans, 1, () -> configuration(plans).getBytes(StandardCharsets.UTF_8).length));
+    run.measure(
         "reading it at SIGHUP",
         "us",
         "plans",
         sizes,
-        n -> {
-          Path file = Files.writeString(Files.createTempFile("slopes", ".json"), configuration(n));
+        plans -> {
+          Path file =
+              Files.writeString(Files.createTempFile("slopes", ".json"), configuration(plans));
           try {
-            int[] taken = new int[1];
+            int[] loadedPlans = new int[1];
             ConfigFileWatcher config =
                 new ConfigFileWatcher(
                     Map.of("EDGE_CONFIG", file.toString()),
-                    c -> taken[0] = c.settings().plans().size(),
+                    c -> loadedPlans[0] = c.settings().plans().size(),
                     line -> {});
-            Slope.Point p =
+            CostCurve.Measurement point =
                 run.meter()
                     .time(
-                        n,
+                        plans,
                         times -> {
                           for (int k = 0; k < times; k++) {
                             config.reload();
                           }
                         });
-            if (taken[0] != n) {
-              throw new IllegalStateException("it was not taken: " + taken[0] + " plans");
+            if (loadedPlans[0] != plans) {
+              throw new IllegalStateException("it was not taken: " + loadedPlans[0] + " plans");
             }
-            return p;
+            return point;
           } finally {
             Files.delete(file);
           }
         });
-    run.slope(
+    run.measure(
         "heap of the settings read",
         "B",
         "plans",
         sizes,
-        n -> {
-          byte[] text = configuration(n).getBytes(StandardCharsets.UTF_8);
-          return Meter.heap(n, () -> text, Wires::settings);
+        plans -> {
+          byte[] text = configuration(plans).getBytes(StandardCharsets.UTF_8);
+          return CpuMeter.heap(plans, () -> text, WireStudies::settings);
         });
   }
 
@@ -562,19 +610,19 @@
    * A plan is the only thing of a configuration that may come in numbers: routes have no form yet.
    */
   static String configuration(int plans) {
-    StringBuilder all =
+    StringBuilder json =
         new StringBuilder(
             """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","counter":"127.0.0.1:2","seed":"1",
              "limits":{"sockets":1024},"settings":{"rank":0,"group_size":5500,"tick":2,
              "request_classes":[{"name":"read","effect":"read_like","aim":600,"hard_limit":2000}],"tariffs":[""");
     for (int i = 0; i < plans; i++) {
-      all.append(i > 0 ? "," : "")
+      json.append(i > 0 ? "," : "")
           .append("{\"name\":\"t-")
           .append(Integer.toHexString(0x1000000 + i))
           .append(
               "\",\"per_second\":8,\"depth\":16,\"price\":1,\"extra_worth\":0.2,\"over_cost\":0.5}\n");
     }
-    return all.append("]}}\n").toString();
+    return json.append("]}}\n").toString();
   }
 }
--- a/src/test/java/edgenode/benchmark/BenchmarkScalingTest.java
+++ b/src/test/java/edgenode/benchmark/BenchmarkScalingTest.java
@@ -34,30 +34,31 @@
 
   @Test
   void aLineIsFoundAgain() {
-    Fit fit = Fit.line(new double[] {1, 2, 4, 8}, new double[] {5, 8, 14, 26});
+    LeastSquaresFit fit =
+        LeastSquaresFit.line(new double[] {1, 2, 4, 8}, new double[] {5, 8, 14, 26});
     assertEquals(3, fit.slope(), EXACT);
     assertEquals(2, fit.intercept(), EXACT);
-    assertEquals(0, fit.error(), EXACT);
-    assertEquals(1, fit.r2(), EXACT);
-    assertEquals(0, fit.worst(), EXACT);
+    assertEquals(0, fit.standardError(), EXACT);
+    assertEquals(1, fit.rSquared(), EXACT);
+    assertEquals(0, fit.maxRelativeError(), EXACT);
     assertEquals(32, fit.at(10), EXACT);
   }
 
   /** By hand: the mean of y is 2, Sxx 2, Sxy 1, so the slope is 1/2 and SSE 1.5 of Syy 2. */
   @Test
   void whatIsOffTheLineIsTheError() {
-    Fit fit = Fit.line(new double[] {1, 2, 3}, new double[] {1, 3, 2});
+    LeastSquaresFit fit = LeastSquaresFit.line(new double[] {1, 2, 3}, new double[] {1, 3, 2});
     assertEquals(0.5, fit.slope(), EXACT);
     assertEquals(1, fit.intercept(), EXACT);
-    assertEquals(Math.sqrt(0.75), fit.error(), EXACT);
-    assertEquals(0.25, fit.r2(), EXACT);
-    assertEquals(0.5, fit.worst(), EXACT, "1.5 for what is 1");
+    assertEquals(Math.sqrt(0.75), fit.standardError(), EXACT);
+    assertEquals(0.25, fit.rSquared(), EXACT);
+    assertEquals(0.5, fit.maxRelativeError(), EXACT, "1.5 for what is 1");
   }
 
   @Test
   void aPowerLawIsALineOfLogarithms() {
-    Fit fit =
-        Fit.power(
+    LeastSquaresFit fit =
+        LeastSquaresFit.isPowerLaw(
             new double[] {40, 400, 4000, 40_000},
             new double[] {
               7 * Math.pow(40, 1.5),
@@ -68,17 +69,23 @@
     assertEquals(1.5, fit.slope(), EXACT);
     assertEquals(Math.log(7), fit.intercept(), EXACT);
     assertEquals(7 * Math.pow(190_000, 1.5), fit.at(190_000), 1e-3);
-    assertEquals(1, fit.r2(), EXACT);
+    assertEquals(1, fit.rSquared(), EXACT);
   }
 
   @Test
   void twoPointsOrAZeroAreNoPowerLaw() {
-    Slope.Point a = new Slope.Point(1, 2, 2, 2, 1);
-    Slope.Point b = new Slope.Point(2, 4, 4, 4, 1);
-    assertNull(new Slope("s", "q", "us", "n", List.of(a, b), List.of()).power());
-    assertNull(new Slope("s", "q", "us", "n", List.of(a, b), List.of()).line());
-    Slope zero =
-        new Slope("s", "q", "us", "n", List.of(a, b, new Slope.Point(3, 0, 0, 0, 1)), List.of());
+    CostCurve.Measurement a = new CostCurve.Measurement(1, 2, 2, 2, 1);
+    CostCurve.Measurement b = new CostCurve.Measurement(2, 4, 4, 4, 1);
+    assertNull(new CostCurve("s", "q", "us", "n", List.of(a, b), List.of()).power());
+    assertNull(new CostCurve("s", "q", "us", "n", List.of(a, b), List.of()).line());
+    CostCurve zero =
+        new CostCurve(
+            "s",
+            "q",
+            "us",
+            "n",
+            List.of(a, b, new CostCurve.Measurement(3, 0, 0, 0, 1)),
+            List.of());
     assertNull(zero.power());
     assertNotNull(zero.line());
   }
@@ -89,11 +96,11 @@
   @Test
   void aPointIsTheMedianTimeOfOneCall() {
     AtomicLong cpu = new AtomicLong();
-    Slope.Point p =
-        new Meter(cpu::get, 10)
+    CostCurve.Measurement p =
+        new CpuMeter(cpu::get, 10)
             .time(
                 5,
-                new Meter.Work() {
+                new CpuMeter.Work() {
                   @Override
                   public void prepare() {
                     cpu.addAndGet(77_777);
@@ -101,11 +108,11 @@
 
                   @Override
                   public void run(int times) {
-                    assertTrue(times <= most());
+                    assertTrue(times <= maxTimes());
                     cpu.addAndGet(3L * CPU * times);
                   }
                 });
-    assertEquals(new Slope.Point(5, 3, 3, 3, 7), p);
+    assertEquals(new CostCurve.Measurement(5, 3, 3, 3, 7), p);
   }
 
   /** Work that takes far longer than its point is not repeated seven times. */
@@ -113,8 +120,8 @@
   void dearWorkIsRepeatedThreeTimes() {
     AtomicLong cpu = new AtomicLong();
     List<Integer> runs = new ArrayList<>();
-    Slope.Point p =
-        new Meter(cpu::get, 1)
+    CostCurve.Measurement p =
+        new CpuMeter(cpu::get, 1)
             .time(
                 1,
                 times -> {
@@ -128,25 +135,26 @@
 
   @Test
   void theMedianOfAnEvenNumberLiesBetween() {
-    assertEquals(new Slope.Point(1, 2.5, 1, 9, 4), Meter.point(1, new double[] {9, 2, 1, 3}));
+    assertEquals(
+        new CostCurve.Measurement(1, 2.5, 1, 9, 4), CpuMeter.point(1, new double[] {9, 2, 1, 3}));
   }
 
   @Test
   void whatTheBudgetLeavesOutIsTold() throws Exception {
-    Run run = new Run(null, null, -1, line -> {});
-    run.begin("s");
-    run.slope("q", "us", "n", new int[] {1, 2}, n -> Meter.value(n, 1, () -> 1));
+    BenchmarkRun run = new BenchmarkRun(null, null, -1, line -> {});
+    run.beginStudy("s");
+    run.measure("q", "us", "n", new int[] {1, 2}, n -> CpuMeter.value(n, 1, () -> 1));
     assertEquals(
         List.of("1: not run, --budget was over", "2: not run, --budget was over"),
-        run.slopes().get(0).missing());
-    assertTrue(run.slopes().get(0).points().isEmpty());
+        run.curves().get(0).missing());
+    assertTrue(run.curves().get(0).points().isEmpty());
   }
 
   // ---- what is measured ----
 
   @Test
   void theListAndTheConfigurationAreInTheirRealForms() throws IOException {
-    byte[] list = Cores.list(300, 7, true).getBytes(StandardCharsets.US_ASCII);
+    byte[] list = CoreStudies.list(300, 7, true).getBytes(StandardCharsets.US_ASCII);
     EndpointListJson read =
         EndpointListJson.parse(
             list,
@@ -158,7 +166,7 @@
     assertEquals(7, read.version());
     assertTrue(read.isComplete());
     NodeConfig config =
-        NodeConfig.reload(Wires.configuration(50).getBytes(StandardCharsets.UTF_8), Map.of());
+        NodeConfig.reload(WireStudies.configuration(50).getBytes(StandardCharsets.UTF_8), Map.of());
     assertEquals(50, config.settings().plans().size());
     assertEquals(5500, config.settings().nodeCount());
   }
@@ -169,22 +177,24 @@
    */
   @Test
   void aFleetIsPlayedTheSameTwice() {
-    Fleet.Terms terms = Fleet.fleet(10, 10, Fleet.ASKS, 4);
-    Fleet.Played one = Fleet.play(terms, 1);
-    assertEquals(one, Fleet.play(terms, 1));
+    FleetStudies.Scenario terms = FleetStudies.fleet(10, 10, FleetStudies.TARGET_CUSTOMER_RATE, 4);
+    FleetStudies.Result one = FleetStudies.play(terms, 1);
+    assertEquals(one, FleetStudies.play(terms, 1));
     assertEquals(10 * 10 * 10, one.requests(), 150, "ten nodes, ten a second, ten seconds");
     assertTrue(one.calls() > 0);
-    assertEquals((double) one.calls() / one.requests(), one.callsEachRequest(), EXACT);
+    assertEquals((double) one.calls() / one.requests(), one.callsPerRequest(), EXACT);
   }
 
   /** Even parts of a lost counter sum up to the quota. */
   @Test
   void aCounterThatIsLostLeavesTheQuota() {
-    Fleet.Played there = Fleet.play(Fleet.cut(5, 0), 1);
-    Fleet.Played lost = Fleet.play(Fleet.cut(5, 5), 1);
-    assertTrue(there.beyond() < 1.1, "sent over quota with a counter: " + there.beyond());
+    FleetStudies.Result there = FleetStudies.play(FleetStudies.outage(5, 0), 1);
+    FleetStudies.Result lost = FleetStudies.play(FleetStudies.outage(5, 5), 1);
+    assertTrue(
+        there.overQuotaShare() < 1.1, "sent over quota with a counter: " + there.overQuotaShare());
     assertTrue(
-        lost.beyond() > 0.5 && lost.beyond() < 1.5, "sent over quota without: " + lost.beyond());
+        lost.overQuotaShare() > 0.5 && lost.overQuotaShare() < 1.5,
+        "sent over quota without: " + lost.overQuotaShare());
   }
 
   // ---- the command ----
