--- a/src/main/java/edgenode/benchmark/WireStudies.java
+++ b/src/main/java/edgenode/benchmark/WireStudies.java
@@ -12,6 +12,8 @@
 import edgenode.net.discovery.MembershipListener;
 import edgenode.net.discovery.MembershipService;
 import edgenode.net.downstream.ClientListener;
+import edgenode.net.downstream.RequestHandler;
+import edgenode.net.downstream.ResponseSlot;
 import edgenode.net.resp.RespCodec;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.PolicySettings;
@@ -460,10 +462,9 @@
   // ---- clients' front on loopback ----
 
   /** Takes nothing: only PINGs come. */
-  private static final class RejectingRequestHandler implements ClientListener.RequestHandler {
+  private static final class RejectingRequestHandler implements RequestHandler {
     @Override
-    public String requestReceived(
-        ClientListener.ResponseSlot slot, ArrayRedisMessage command, boolean crowded) {
+    public String requestReceived(ResponseSlot slot, ArrayRedisMessage command, boolean crowded) {
       return "not here";
     }
   }
--- a/src/main/java/edgenode/simulation/fleet/FleetSimulation.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetSimulation.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.fleet;
 
-import edgenode.node.EdgeNode;
+import edgenode.node.PolicyFactory;
 import java.util.BitSet;
 import java.util.SplittableRandom;
 import java.util.function.DoubleConsumer;
@@ -24,7 +24,7 @@
   private static final double MACHINE_FAILURE_MS = 5000;
 
   private final FleetShape shape;
-  private final EdgeNode.PolicyFactory policyFactory;
+  private final PolicyFactory policyFactory;
   private final double arrivalsEndMs;
   private final VirtualTimeline timeline = new VirtualTimeline(START_MS);
   private final FleetCounters counters = new FleetCounters();
@@ -45,7 +45,7 @@
    *
    * @param policyFactory creates the decision module of each node; tests give faulty ones
    */
-  public FleetSimulation(FleetShape shape, EdgeNode.PolicyFactory policyFactory) {
+  public FleetSimulation(FleetShape shape, PolicyFactory policyFactory) {
     this.shape = shape;
     this.policyFactory = policyFactory;
     arrivalsEndMs = START_MS + shape.seconds() * 1000.0;
--- a/src/main/java/edgenode/simulation/fleet/ModelNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -1,6 +1,6 @@
 package edgenode.simulation.fleet;
 
-import edgenode.node.EdgeNode;
+import edgenode.node.PolicyFactory;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
@@ -48,7 +48,7 @@
       int index,
       DiscoveryModel discovery,
       PolicySettings settings,
-      EdgeNode.PolicyFactory policyFactory,
+      PolicyFactory policyFactory,
       long seed) {
     this.fleet = fleet;
     this.index = index;
