--- a/src/main/java/edgenode/simulation/fleet/ModelNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -1,511 +1,338 @@
 package edgenode.simulation.fleet;
 
-import edgenode.membership.DiscoveredEndpoint;
-import edgenode.membership.Membership;
-import edgenode.membership.MembershipLimits;
-import edgenode.membership.MembershipUpdate;
 import edgenode.node.PolicyFactory;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
-import edgenode.policy.EndpointState;
 import edgenode.policy.IncomingRequest;
 import edgenode.policy.PolicyActions;
 import edgenode.policy.PolicyEvents;
 import edgenode.policy.PolicySettings;
 import edgenode.policy.RequestClass;
+import edgenode.simulation.fleet.FleetSimulation.DigestEvent;
 import io.netty.util.collection.LongObjectHashMap;
-import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.BitSet;
-import java.util.Collection;
 import java.util.List;
 
 /**
- * An edge node without its sockets, from its start to its end: the decision module and the
- * membership core as {@code Node} and {@code MembershipService} host them, on virtual time. It
- * counts and decides nothing.
+ * An edge node without sockets, from its start to its end: the decision module as {@code EdgeNode}
+ * runs it, and the membership core, in virtual time. It counts and decides nothing itself.
  */
 final class ModelNode implements PolicyActions {
   private static final double[] NO_LOAD = new double[0];
 
-  /** Between tries of a server that is dead or held (ms), as {@code MembershipService} has it. */
-  private static final double TRY = 250;
+  /** One policy event in so many is timed, as reading the thread's CPU time costs CPU itself. */
+  private static final int CPU_SAMPLE_INTERVAL = 8;
 
-  /** One event in so many is timed. */
-  private static final int SAMPLED = 8;
-
-  private static final String SPACE = "discovery";
+  private final FleetSimulation fleet;
+  private final int index;
+  private final VirtualTimeline timeline;
+  private final FleetCounters counters;
+  private final DiscoveryModel discovery;
+  private final PolicySettings settings;
+  private final ModelMembership membership;
+  private final LongObjectHashMap<PendingRequest> openRequests = new LongObjectHashMap<>();
 
-  /** A request, from its arrival to the end of its last attempt. */
-  static final class Open {
-    final long id;
-    final Fleet.Tenant tenant;
-    final double deadline;
-    final List<Attempt> attempts = new ArrayList<>(1);
-    private int out;
-    private boolean over;
+  /** Null after {@link #dropCores}. */
+  private PolicyEvents policy;
 
-    Open(long id, Fleet.Tenant tenant, double deadline) {
-      this.id = id;
-      this.tenant = tenant;
-      this.deadline = deadline;
-    }
-  }
-
-  static final class Attempt {
-    final Open request;
-    final int number;
-    final AppServer server;
-    final int life;
-    final double sent;
-    private boolean ended;
-
-    Attempt(Open request, AppServer server, double sent) {
-      this.request = request;
-      this.server = server;
-      this.sent = sent;
-      number = request.attempts.size();
-      life = server.life;
-    }
-  }
+  /** By position on the list: whether and when an attempt was sent to the server. */
+  private final BitSet usedServers;
 
-  final int place;
-  private final Fleet fleet;
-  private final Agenda agenda;
-  private final Tally tally;
-  private final DiscoveryModel discovery;
-  private final PolicySettings settings;
-  private PolicyEvents module;
-  private Membership members;
-  private final LongObjectHashMap<Open> open = new LongObjectHashMap<>();
-
-  /**
-   * By place on the list: shown as up; ever sent to; when last; which change was last seen in
-   * force.
-   */
-  private final BitSet shownUp;
-
-  private final BitSet used;
-  private final float[] lastUsed;
-  private final int[] seen;
-  private boolean dead;
-  private boolean ready;
-  private boolean cut;
-  private boolean trying;
-  private double timerAt = Double.POSITIVE_INFINITY;
+  private final float[] lastUsedMs;
+  private boolean isKilled;
+  private boolean isPartitioned;
 
   ModelNode(
-      Fleet fleet,
-      int place,
+      FleetSimulation fleet,
+      int index,
       DiscoveryModel discovery,
       PolicySettings settings,
-      PolicyFactory maker,
+      PolicyFactory policyFactory,
       long seed) {
     this.fleet = fleet;
-    this.place = place;
+    this.index = index;
     this.discovery = discovery;
     this.settings = settings;
-    agenda = fleet.agenda();
-    tally = fleet.tally();
-    shownUp = new BitSet(discovery.size());
-    used = new BitSet(discovery.size());
-    lastUsed = new float[discovery.size()];
-    seen = new int[discovery.size()];
-    java.util.Arrays.fill(lastUsed, Float.NEGATIVE_INFINITY);
-    members = new Membership(MembershipLimits.defaults(settings.rules().warmUpMs()), SPACE);
-    long from = Tally.cpu();
-    module = maker.create(settings, seed, agenda.now(), this);
-    tally.cpuNs += Tally.cpu() - from;
-  }
-
-  /** Begins with a list that was known before, as after a deployment, or with none. */
-  void start(boolean known) {
-    if (known) {
-      WireForms.Listed list = discovery.whole();
-      long from = Tally.cpu();
-      MembershipUpdate changes = members.loadInitialList(agenda.now(), list.seq(), list.entries());
-      tally.memberNs += Tally.cpu() - from;
-      ready = true;
-      apply(changes);
+    timeline = fleet.timeline();
+    counters = fleet.counters();
+    usedServers = new BitSet(discovery.size());
+    lastUsedMs = new float[discovery.size()];
+    Arrays.fill(lastUsedMs, Float.NEGATIVE_INFINITY);
+    membership = new ModelMembership(this, fleet, discovery, settings.rules().warmUpMs());
+    long startNs = FleetCounters.threadCpuNs();
+    policy = policyFactory.create(settings, seed, timeline.nowMs(), this);
+    counters.policyCpuNs += FleetCounters.threadCpuNs() - startNs;
+  }
+
+  // ---- life cycle ----
+
+  /** Starts with the list that is known from before, as after a deployment, or without one. */
+  void start(boolean hasInitialList) {
+    if (hasInitialList) {
+      membership.loadInitialList();
     }
-    discovery.watch(this, members.resumeVersion());
+    membership.watch();
   }
 
-  /** The process is killed: nothing of it speaks any more. */
+  /** Kills the process: it receives and does nothing from now on. */
   void kill() {
-    dead = true;
-    discovery.unwatch(this);
-    for (Open o : open.values()) { // what should have been answered long ago did not die with it
-      boolean late = agenda.now() > o.deadline + settings.rules().answerGraceMs();
-      tally.unanswered += !o.over && late ? 1 : 0;
-      tally.lost += o.over || late ? 0 : 1;
+    isKilled = true;
+    membership.unwatch();
+    for (PendingRequest request : openRequests.values()) {
+      // a request whose answer was overdue counts as unanswered, not as lost with the node
+      boolean isLate = timeline.nowMs() > request.deadlineMs + settings.rules().answerGraceMs();
+      counters.unanswered += !request.isOver && isLate ? 1 : 0;
+      counters.lostWithNode += request.isOver || isLate ? 0 : 1;
     }
-    open.clear();
+    openRequests.clear();
   }
 
-  /** Neither discovery nor the counter can be reached. */
-  void cut(boolean on) {
-    cut = on;
-    if (on) {
-      discovery.unwatch(this);
+  /** Cuts the node off from discovery and counter, or connects it again. */
+  void setPartitioned(boolean partitioned) {
+    isPartitioned = partitioned;
+    if (partitioned) {
+      membership.unwatch();
     } else {
-      discovery.watch(this, members.resumeVersion());
+      membership.watch();
     }
   }
 
-  boolean ready() {
-    return ready;
+  boolean isReady() {
+    return membership.isReady();
   }
 
-  boolean dead() {
-    return dead;
+  boolean isKilled() {
+    return isKilled;
   }
 
-  BitSet used() {
-    return used;
+  BitSet usedServers() {
+    return usedServers;
   }
 
   PolicySettings settings() {
     return settings;
   }
 
-  /** Lets the cores go, so that what they held can be weighed. */
+  /** Drops the cores, so that the heap that they take can be measured. */
   void dropCores() {
-    module = null;
-    members = null;
+    policy = null;
+    membership.dropCore();
   }
 
-  /** Requests that have no answer, and servers that are shown otherwise than discovery has them. */
+  /** Counts requests without an answer, and list entries that differ from discovery's. */
   void close() {
-    for (Open o : open.values()) {
-      tally.unanswered += o.over ? 0 : 1;
-    }
-    open.clear();
-    for (int i = 0; i < discovery.size(); i++) {
-      boolean there = fleet.server(discovery.from() + i).health == AppServer.Health.ACTIVE;
-      tally.differing += there == shownUp.get(i) ? 0 : 1;
+    for (PendingRequest request : openRequests.values()) {
+      counters.unanswered += request.isOver ? 0 : 1;
     }
+    openRequests.clear();
+    membership.close();
   }
 
-  /**
-   * The thread's CPU, as a busy machine would count the waits too; not at each event, as asking is
-   * dear itself.
-   */
-  private void tell(Runnable event) {
-    if (tally.decided++ % SAMPLED != 0) {
+  // ---- events ----
+
+  /** Runs an event of the policy, and measures the thread's CPU time of some of them. */
+  private void runPolicyEvent(Runnable event) {
+    if (counters.policyEvents++ % CPU_SAMPLE_INTERVAL != 0) {
       event.run();
       return;
     }
-    long from = Tally.cpu();
+    long startNs = FleetCounters.threadCpuNs();
     event.run();
-    tally.cpuNs += SAMPLED * (Tally.cpu() - from);
-  }
-
-  private void tellServers(List<EndpointInfo> list, boolean whole) {
-    double now = agenda.now();
-    long from = Tally.cpu();
-    module.endpointsChanged(now, list, whole);
-    tally.cpuNs += Tally.cpu() - from;
-  }
-
-  // ---- from clients ----
-
-  void arrived(RequestClass type, Fleet.Tenant tenant) {
-    long id = fleet.nextId();
-    tally.arrived++;
-    double now = agenda.now();
-    open.put(id, new Open(id, tenant, now + type.deadlineMs()));
-    tell(
-        () ->
-            module.requestArrived(
-                now,
-                new IncomingRequest(
-                    id,
-                    type.name(),
-                    tenant.plan(),
-                    tenant.name(),
-                    type.deadlineMs(),
-                    1,
-                    tenant.spread(),
-                    0,
-                    false)));
-  }
-
-  // ---- from app servers ----
-
-  /** An attempt has ended, if its node still lives and nothing has ended it before. */
-  void ended(Attempt a, CallOutcome outcome) {
-    if (dead || a.ended) {
-      return;
-    }
-    a.ended = true;
-    Open o = a.request;
-    o.out--;
-    if (outcome == CallOutcome.OK && !o.over) {
-      o.over = true;
-      tally.served++;
-    }
-    double now = agenda.now();
-    fleet.passed(place, 2, o.id, outcome.ordinal());
-    tell(() -> module.attemptEnded(now, o.id, a.number, outcome, now - a.sent, o.over, 0, NO_LOAD));
-    settle(o);
-    if (outcome == CallOutcome.OK) {
-      MembershipUpdate changes = members.responded(now, "s" + a.server.index);
-      if (changes != MembershipUpdate.NONE) { // as with nearly every answer
-        apply(changes);
-      }
-    }
-  }
-
-  private void settle(Open o) {
-    if (o.over && o.out == 0) {
-      open.remove(o.id);
-    }
-  }
-
-  void unreachable(AppServer server, boolean refused) {
-    if (!dead) {
-      member(() -> members.connectFailed(agenda.now(), "s" + server.index, refused, 0));
-    }
-  }
-
-  // ---- from the counter ----
-
-  void counted(long name, CallOutcome outcome, double sent, double total) {
-    if (!dead) {
-      double now = agenda.now();
-      tell(() -> module.counterCallEnded(now, name, outcome, now - sent, total));
-    }
-  }
-
-  // ---- from discovery ----
-
-  /** A list or change has come. */
-  void listed(WireForms.Listed message) {
-    if (dead || cut) {
+    counters.policyCpuNs += CPU_SAMPLE_INTERVAL * (FleetCounters.threadCpuNs() - startNs);
+  }
+
+  void requestArrived(RequestClass requestClass, Tenant tenant) {
+    long id = fleet.nextRequestId();
+    counters.arrived++;
+    double nowMs = timeline.nowMs();
+    openRequests.put(id, new PendingRequest(id, tenant, nowMs + requestClass.deadlineMs()));
+    IncomingRequest request =
+        new IncomingRequest(
+            id,
+            requestClass.name(),
+            tenant.plan,
+            tenant.name,
+            requestClass.deadlineMs(),
+            1,
+            tenant.spread,
+            0,
+            false);
+    runPolicyEvent(() -> policy.requestArrived(nowMs, request));
+  }
+
+  /** Ignored where the node was killed or the attempt has ended before. */
+  void attemptEnded(RequestAttempt attempt, CallOutcome outcome) {
+    if (isKilled || attempt.hasEnded) {
       return;
     }
-    if (message.whole()) {
-      tally.wholeLists++;
-      tally.wholeBytes += message.bytes();
-    } else {
-      tally.changeMessages++;
-      tally.changeBytes += message.bytes();
-      tally.changes += message.entries().size();
-    }
-    if (!ready) { // what changed before it came is not late here
-      ready = true;
-      for (int i = 0; i < seen.length; i++) {
-        seen[i] = fleet.server(discovery.from() + i).changes;
-      }
+    attempt.hasEnded = true;
+    PendingRequest request = attempt.request;
+    request.inFlight--;
+    if (outcome == CallOutcome.OK && !request.isOver) {
+      request.isOver = true;
+      counters.served++;
     }
-    member(
+    double nowMs = timeline.nowMs();
+    fleet.record(index, DigestEvent.ATTEMPT_ENDED, request.id, outcome.ordinal());
+    runPolicyEvent(
         () ->
-            members.endpointsReceived(
-                agenda.now(), SPACE, message.seq(), message.whole(), message.entries()));
-    for (DiscoveredEndpoint e : message.entries()) {
-      inForce(index(e.info().id()));
+            policy.attemptEnded(
+                nowMs,
+                request.id,
+                attempt.number,
+                outcome,
+                nowMs - attempt.sentMs,
+                request.isOver,
+                0,
+                NO_LOAD));
+    removeIfDone(request);
+    if (outcome == CallOutcome.OK) {
+      membership.responded(attempt.server);
     }
   }
 
-  /** Nothing has changed. */
-  void heard() {
-    if (!dead && !cut) {
-      tally.beatBytes += Assumed.BEAT_BYTES;
-      member(() -> members.sourceConfirmed(agenda.now(), SPACE));
+  private void removeIfDone(PendingRequest request) {
+    if (request.isOver && request.inFlight == 0) {
+      openRequests.remove(request.id);
     }
   }
 
-  private void member(java.util.function.Supplier<MembershipUpdate> event) {
-    long from = Tally.cpu();
-    MembershipUpdate changes = event.get();
-    tally.memberNs += Tally.cpu() - from;
-    apply(changes);
-  }
-
-  private static int index(String id) {
-    return Integer.parseInt(id, 1, id.length(), 10);
-  }
-
-  private void apply(MembershipUpdate changes) {
-    if (!changes.endpoints().isEmpty()) {
-      List<EndpointInfo> list = new ArrayList<>(changes.endpoints().size());
-      for (DiscoveredEndpoint e : changes.endpoints()) {
-        list.add(e.info());
-        int index = index(e.info().id());
-        shownUp.set(index - discovery.from(), e.info().state() == EndpointState.UP);
-        inForce(index);
-      }
-      tellServers(list, changes.isComplete());
-    }
-    if (changes.mustResync()) {
-      discovery.askAnew(this);
+  void connectFailed(AppServerModel server, boolean isRefused) {
+    if (!isKilled) {
+      membership.connectFailed(server, isRefused);
     }
-    tryOut();
-    arm();
   }
 
-  /** Whether the last change of a server is in force here, and how long that took. */
-  private void inForce(int index) {
-    AppServer s = fleet.server(index);
-    int at = index - discovery.from();
-    if (s.changes > seen[at] && shownUp.get(at) == (s.health == AppServer.Health.ACTIVE)) {
-      seen[at] = s.changes;
-      if (s.changedAt > 0) {
-        tally.applied.recordValue(Math.max(0, Math.round((agenda.now() - s.changedAt) * 1000)));
-      }
+  void counterCallEnded(long name, CallOutcome outcome, double sentMs, double total) {
+    if (!isKilled) {
+      double nowMs = timeline.nowMs();
+      runPolicyEvent(() -> policy.counterCallEnded(nowMs, name, outcome, nowMs - sentMs, total));
     }
   }
 
-  private void tryOut() {
-    if (trying || members.endpointsToProbe().isEmpty()) {
-      return;
+  void listReceived(WireFormats.ListMessage message) {
+    if (!isKilled && !isPartitioned) {
+      membership.listReceived(message);
     }
-    trying = true;
-    agenda.after(
-        TRY,
-        () -> {
-          trying = false;
-          if (dead) {
-            return;
-          }
-          Collection<String> all = new ArrayList<>(members.endpointsToProbe());
-          tally.tries += all.size();
-          for (String id : all) {
-            AppServer s = fleet.server(index(id));
-            agenda.after(
-                s.up ? 2 * Assumed.WAY : s.silent ? Assumed.CONNECT : 2 * Assumed.WAY,
-                () -> tried(s));
-          }
-          tryOut();
-        });
   }
 
-  private void tried(AppServer s) {
-    if (!dead) {
-      if (s.up) {
-        member(() -> members.connected(agenda.now(), "s" + s.index));
-      } else {
-        member(() -> members.connectFailed(agenda.now(), "s" + s.index, !s.silent, 0));
-      }
+  void heartbeatReceived() {
+    if (!isKilled && !isPartitioned) {
+      membership.heartbeatReceived();
     }
   }
 
-  /** One timer for what time alone changes. */
-  private void arm() {
-    double at = members.nextTickMs();
-    if (at >= timerAt || at == Double.POSITIVE_INFINITY) {
-      return;
-    }
-    timerAt = at;
-    agenda.at(
-        Math.max(agenda.now() + 1, at),
-        () -> {
-          if (!dead && timerAt == at) {
-            timerAt = Double.POSITIVE_INFINITY;
-            member(() -> members.tick(agenda.now()));
-          }
-        });
+  /** The membership core has changed the endpoints of the policy. */
+  void endpointsChanged(List<EndpointInfo> endpoints, boolean isComplete) {
+    double nowMs = timeline.nowMs();
+    long startNs = FleetCounters.threadCpuNs();
+    policy.endpointsChanged(nowMs, endpoints, isComplete);
+    counters.policyCpuNs += FleetCounters.threadCpuNs() - startNs;
   }
 
-  // ---- actions of the module ----
+  // ---- actions of the policy ----
 
   @Override
-  public void send(long id, String server, double until) {
-    int index = index(server);
-    int at = index - discovery.from();
-    tally.sends++;
-    fleet.passed(place, 1, id, index);
-    boolean known = at >= 0 && at < discovery.size();
-    tally.sendsToDown += known && shownUp.get(at) ? 0 : 1;
-    Open o = open.get(id);
-    if (o == null || o.over || !known) {
-      tally.sendsAfterEnd += known ? 1 : 0;
+  public void send(long id, String endpointId, double untilMs) {
+    int serverIndex = ModelMembership.serverIndex(endpointId);
+    int position = serverIndex - discovery.firstServer();
+    counters.sends++;
+    fleet.record(index, DigestEvent.SENT, id, serverIndex);
+    boolean isListed = position >= 0 && position < discovery.size();
+    counters.sendsToDown += isListed && membership.isShownUp(position) ? 0 : 1;
+    PendingRequest request = openRequests.get(id);
+    if (request == null || request.isOver || !isListed) {
+      counters.sendsAfterEnd += isListed ? 1 : 0;
       return;
     }
-    double now = agenda.now();
-    tally.connects += now - lastUsed[at] > Assumed.KEEP_ALIVE ? 1 : 0;
-    lastUsed[at] = (float) now;
-    used.set(at);
-    Attempt a = new Attempt(o, fleet.server(index), now);
-    if (o.attempts.isEmpty()) {
-      fleet.sentUnit(o.tenant);
+    double nowMs = timeline.nowMs();
+    counters.connects += nowMs - lastUsedMs[position] > Assumptions.KEEP_ALIVE_MS ? 1 : 0;
+    lastUsedMs[position] = (float) nowMs;
+    usedServers.set(position);
+    RequestAttempt attempt =
+        new RequestAttempt(request, fleet.servers().server(serverIndex), nowMs);
+    if (request.attempts.isEmpty()) {
+      fleet.unitForwarded(request.tenant);
     }
-    o.attempts.add(a);
-    o.out++;
-    if (now >= o.deadline || a.number >= settings.capabilities().maxAttempts()) {
-      agenda.after(0, () -> ended(a, CallOutcome.NOT_SENT));
+    request.attempts.add(attempt);
+    request.inFlight++;
+    if (nowMs >= request.deadlineMs || attempt.number >= settings.capabilities().maxAttempts()) {
+      timeline.scheduleAfter(0, () -> attemptEnded(attempt, CallOutcome.NOT_SENT));
       return;
     }
-    fleet.serve(this, a);
+    fleet.servers().forward(this, attempt);
   }
 
   @Override
-  public void cancel(long id, int attempt) {
-    Open o = open.get(id);
-    if (o != null && attempt >= 0 && attempt < o.attempts.size()) {
-      Attempt a = o.attempts.get(attempt);
-      agenda.after(0, () -> ended(a, CallOutcome.CANCELLED));
+  public void cancel(long id, int number) {
+    PendingRequest request = openRequests.get(id);
+    if (request != null && number >= 0 && number < request.attempts.size()) {
+      RequestAttempt attempt = request.attempts.get(number);
+      timeline.scheduleAfter(0, () -> attemptEnded(attempt, CallOutcome.CANCELLED));
     }
   }
 
   @Override
-  public void reject(long id, double retryAfter) {
-    tally.refused += answered(id, 3) ? 1 : 0;
+  public void reject(long id, double retryAfterMs) {
+    counters.rejected += finish(id, DigestEvent.REJECTED) ? 1 : 0;
   }
 
   @Override
   public void fail(long id) {
-    tally.failed += answered(id, 4) ? 1 : 0;
+    counters.failed += finish(id, DigestEvent.FAILED) ? 1 : 0;
   }
 
-  private boolean answered(long id, int how) {
-    Open o = open.get(id);
-    if (o == null || o.over) {
-      tally.second++;
+  /** Ends a request by an answer of the node's own; false where it was over. */
+  private boolean finish(long id, DigestEvent event) {
+    PendingRequest request = openRequests.get(id);
+    if (request == null || request.isOver) {
+      counters.answeredAgain++;
       return false;
     }
-    fleet.passed(place, how, id, 0);
-    o.over = true;
-    if (o.out == 0) {
-      agenda.after(0, () -> settle(o)); // the module is within its own event
+    fleet.record(index, event, id, 0);
+    request.isOver = true;
+    if (request.inFlight == 0) {
+      timeline.scheduleAfter(0, () -> removeIfDone(request)); // the policy is within an event
     }
     return true;
   }
 
   @Override
-  public void setTimer(double delay, long token) {
-    double due = agenda.now() + delay;
-    agenda.at(
-        due,
-        () -> {
-          if (!dead) {
-            tell(() -> module.timerFired(Math.max(agenda.now(), due), token));
-          }
-        });
+  public void setTimer(double delayMs, long token) {
+    double dueMs = timeline.nowMs() + delayMs;
+    timeline.scheduleAt(dueMs, () -> timerFired(dueMs, token));
+  }
+
+  private void timerFired(double dueMs, long token) {
+    if (!isKilled) {
+      runPolicyEvent(() -> policy.timerFired(Math.max(timeline.nowMs(), dueMs), token));
+    }
   }
 
   @Override
-  public void checkHealth(String server) {
-    double now = agenda.now();
-    agenda.after(
-        2 * Assumed.WAY,
-        () -> {
-          if (!dead) {
-            tell(
-                () ->
-                    module.healthCheckEnded(
-                        agenda.now(), server, CallOutcome.OK, agenda.now() - now, NO_LOAD));
-          }
-        });
+  public void checkHealth(String endpointId) {
+    double sentMs = timeline.nowMs();
+    timeline.scheduleAfter(
+        2 * Assumptions.ONE_WAY_LATENCY_MS, () -> healthCheckEnded(endpointId, sentMs));
+  }
+
+  private void healthCheckEnded(String endpointId, double sentMs) {
+    if (!isKilled) {
+      double nowMs = timeline.nowMs();
+      runPolicyEvent(
+          () ->
+              policy.healthCheckEnded(nowMs, endpointId, CallOutcome.OK, nowMs - sentMs, NO_LOAD));
+    }
   }
 
   @Override
-  public void addToCounter(long name, double amount, double keepFor) {
-    fleet.passed(place, 5, name, Double.doubleToLongBits(amount));
-    fleet.counter().add(this, name, amount, keepFor, cut);
+  public void addToCounter(long name, double amount, double ttlMs) {
+    fleet.record(index, DigestEvent.COUNTER_ADD, name, Double.doubleToLongBits(amount));
+    fleet.counter().add(this, name, amount, ttlMs, isPartitioned);
   }
 
-  /** The watch stands or is being renewed all the time. */
+  /** Does nothing: the subscription is renewed all the time. */
   @Override
   public void subscribe() {}
 }
--- a/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
+++ b/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
@@ -14,18 +14,18 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code scale}: a fleet of hollow edge nodes in virtual time, judged by what it counts. */
+/** The command {@code simulate-fleet}: runs fleets of model nodes and checks their counts. */
 @Command(
     name = "simulate-fleet",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description = {
-      "Runs a fleet of edge nodes without sockets, their own cores on virtual time among thin models of",
-      "app servers, counter, discovery and clients, and judges counts, bounds and growth. Large fleets are sampled.",
+      "Runs the decision and membership code of many edge nodes in virtual time, without sockets, with models of",
+      "app servers, counter, discovery and clients; checks counts, bounds and growth. Large fleets are sampled.",
       "The same shape, seed and build give the same digest. Exit code: 0 held, 1 broken, 2 wrong input."
     })
 public final class SimulateFleetCommand implements Callable<Integer> {
-  private static final int BAR = 30;
+  private static final int PROGRESS_BAR_WIDTH = 30;
 
   @Spec private CommandSpec spec;
 
@@ -35,14 +35,14 @@
       split = ",",
       defaultValue = "50",
       description =
-          "the fleet of 5,500 nodes and 190,000 servers divided by D, 1 to 1000, a run each; three or more"
-              + " are judged by growth too; default ${DEFAULT-VALUE}")
+          "the fleet of 5,500 nodes and 190,000 servers divided by D, 1 to 1000, a run each; growth is"
+              + " checked where there are three or more; default ${DEFAULT-VALUE}")
   private List<Integer> sizes;
 
   @Option(
       names = "--nodes",
       paramLabel = "N",
-      description = "edge nodes, 1 to 10,000, in place of the size's")
+      description = "edge nodes, 1 to 10,000, in place of those of --size")
   private Integer nodes;
 
   @Option(names = "--servers", paramLabel = "N", description = "app servers, 1 to 500,000")
@@ -65,8 +65,8 @@
       paramLabel = "T",
       defaultValue = "1",
       description =
-          "divides the rate, 1 to 1000, where a request costs much; default ${DEFAULT-VALUE}")
-  private double thin;
+          "divides the request rate, 1 to 1000, for a shorter run; default ${DEFAULT-VALUE}")
+  private double rateDivisor;
 
   @Option(
       names = "--seconds",
@@ -80,16 +80,15 @@
       paramLabel = "H",
       defaultValue = "1",
       description =
-          "hours of the day's ordinary churn put into these seconds, 0 to 24; default ${DEFAULT-VALUE}")
+          "hours of ordinary churn compressed into these seconds, 0 to 24; default ${DEFAULT-VALUE}")
   private double hours;
 
   @Option(
       names = "--detail",
       paramLabel = "K",
       description =
-          "nodes that are run; default 110, or with --flat what"
-              + " 400,000 entries of lists allow")
-  private Integer detail;
+          "nodes that run; default 110, or with --flat what" + " 400,000 entries of lists allow")
+  private Integer modelledNodes;
 
   @Option(
       names = "--flat",
@@ -98,31 +97,32 @@
 
   @Option(
       names = "--calm",
-      description = "no incidents: no rack, zone, region or list is lost, nothing restarts")
+      description =
+          "no incidents: no failures of racks or zones, no wrong lists, partitions or fleet restart")
   private boolean calm;
 
   @Option(
       names = "--seed",
       paramLabel = "N",
-      description = "the draw; default ${DEFAULT-VALUE}",
+      description = "seed of all random draws; default ${DEFAULT-VALUE}",
       defaultValue = "1")
   private long seed;
 
   @Option(names = "--report", paramLabel = "DIR", description = "writes scale.json there")
-  private Path report;
+  private Path reportFolder;
 
   private final PrintStream out = System.out;
 
   @Override
   public Integer call() {
-    List<Shape> shapes = new ArrayList<>();
+    List<FleetShape> shapes = new ArrayList<>();
     for (int size : sizes) {
       shapes.add(shape(size));
     }
     try {
-      if (report != null) { // before anything is run: a run is not thrown away at its end
-        Files.createDirectories(report);
-        Files.delete(Files.createTempFile(report, "scale", ".tmp"));
+      if (reportFolder != null) { // fails before the runs, not after them
+        Files.createDirectories(reportFolder);
+        Files.delete(Files.createTempFile(reportFolder, "scale", ".tmp"));
       }
       return run(shapes);
     } catch (IOException e) {
@@ -131,17 +131,11 @@
     }
   }
 
-  private double check(String option, double value, double least, double most) {
-    if (!(value >= least && value <= most)) {
+  private double requireInRange(String option, double value, double min, double max) {
+    if (!(value >= min && value <= max)) {
       throw new ParameterException(
           spec.commandLine(),
-          option
-              + ": found "
-              + plain(value)
-              + ", allowed is "
-              + plain(least)
-              + " to "
-              + plain(most));
+          option + ": found " + plain(value) + ", allowed is " + plain(min) + " to " + plain(max));
     }
     return value;
   }
@@ -152,58 +146,88 @@
         : Double.toString(value);
   }
 
-  private Shape shape(int size) {
-    check("--size", size, 1, 1000);
-    check("--seconds", seconds, 5, 3600);
-    check("--hours", hours, 0, 24);
-    Shape t = Shape.target(size, seconds, flat, seed);
-    int n = nodes == null ? t.nodes() : (int) check("--nodes", nodes, 1, 10_000);
-    int s = servers == null ? t.servers() : (int) check("--servers", servers, 1, 500_000);
-    int of =
-        services == null ? Math.min(t.services(), s) : (int) check("--services", services, 1, s);
-    int c = tenants == null ? t.tenants() : (int) check("--tenants", tenants, 1, 10_000_000);
-    double r = rate == null ? t.rate() : check("--rate", rate, 0.001, 1e8);
-    r /= check("--thin", thin, 1, 1000);
-    int k = detail == null ? Shape.usualDetail(n, s, flat) : (int) check("--detail", detail, 1, n);
-    return new Shape(n, s, of, c, r, seconds, hours, k, flat, !calm, seed);
+  private FleetShape shape(int divisor) {
+    requireInRange("--size", divisor, 1, 1000);
+    requireInRange("--seconds", seconds, 5, 3600);
+    requireInRange("--hours", hours, 0, 24);
+    FleetShape target = FleetShape.target(divisor, seconds, flat, seed);
+    int nodeCount =
+        nodes == null ? target.nodes() : (int) requireInRange("--nodes", nodes, 1, 10_000);
+    int serverCount =
+        servers == null ? target.servers() : (int) requireInRange("--servers", servers, 1, 500_000);
+    int serviceCount =
+        services == null
+            ? Math.min(target.services(), serverCount)
+            : (int) requireInRange("--services", services, 1, serverCount);
+    int tenantCount =
+        tenants == null
+            ? target.tenants()
+            : (int) requireInRange("--tenants", tenants, 1, 10_000_000);
+    double requestsPerSecond =
+        rate == null ? target.requestsPerSecond() : requireInRange("--rate", rate, 0.001, 1e8);
+    requestsPerSecond /= requireInRange("--thin", rateDivisor, 1, 1000);
+    int nodesToRun =
+        modelledNodes == null
+            ? FleetShape.defaultModelledNodes(nodeCount, serverCount, flat)
+            : (int) requireInRange("--detail", modelledNodes, 1, nodeCount);
+    return new FleetShape(
+        nodeCount,
+        serverCount,
+        serviceCount,
+        tenantCount,
+        requestsPerSecond,
+        seconds,
+        hours,
+        nodesToRun,
+        flat,
+        !calm,
+        seed);
   }
 
-  private int run(List<Shape> shapes) throws IOException {
+  private int run(List<FleetShape> shapes) throws IOException {
     out.println("assumed, by no run:");
-    Assumed.lines().forEach(line -> out.println("  " + line));
+    Assumptions.describe().forEach(line -> out.println("  " + line));
     List<FleetVerdicts.Run> runs = new ArrayList<>();
-    boolean broken = false;
-    for (Shape shape : shapes) {
-      long from = System.nanoTime();
-      Tally tally = new Fleet(shape, PolicyEngine::new).run(SimulateFleetCommand::progress, true);
+    boolean isBroken = false;
+    for (FleetShape shape : shapes) {
+      long startNs = System.nanoTime();
+      FleetCounters counters =
+          new FleetSimulation(shape, PolicyEngine::new).run(SimulateFleetCommand::progress, true);
       System.err.println();
-      FleetVerdicts.Run run = new FleetVerdicts.Run(shape, tally, (System.nanoTime() - from) / 1e6);
+      FleetVerdicts.Run run =
+          new FleetVerdicts.Run(shape, counters, (System.nanoTime() - startNs) / 1e6);
       runs.add(run);
       out.println();
       out.print(FleetReport.text(run));
-      broken |= told(FleetVerdicts.of(run));
+      isBroken |= printVerdicts(FleetVerdicts.evaluate(run));
     }
-    List<FleetVerdicts.Verdict> slopes = runs.size() < 3 ? List.of() : FleetVerdicts.slopes(runs);
-    if (!slopes.isEmpty()) {
+    List<FleetVerdicts.Verdict> growth =
+        runs.size() < 3 ? List.of() : FleetVerdicts.evaluateGrowth(runs);
+    if (!growth.isEmpty()) {
       out.println();
-      broken |= told(slopes);
+      isBroken |= printVerdicts(growth);
     }
-    if (report != null) {
-      FleetReport.write(report, runs, slopes);
-      out.println("report " + report.resolve("scale.json"));
+    if (reportFolder != null) {
+      FleetReport.write(reportFolder, runs, growth);
+      out.println("report " + reportFolder.resolve("scale.json"));
     }
-    return broken ? 1 : 0;
+    return isBroken ? 1 : 0;
   }
 
-  private boolean told(List<FleetVerdicts.Verdict> verdicts) {
-    verdicts.forEach(v -> out.println("  " + v));
-    return verdicts.stream().anyMatch(v -> v.word() == FleetVerdicts.Word.BROKEN);
+  private boolean printVerdicts(List<FleetVerdicts.Verdict> verdicts) {
+    verdicts.forEach(verdict -> out.println("  " + verdict));
+    return verdicts.stream().anyMatch(verdict -> verdict.outcome() == FleetVerdicts.Outcome.BROKEN);
   }
 
   private static void progress(double share) {
-    int full = (int) (BAR * share);
+    int full = (int) (PROGRESS_BAR_WIDTH * share);
     System.err.print(
-        "\r[" + "#".repeat(full) + " ".repeat(BAR - full) + "] " + Math.round(100 * share) + "%");
+        "\r["
+            + "#".repeat(full)
+            + " ".repeat(PROGRESS_BAR_WIDTH - full)
+            + "] "
+            + Math.round(100 * share)
+            + "%");
     System.err.flush();
   }
 }
--- a/src/test/java/edgenode/node/FileDescriptorLimitTest.java
+++ b/src/test/java/edgenode/node/FileDescriptorLimitTest.java
@@ -221,7 +221,7 @@
 
   /** The node has asked for the list, and forwards requests to the endpoint on it. */
   private void expectAnswers(DiscoveryAgentEmulator discovery) throws Exception {
-    DiscoveryFixture.await("the list is asked for" + log, () -> discovery.requests() > 0);
+    DiscoveryFixture.await("the list is asked for" + log, () -> discovery.requestCount() > 0);
     for (int i = 0; i < ANSWERED_REQUESTS; i++) {
       assertEquals("ok", sendUntilAnswered());
     }
