--- a/src/main/java/edgenode/policy/CounterCallBudget.java
+++ b/src/main/java/edgenode/policy/CounterCallBudget.java
@@ -45,7 +45,7 @@
   private final PolicyActions actions;
   private final double timeoutMs;
   private final double minCallsPerTick;
-  private final Map<Long, ArrayDeque<CounterCall>> inFlightByName = new HashMap<>();
+  private final Map<Long, ArrayDeque<OpenCounterCall>> inFlightByName = new HashMap<>();
 
   private double callsPerTick;
   private double tokens;
@@ -99,12 +99,12 @@
    */
   void call(Customer customer, long name, double amount, CounterCallKind kind) {
     tokens--;
-    ArrayDeque<CounterCall> calls = inFlightByName.get(name);
+    ArrayDeque<OpenCounterCall> calls = inFlightByName.get(name);
     if (calls == null) {
       calls = new ArrayDeque<>();
       inFlightByName.put(name, calls);
     }
-    calls.add(new CounterCall(customer, kind, amount));
+    calls.add(new OpenCounterCall(customer, kind, amount));
     actions.addToCounter(name, amount, kind.keepForMs);
   }
 
@@ -113,12 +113,12 @@
    *
    * @return the call, null where none of this name is in flight
    */
-  CounterCall callEnded(long name, CallOutcome outcome, double tookMs) {
-    ArrayDeque<CounterCall> calls = inFlightByName.get(name);
+  OpenCounterCall callEnded(long name, CallOutcome outcome, double tookMs) {
+    ArrayDeque<OpenCounterCall> calls = inFlightByName.get(name);
     if (calls == null) {
       return null;
     }
-    CounterCall call = outcome == CallOutcome.OVERDUE ? calls.peek() : calls.poll();
+    OpenCounterCall call = outcome == CallOutcome.OVERDUE ? calls.peek() : calls.poll();
     if (calls.isEmpty()) {
       inFlightByName.remove(name);
     }
--- a/src/main/java/edgenode/policy/Customer.java
+++ b/src/main/java/edgenode/policy/Customer.java
@@ -9,7 +9,9 @@
 /**
  * What this node knows of one customer: its queue and its spending. The customer's bucket is the
  * token bucket that its plan describes; the counter has the running total of what all nodes took
- * out of it. Each rule owns the fields of its section.
+ * out of it. Fields are grouped by the rule that they serve. {@code isCallInFlight}, {@code
+ * isCallUnanswered}, {@code nextCallAtMs} and {@code grantShare} are shared by QuotaReservations
+ * and OpenRequestCap: one counter call at a time for a customer.
  */
 final class Customer {
   /** Hardly any traffic: less than one unit in ten ticks. */
@@ -24,7 +26,10 @@
   /** No other node spends this quota, or there is no counter to share it by. */
   final boolean isUnshared;
 
-  /** Less than half a unit of the bucket for each node: what one adds too much is soon made up. */
+  /**
+   * The burst is less than half a unit for each node that shares it: adding every unit to the
+   * counter would cost too many calls, so a sample is added (UsageEstimator.reportFactor).
+   */
   final boolean isUnderSampled;
 
   private final long counterKey;
--- a/src/main/java/edgenode/policy/CustomerTable.java
+++ b/src/main/java/edgenode/policy/CustomerTable.java
@@ -27,7 +27,11 @@
     return plans.get(planName);
   }
 
-  /** The customer of a request, with the plan of its first request. */
+  /**
+   * The customer of a request, with the plan of its first request: a customer whose plan changes
+   * keeps its former plan until {@link #forgetIdle} has forgotten it, after 30 s without requests
+   * at the earliest.
+   */
   Customer findOrAdd(IncomingRequest request, QuotaPlan plan, double usualGrantShare) {
     double nowMs = timers.nowMs();
     Customer customer = byName.get(request.customerName());
--- a/src/main/java/edgenode/policy/Endpoint.java
+++ b/src/main/java/edgenode/policy/Endpoint.java
@@ -4,10 +4,13 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 
-/** What this node knows of one endpoint. Each rule owns the fields of its section. */
+/**
+ * What this node knows of one endpoint. Fields are grouped by the rule that they serve; {@code
+ * inFlight} is kept by RequestLifecycle, and OutcomeRecorder sets {@code wasUnreachable}.
+ */
 final class Endpoint {
-  /** A time that is never reached, and a past that never was. */
-  static final double NEVER_MS = Double.NEGATIVE_INFINITY;
+  /** Before all times (ms): it has not happened. */
+  static final double NEVER_HAPPENED_MS = Double.NEGATIVE_INFINITY;
 
   final String id;
 
@@ -17,7 +20,7 @@
   /** Attempts in flight, the oldest first. */
   final LinkedHashSet<Attempt> inFlight = new LinkedHashSet<>();
 
-  // ---- membership (EndpointTable) ----
+  // ---- membership (KnownEndpoints) ----
 
   /** May get requests by the list: up, and in this node's subset. */
   boolean isListed = true;
@@ -34,7 +37,7 @@
   final Map<RequestClassStats, FailureShare> failureShares = new HashMap<>();
 
   /** Until then the endpoint keeps an idle connection of ours open. */
-  double connectedUntilMs = NEVER_MS;
+  double connectedUntilMs = NEVER_HAPPENED_MS;
 
   // ---- concurrency limit (ConcurrencyLimiter) ----
 
@@ -61,7 +64,7 @@
 
   // ---- slow start (SlowStart) ----
 
-  double warmUpStartMs = NEVER_MS;
+  double warmUpStartMs = NEVER_HAPPENED_MS;
 
   /** Attempts that it may get now, while it is warming up. */
   double slowStartTokens;
@@ -76,7 +79,10 @@
     return nowMs < ejectedUntilMs;
   }
 
-  /** A restarted process has none of the faults of the former one. */
+  /**
+   * A restarted process has none of the faults of the former one. One that was on trial stays so:
+   * one fault ejects it again until it has answered.
+   */
   void forgetFaults() {
     faultScore = 0;
     ejectedUntilMs = 0;
--- a/src/main/java/edgenode/policy/EndpointInfo.java
+++ b/src/main/java/edgenode/policy/EndpointInfo.java
@@ -8,8 +8,9 @@
  * @param zone the zone
  * @param state whether it may get requests
  * @param kind the kind of machine
- * @param startedAtMs when it started, 0 where that was long ago
- * @param weight its part of the load
+ * @param startedAtMs when it started (ms on the clock of {@link PolicyEvents}), 0 where that was
+ *     long ago
+ * @param weight its part of the load. Not used: the load balancer ignores weights
  */
 public record EndpointInfo(
     String id,
--- a/src/main/java/edgenode/policy/EndpointScore.java
+++ b/src/main/java/edgenode/policy/EndpointScore.java
@@ -12,10 +12,16 @@
   private static final double FAILURE_HALF_LIFE_MS = 4 * SLOWDOWN_HALF_LIFE_MS;
   private static final double MAX_SLOWDOWN_SAMPLE = 30;
 
-  /** An idle connection is let go after this part of the endpoint's time, or both might cross. */
+  /**
+   * An idle connection is closed after this part of the endpoint's keep-alive, so that a request
+   * does not meet the endpoint's close on the way.
+   */
   private static final double KEEP_ALIVE_SHARE = 0.4;
 
-  /** A handshake counts as half a request in flight: a hundred nodes would connect to all. */
+  /**
+   * Cost factor of an endpoint to which no connection is open. Without it each node would open
+   * connections to all endpoints.
+   */
   private static final double HANDSHAKE_FACTOR = 1.5;
 
   private final PolicyTimers timers;
@@ -29,8 +35,9 @@
   }
 
   /**
-   * The cost of one more attempt: (attempts in flight + 1) times the slowdown, and a handshake. The
-   * lower, the better. A cold endpoint pays no handshake: its budget is to be spent.
+   * The cost of one more attempt: (attempts in flight + 1) times the slowdown, times the factor of
+   * a handshake where one is needed. The lower, the better. An endpoint that warms up is not
+   * charged for a handshake: slow start limits it already.
    */
   double cost(Endpoint endpoint) {
     double cost = (endpoint.inFlight.size() + 1) * slowdown(endpoint);
@@ -87,7 +94,7 @@
     endpoint.connectedUntilMs =
         isOk || outcome == CallOutcome.ERROR
             ? nowMs + KEEP_ALIVE_SHARE * keepAliveMs
-            : Endpoint.NEVER_MS;
+            : Endpoint.NEVER_HAPPENED_MS;
     if (outcome != CallOutcome.CANCELLED && outcome != CallOutcome.NOT_SENT) {
       double share = (failureShare(endpoint, classStats) + (isOk ? 0 : 1)) / 2;
       endpoint.failureShares.put(classStats, new FailureShare(share, nowMs));
--- a/src/main/java/edgenode/policy/EndpointTable.java
+++ b/src/main/java/edgenode/policy/KnownEndpoints.java
@@ -17,17 +17,23 @@
  *
  * <p>Inputs: the endpoint list; ejections and warm-up, by which a part of the subset is of no use.
  */
-final class EndpointTable {
+final class KnownEndpoints {
   /** The subset doubles where less than this part of its even size can be used. */
   private static final double WIDEN_BELOW_SHARE = 5.0 / 8;
 
   /** The subset narrows where more than this part of its even size can be used. */
   private static final double NARROW_ABOVE_SHARE = 7.0 / 8;
 
-  /** Widest where endpoints cannot be used: more of them would not help. */
+  /**
+   * Greatest width factor (times the even size) while too many endpoints are ejected, draining or
+   * warming up.
+   */
   private static final double MAX_WIDTH_UNUSABLE = 16;
 
-  /** Widest where all endpoints are full. */
+  /**
+   * Greatest width factor (times the even size) while all endpoints are at their concurrency
+   * limits.
+   */
   private static final double MAX_WIDTH_FULL = 4;
 
   /** A widened subset halves in 11 s of ticks: longer than most faults that widen one. */
@@ -51,7 +57,7 @@
   private double width = 1;
   private boolean hadNoCapacity;
 
-  EndpointTable(
+  KnownEndpoints(
       PolicySettings settings, PolicyTimers timers, SlowStart slowStart, int minSubsetSize) {
     this.timers = timers;
     this.slowStart = slowStart;
--- a/src/main/java/edgenode/policy/LoadBalancer.java
+++ b/src/main/java/edgenode/policy/LoadBalancer.java
@@ -6,8 +6,9 @@
 import java.util.Random;
 
 /**
- * Which endpoint gets an attempt: of those that may get it, the one with the lowest cost, by a
- * random tenth and more where it fails the class or has been tried.
+ * Which endpoint gets an attempt: of those that may get it, the one with the lowest cost. The cost
+ * ({@link EndpointScore}) is multiplied by a random factor of 1 to 1.1, by up to 9 where the
+ * endpoint fails this class and by 8 where this request has tried it.
  *
  * <p>Inputs: the rules that say whether an endpoint may get a request (list, ejection, idempotency
  * group, slow start, concurrency limit) and {@link EndpointScore}. In a large subset some endpoints
@@ -32,7 +33,7 @@
 
   private final PolicyTimers timers;
   private final Random random;
-  private final EndpointTable endpoints;
+  private final KnownEndpoints endpoints;
   private final SlowStart slowStart;
   private final ConcurrencyLimiter limiter;
   private final EndpointScore score;
@@ -42,7 +43,7 @@
   LoadBalancer(
       PolicyTimers timers,
       Random random,
-      EndpointTable endpoints,
+      KnownEndpoints endpoints,
       SlowStart slowStart,
       ConcurrencyLimiter limiter,
       EndpointScore score) {
--- a/src/main/java/edgenode/policy/CounterCall.java
+++ b/src/main/java/edgenode/policy/OpenCounterCall.java
@@ -5,4 +5,4 @@
  *
  * @param amount what was added, below 0 where it is taken off
  */
-record CounterCall(Customer customer, CounterCallKind kind, double amount) {}
+record OpenCounterCall(Customer customer, CounterCallKind kind, double amount) {}
--- a/src/main/java/edgenode/policy/OutlierDetector.java
+++ b/src/main/java/edgenode/policy/OutlierDetector.java
@@ -27,9 +27,9 @@
   private static final int MAX_DOUBLINGS = 4;
 
   private final PolicyTimers timers;
-  private final EndpointTable endpoints;
+  private final KnownEndpoints endpoints;
 
-  OutlierDetector(PolicyTimers timers, EndpointTable endpoints) {
+  OutlierDetector(PolicyTimers timers, KnownEndpoints endpoints) {
     this.timers = timers;
     this.endpoints = endpoints;
   }
--- a/src/main/java/edgenode/policy/Pacer.java
+++ b/src/main/java/edgenode/policy/Pacer.java
@@ -9,7 +9,7 @@
  * the node back. While answers are in time there is no pace at all.
  */
 final class Pacer {
-  /** No pace: what comes at once goes at once. */
+  /** No limit. */
   private static final double UNPACED = Double.POSITIVE_INFINITY;
 
   /**
@@ -40,9 +40,6 @@
   /** At a start each endpoint gets two attempts from all nodes together in its mean time. */
   private static final double INITIAL_ATTEMPTS_PER_ENDPOINT = 2;
 
-  /** Until an answer is seen, an endpoint is taken to need this part of the mean objective. */
-  private static final double INITIAL_MEAN_DIVISOR = 8;
-
   private final PolicyTimers timers;
   private final double tickMs;
   private final int nodeCount;
@@ -71,7 +68,9 @@
     ratePerSecond =
         Math.max(
             ratePerSecond,
-            fleetRatePerSecond / nodeCount / (meanObjectiveMs / INITIAL_MEAN_DIVISOR));
+            fleetRatePerSecond
+                / nodeCount
+                / (meanObjectiveMs / RequestClassStats.INITIAL_MEAN_DIVISOR));
     tokens = maxTokens();
   }
 
@@ -89,7 +88,7 @@
     arrivalsInTick = 0;
   }
 
-  boolean isOverloaded() {
+  boolean areEndpointsOverloaded() {
     return ratePerSecond < OVERLOADED_ARRIVAL_SHARE * arrivalsPerSecond;
   }
 
--- a/src/main/java/edgenode/policy/PolicyActions.java
+++ b/src/main/java/edgenode/policy/PolicyActions.java
@@ -9,7 +9,8 @@
    * Sends an attempt. Its end is one {@link PolicyEvents#attemptEnded}; attempts of a request count
    * from 0.
    *
-   * @param untilMs 0 where the attempt has no time limit of its own
+   * @param untilMs time limit of the attempt, always 0: none of its own. Not used by this engine;
+   *     part of the simulator's protocol.
    */
   void send(long requestId, String endpointId, double untilMs);
 
@@ -17,7 +18,8 @@
   void cancel(long requestId, int attempt);
 
   /**
-   * Answers that the request was rejected; nothing of it ran, or it may be sent again.
+   * Rejects the request: a final answer after which the client may safely send the request again.
+   * Nothing ran, or repeating it does no harm.
    *
    * @param retryAfterMs when the client may come back, 0 to say nothing of it
    */
@@ -32,7 +34,10 @@
    */
   void setTimer(double delayMs, long token);
 
-  /** Checks the health of an endpoint. It ends in one {@link PolicyEvents#healthCheckEnded}. */
+  /**
+   * Checks the health of an endpoint. It ends in one {@link PolicyEvents#healthCheckEnded}. Not
+   * used by this engine; part of the simulator's protocol.
+   */
   void checkHealth(String endpointId);
 
   /**
--- a/src/main/java/edgenode/policy/PolicyEngine.java
+++ b/src/main/java/edgenode/policy/PolicyEngine.java
@@ -13,7 +13,7 @@
   /** Endpoints that are listed within so many ticks after a start raise the initial pace. */
   private static final int START_TICKS = 4;
 
-  /** Idle customers are forgotten each so many ticks. */
+  /** Quota ticks between two clean-ups of idle customers (16 s). */
   private static final int TICKS_PER_CLEANUP = 64;
 
   private final boolean settlesUnits;
@@ -27,7 +27,7 @@
   private final QuotaReservations reservations;
   private final OpenRequestCap openRequests;
   private final SlowStart slowStart;
-  private final EndpointTable endpoints;
+  private final KnownEndpoints endpoints;
   private final OutlierDetector outliers;
   private final OutcomeRecorder outcomes;
   private final Pacer pacer;
@@ -62,7 +62,7 @@
     double meanObjectiveMs = requestClasses.meanObjectiveMs();
     pacer = new Pacer(settings, timers, meanObjectiveMs);
     slowStart = new SlowStart(settings, timers, random);
-    endpoints = new EndpointTable(settings, timers, slowStart, minSubsetSize);
+    endpoints = new KnownEndpoints(settings, timers, slowStart, minSubsetSize);
     outliers = new OutlierDetector(timers, endpoints);
     ConcurrencyLimiter limiter = new ConcurrencyLimiter(timers, meanObjectiveMs);
     EndpointScore score = new EndpointScore(settings, timers, slowStart);
@@ -135,9 +135,9 @@
   }
 
   @Override
-  public void responseStarted(double eventMs, long id, int attempt) {
+  public void responseStarted(double eventMs, long requestId, int attempt) {
     advanceTo(eventMs);
-    PendingRequest request = lifecycle.find(id);
+    PendingRequest request = lifecycle.find(requestId);
     if (request != null) {
       request.isStreaming = true;
     }
@@ -165,7 +165,7 @@
     lifecycle.recordEnd(attempt, outcome);
     outcomes.record(attempt.endpoint, request.classStats, outcome, tookMs);
     if (outcome == CallOutcome.OK && trueUnits > 0 && settlesUnits) {
-      reservations.settle(request.customer, trueUnits - request.units());
+      reservations.recordTrueUnits(request.customer, trueUnits - request.units());
     }
     if (isAnswered || request.isFinished) {
       lifecycle.finish(request);
@@ -177,9 +177,9 @@
   }
 
   @Override
-  public void clientDisconnected(double eventMs, long id) {
+  public void clientDisconnected(double eventMs, long requestId) {
     advanceTo(eventMs);
-    PendingRequest request = lifecycle.find(id);
+    PendingRequest request = lifecycle.find(requestId);
     if (request != null) {
       lifecycle.finish(request);
     }
@@ -197,7 +197,7 @@
 
   @Override
   public void healthCheckEnded(
-      double eventMs, String endpointId, CallOutcome outcome, double tookMs, double[] load) {
+      double eventMs, String endpointId, CallOutcome outcome, double tookMs, double[] loadReport) {
     advanceTo(eventMs);
   }
 
@@ -205,7 +205,7 @@
   public void counterCallEnded(
       double eventMs, long name, CallOutcome outcome, double tookMs, double total) {
     advanceTo(eventMs);
-    CounterCall call = counterCalls.callEnded(name, outcome, tookMs);
+    OpenCounterCall call = counterCalls.callEnded(name, outcome, tookMs);
     if (call == null) {
       return;
     }
@@ -246,7 +246,7 @@
       case QUOTA_TICK -> onQuotaTick();
       case QUEUE_EXPIRY -> queue.expire(request);
       case REQUEST_DEADLINE -> lifecycle.deadlineReached(request);
-      case LATE_ANSWER -> lifecycle.halfObjectivePassed(request);
+      case HALF_OBJECTIVE_PASSED -> lifecycle.halfObjectivePassed(request);
       case RETRY -> lifecycle.retryDue(request);
       case SUBSCRIBE -> actions.subscribe();
       case DISPATCH -> {} // timerFired dispatches after all timers
@@ -268,7 +268,7 @@
   }
 
   /** The endpoints that this node knows, for tests. */
-  EndpointTable endpoints() {
+  KnownEndpoints endpoints() {
     return endpoints;
   }
 }
--- a/src/main/java/edgenode/policy/PolicyEvents.java
+++ b/src/main/java/edgenode/policy/PolicyEvents.java
@@ -5,8 +5,9 @@
 /**
  * What a shell reports to the engine. All calls are made by one thread; the engine answers by
  * calling {@link PolicyActions} during the event or not at all. Times are milliseconds on the
- * shell's clock, and a time before that of the event before counts as that one. Ids that are not
- * known are ignored.
+ * shell's clock, on which {@link EndpointInfo#startedAtMs} is given too (a node: Unix time at its
+ * start, monotonic from there). A time before that of the previous event counts as that one. Ids
+ * that are not known are ignored.
  */
 public interface PolicyEvents {
   /**
@@ -51,7 +52,7 @@
   void timerFired(double nowMs, long token);
 
   /**
-   * A health check ended.
+   * A health check ended. Not used by this engine; part of the simulator's protocol.
    *
    * @param loadReport as for {@link #attemptEnded}
    */
--- a/src/main/java/edgenode/policy/PolicyTimers.java
+++ b/src/main/java/edgenode/policy/PolicyTimers.java
@@ -7,7 +7,7 @@
  * holds one timer for all of them, which is set anew only where an earlier one is needed.
  */
 final class PolicyTimers {
-  /** Length of a quota tick: quotas are re-split four times a second. */
+  /** Length of a quota tick: reservations, releases and limits are adapted four times a second. */
   static final double QUOTA_TICK_MS = 250;
 
   /** The shell's timer is not set anew for a gain below this. */
--- a/src/main/java/edgenode/policy/Prices.java
+++ b/src/main/java/edgenode/policy/Prices.java
@@ -1,7 +1,8 @@
 package edgenode.policy;
 
 /**
- * What the installation charges, in answers in time.
+ * What the installation charges, in answers in time. Not used by this engine; part of the
+ * simulator's protocol.
  *
  * @param wastedAttempt an attempt whose answer nobody gets
  * @param healthCheck a health check
--- a/src/main/java/edgenode/policy/QuotaReservations.java
+++ b/src/main/java/edgenode/policy/QuotaReservations.java
@@ -17,12 +17,15 @@
  */
 final class QuotaReservations {
   /**
-   * A unit that the rate fills later falls due this much later (units): spent a moment early it
-   * would be over quota.
+   * A unit that the rate fills later falls due this much later, in units of the rate: 0.1 is the
+   * time in which a tenth of a unit fills. Spent a moment early, it would be over quota.
    */
   private static final double DUE_DELAY_UNITS = 0.1;
 
-  /** A reservation waits until this many times this node's share of the rate would cover it. */
+  /**
+   * No reservation is tried unless the bucket, as last read and filled since at this many times
+   * this node's share of the rate, would cover the request in time.
+   */
   private static final double SHARES_FOR_A_CALL = 4;
 
   /** A tenth of the even share: a node that sends nothing for a while can still come back. */
@@ -106,7 +109,7 @@
   }
 
   /** A request turned out to take other units than it was admitted with. */
-  void settle(Customer customer, int additionalUnits) {
+  void recordTrueUnits(Customer customer, int additionalUnits) {
     customer.unreportedUnits += additionalUnits;
   }
 
@@ -212,13 +215,16 @@
   }
 
   /** A release ended; what was not taken off goes with the next add. */
-  void releaseEnded(CounterCall call, CallOutcome outcome) {
+  void releaseEnded(OpenCounterCall call, CallOutcome outcome) {
     if (isLost(outcome)) {
       call.customer().unreportedUnits += call.amount();
     }
   }
 
-  /** Most calls on a connection that breaks were not added: taken as added, quotas overran. */
+  /**
+   * A call whose connection broke counts as not added, as most were not; counting it as added would
+   * let quotas overrun.
+   */
   private static boolean isLost(CallOutcome outcome) {
     return outcome.provesNothingRan() || outcome == CallOutcome.RESET;
   }
@@ -234,22 +240,16 @@
       reservationFailed(customer, outcome);
       return;
     }
-    double before = accruedInEpoch(customer) - (total - customer.addedUnits);
-    double excess = excessUnits(customer, before);
-    boolean isCorrected = Math.abs(excess) > customer.plan.burstUnits() / 2;
-    if (isCorrected) { // idle time, a new or lost name, lost calls
-      customer.correctedUnits = excess;
-      call(customer, customer.reservationEpoch, excess, CounterCallKind.CORRECT);
-    }
-    before -=
-        (isCorrected ? excess : Math.max(0, excess))
-            + customer.addedUnits
-            - customer.requestedUnits;
-    double granted = grant(customer, before);
-    estimator.recordReading(customer, before - granted);
+    double heldBefore = accruedInEpoch(customer) - (total - customer.addedUnits);
+    double excess = excessUnits(customer, heldBefore);
+    boolean isCorrected = correctIfFarOff(customer, excess);
+    double unusable = isCorrected ? excess : Math.max(0, excess);
+    double available = availableUnits(customer, heldBefore, unusable);
+    double granted = grant(customer, available);
+    estimator.recordReading(customer, available - granted);
     updateUsageShare(customer, total);
-    customer.lastCounterTotal =
-        total + granted - customer.requestedUnits + (isCorrected ? excess : 0);
+    double correction = isCorrected ? excess : 0;
+    customer.lastCounterTotal = total + granted - customer.requestedUnits + correction;
     if (granted < customer.requestedUnits) {
       customer.nextCallAtMs = timers.nextQuotaTickMs();
       releaseUngranted(customer, granted);
@@ -257,6 +257,33 @@
     customer.isCallUnanswered = false;
   }
 
+  /**
+   * Corrects the counter where it is far off the bucket: after idle time, for a new or lost name,
+   * after lost calls.
+   *
+   * @param excess units that the bucket by the counter's total holds too much; below 0: too few
+   * @return whether a correction was sent
+   */
+  private boolean correctIfFarOff(Customer customer, double excess) {
+    if (!(Math.abs(excess) > customer.plan.burstUnits() / 2)) {
+      return false;
+    }
+    customer.correctedUnits = excess;
+    call(customer, customer.reservationEpoch, excess, CounterCallKind.CORRECT);
+    return true;
+  }
+
+  /**
+   * Units of the bucket that a reservation may take: not those in excess, and not those that this
+   * node spent earlier and reported with the reservation (added less requested units).
+   *
+   * @param heldBefore units in the bucket before the add, by the counter's total
+   * @param unusable units of these that are in excess; below 0 where a correction adds some
+   */
+  private static double availableUnits(Customer customer, double heldBefore, double unusable) {
+    return heldBefore - (unusable + customer.addedUnits - customer.requestedUnits);
+  }
+
   /** The next add makes up for it. A late call is added all the same by a crowded counter. */
   private void reservationFailed(Customer customer, CallOutcome outcome) {
     customer.unreportedUnits +=
@@ -289,7 +316,7 @@
   /**
    * Grants what the bucket covers by the time at which the last queued request is still of use.
    *
-   * @param bucketUnits what the bucket held before this reservation
+   * @param bucketUnits units of the bucket that this reservation may take
    * @return units granted: some now, the rest one by one as the rate fills them
    */
   private double grant(Customer customer, double bucketUnits) {
--- a/src/main/java/edgenode/policy/RequestClassStats.java
+++ b/src/main/java/edgenode/policy/RequestClassStats.java
@@ -2,8 +2,11 @@
 
 /** A class of requests with the mean time that its answers take at all endpoints. */
 final class RequestClassStats {
-  /** Until answers are seen: an objective leaves room for a queue, a retry and the network. */
-  private static final double INITIAL_MEAN_DIVISOR = 8;
+  /**
+   * Until answers are seen, the mean is taken to be the objective divided by this: an objective
+   * leaves time for a queue, a retry and the network.
+   */
+  static final double INITIAL_MEAN_DIVISOR = 8;
 
   final RequestClass requestClass;
   double meanMs;
--- a/src/main/java/edgenode/policy/RequestLifecycle.java
+++ b/src/main/java/edgenode/policy/RequestLifecycle.java
@@ -71,7 +71,8 @@
     loadBalancer.recordSent(endpoint);
     slowStart.recordAttempt(endpoint);
     pacer.takeToken();
-    timers.schedule(TimerKind.LATE_ANSWER, nowMs + request.latencyObjectiveMs() / 2, request);
+    timers.schedule(
+        TimerKind.HALF_OBJECTIVE_PASSED, nowMs + request.latencyObjectiveMs() / 2, request);
     actions.send(request.id(), endpoint.id, 0);
   }
 
--- a/src/main/java/edgenode/policy/RetryPolicy.java
+++ b/src/main/java/edgenode/policy/RetryPolicy.java
@@ -41,7 +41,10 @@
     };
   }
 
-  /** Whether the client may send the request again, so that a rejection does no harm. */
+  /**
+   * Whether the final answer may be a rejection, after which the client may safely send the request
+   * again: nothing ran, or repeating it does no harm.
+   */
   boolean canReject(PendingRequest request) {
     RequestClass requestClass = request.requestClass();
     return requestClass.idempotency() == Idempotency.IDEMPOTENT
--- a/src/main/java/edgenode/policy/TimerKind.java
+++ b/src/main/java/edgenode/policy/TimerKind.java
@@ -8,8 +8,8 @@
   QUEUE_EXPIRY,
   /** The client stops waiting. */
   REQUEST_DEADLINE,
-  /** An attempt has taken half of its latency objective. */
-  LATE_ANSWER,
+  /** Half of the latency objective of an attempt is over. */
+  HALF_OBJECTIVE_PASSED,
   /** A request whose attempts have all ended tries to find an endpoint once more. */
   RETRY,
   /** Only wakes the engine: it dispatches queued requests after every timer. */
--- a/src/main/java/edgenode/policy/UsageEstimator.java
+++ b/src/main/java/edgenode/policy/UsageEstimator.java
@@ -65,7 +65,7 @@
   boolean isTrusted(Customer customer) {
     double cost = customer.plan.overQuotaCost();
     double earned = Math.min(customer.plan.overQuotaWeight(), MAX_OVER_QUOTA_WEIGHT);
-    return !pacer.isOverloaded() && customer.grantShare > cost / (1 + cost - earned);
+    return !pacer.areEndpointsOverloaded() && customer.grantShare > cost / (1 + cost - earned);
   }
 
   /** What the customer's bucket is taken to hold now. */
--- a/src/main/java/edgenode/policy/package-info.java
+++ b/src/main/java/edgenode/policy/package-info.java
@@ -10,9 +10,9 @@
  *   <li>what is admitted: {@code AdmissionQueue}, by {@code QuotaReservations}, {@code
  *       UsageEstimator}, {@code HardCeiling} and {@code OpenRequestCap};
  *   <li>when the counter is called: {@code CounterCallBudget};
- *   <li>which endpoint gets an attempt: {@code LoadBalancer}, among those of {@code EndpointTable},
- *       by {@code EndpointScore}, {@code OutlierDetector}, {@code ConcurrencyLimiter}, {@code
- *       SlowStart} and {@code IdempotencyGroupRule};
+ *   <li>which endpoint gets an attempt: {@code LoadBalancer}, among those of {@code
+ *       KnownEndpoints}, by {@code EndpointScore}, {@code OutlierDetector}, {@code
+ *       ConcurrencyLimiter}, {@code SlowStart} and {@code IdempotencyGroupRule};
  *   <li>how fast attempts are sent: {@code Pacer};
  *   <li>what is sent again, rejected or failed: {@code RetryPolicy}, done by {@code
  *       RequestLifecycle}.
--- a/src/test/java/edgenode/policy/FakeGateway.java
+++ b/src/test/java/edgenode/policy/FakeGateway.java
@@ -22,10 +22,10 @@
   private record SetTimer(double atMs, long token) {}
 
   /** A call to the counter with the total that stood after it. */
-  record OpenCounterCall(long name, double total) {}
+  record UnansweredCounterCall(long name, double total) {}
 
   final List<String> actions = new ArrayList<>();
-  final List<OpenCounterCall> counterCalls = new ArrayList<>();
+  final List<UnansweredCounterCall> counterCalls = new ArrayList<>();
 
   /** The counts on the counter; gateways of one fleet share them. */
   Map<Long, Double> counterSums = new HashMap<>();
@@ -136,7 +136,7 @@
   /** Answers the calls made so far, with the totals that stood when they were made. */
   void answerCounter(CallOutcome outcome) {
     for (int open = counterCalls.size(); open > 0; open--) {
-      OpenCounterCall call = counterCalls.remove(0);
+      UnansweredCounterCall call = counterCalls.remove(0);
       engine.counterCallEnded(nowMs, call.name, outcome, COUNTER_CALL_MS, call.total);
     }
   }
@@ -273,7 +273,7 @@
   @Override
   public void addToCounter(long name, double amount, double keepMs) {
     actions.add("add " + amount);
-    counterCalls.add(new OpenCounterCall(name, counterSums.merge(name, amount, Double::sum)));
+    counterCalls.add(new UnansweredCounterCall(name, counterSums.merge(name, amount, Double::sum)));
   }
 
   @Override
--- a/src/test/java/edgenode/policy/LargeFleetPolicyTest.java
+++ b/src/test/java/edgenode/policy/LargeFleetPolicyTest.java
@@ -122,7 +122,7 @@
         boolean late = capacity-- <= 0;
         calls += i < 1000 ? 0 : 1;
         unanswered += i < 1000 || !late ? 0 : 1;
-        FakeGateway.OpenCounterCall call = gateway.counterCalls.remove(0);
+        FakeGateway.UnansweredCounterCall call = gateway.counterCalls.remove(0);
         CallOutcome outcome = late ? CallOutcome.TIMEOUT : CallOutcome.OK;
         gateway.engine.counterCallEnded(gateway.nowMs, call.name(), outcome, 2, call.total());
       }
