--- a/src/main/java/edgenode/cli/CheckSettingsCommand.java
+++ b/src/main/java/edgenode/cli/CheckSettingsCommand.java
@@ -1,6 +1,6 @@
 package edgenode.cli;
 
-import edgenode.config.InvalidSettingsException;
+import edgenode.config.InvalidOperatorSettingsException;
 import edgenode.config.OperatorSettings;
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import io.netty.util.internal.logging.JdkLoggerFactory;
@@ -10,7 +10,8 @@
 
 /** {@code check-settings FILE}: checks the operators' settings without starting a node. */
 public final class CheckSettingsCommand {
-  private static final int EXIT_REJECTED = 2;
+  /** Exit code where a configuration or the operators' settings are rejected. */
+  static final int EXIT_REJECTED = 2;
 
   private CheckSettingsCommand() {}
 
@@ -31,7 +32,7 @@
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     try {
       return OperatorSettings.read(Path.of(file), warmUpMs);
-    } catch (InvalidSettingsException rejected) {
+    } catch (InvalidOperatorSettingsException rejected) {
       rejected.faults().forEach(System.err::println);
     } catch (IOException | InvalidPathException e) {
       System.err.println(file + ": cannot be read: " + e.getMessage());
--- a/src/main/java/edgenode/cli/ServeCommand.java
+++ b/src/main/java/edgenode/cli/ServeCommand.java
@@ -20,8 +20,6 @@
  * fields are shared between the main thread, which starts the node, and the JVM's signal thread.
  */
 public final class ServeCommand {
-  private static final int EXIT_REJECTED = 2;
-
   private volatile EdgeNode node;
   private volatile ConfigFileWatcher configFile;
   private volatile boolean hasReceivedHangup;
@@ -76,7 +74,7 @@
         new ConfigFileWatcher(environment, starting::reload, System.err::println);
     starting.onDiscoveryRejected(watcher::reloadAfterFault);
     // before the node listens: SIGTERM may arrive at any moment
-    Runtime.getRuntime().addShutdownHook(new Thread(starting::shutdown, "drain"));
+    Runtime.getRuntime().addShutdownHook(new Thread(starting::shutdown, "graceful-shutdown"));
     try {
       starting.start();
     } catch (IOException e) {
@@ -93,9 +91,9 @@
   private static NodeConfig readConfigOrExit(Map<String, String> environment) throws IOException {
     try {
       return NodeConfig.fromEnvironment(environment);
-    } catch (IllegalArgumentException | PolicySettingsReader.InvalidSettingException e) {
+    } catch (IllegalArgumentException | PolicySettingsReader.InvalidPolicySettingException e) {
       System.err.println("configuration: " + e.getMessage());
-      System.exit(EXIT_REJECTED);
+      System.exit(CheckSettingsCommand.EXIT_REJECTED);
       return null;
     }
   }
--- a/src/main/java/edgenode/config/ConfigFileWatcher.java
+++ b/src/main/java/edgenode/config/ConfigFileWatcher.java
@@ -45,6 +45,7 @@
   private byte[] pending;
 
   private long missingMs;
+  private boolean isMissingReported;
   private long lastFaultReadMs = Long.MIN_VALUE;
   private long faultReadBackoffMs = FAULT_READ_BACKOFF_MS;
   private Thread watchThread;
@@ -91,7 +92,7 @@
             : Math.min(2 * faultReadBackoffMs, MAX_FAULT_READ_BACKOFF_MS);
     lastFaultReadMs = nowMs;
     startThread(
-        "configuration, once",
+        "config-read-after-fault",
         () -> {
           synchronized (this) {
             byte[] found = readFile();
@@ -108,7 +109,7 @@
     if (watchThread == null) {
       watchThread =
           startThread(
-              "configuration",
+              "config-poll",
               () -> {
                 try {
                   while (true) {
@@ -122,7 +123,7 @@
     }
   }
 
-  /** Stops polling. */
+  /** Stops reading the file unasked, for good. */
   public synchronized void stop() {
     if (watchThread != null) {
       watchThread.interrupt();
@@ -135,17 +136,21 @@
     if (found == null) {
       pending = null;
       missingMs += POLL_INTERVAL_MS;
-      if (missingMs == MISSING_REPORT_MS) {
+      if (missingMs >= MISSING_REPORT_MS && !isMissingReported) {
+        isMissingReported = true;
         log.accept(
             "configuration: "
                 + path
-                + " cannot be read for "
+                + " has been unreadable or longer than "
+                + (MAX_FILE_BYTES >> 20)
+                + " MiB for "
                 + MISSING_REPORT_MS
                 + " ms; the previous one stays in force");
       }
       return;
     }
     missingMs = 0;
+    isMissingReported = false;
     if (Arrays.equals(found, processed)) {
       pending = null;
     } else if (Arrays.equals(found, pending)) {
--- a/src/main/java/edgenode/config/NodeConfig.java
+++ b/src/main/java/edgenode/config/NodeConfig.java
@@ -17,10 +17,14 @@
  *
  * @param listenAddress where clients connect
  * @param adminAddress where operators connect, or null
+ * @param discoveryAddress of the discovery service
  * @param counterAddress of the shared counter, or null where there is none
+ * @param seed of the node's random numbers: hexadecimal in the file; other text is hashed
  * @param maxSockets limit of open connections
  * @param initialEndpoints the endpoint list as it was known when the file was written, or null
+ * @param settings the policy's settings
  * @param keepAliveMs time after which endpoints close idle connections
+ * @param connectTimeoutMs after which a connect to an endpoint has failed
  */
 public record NodeConfig(
     String name,
@@ -49,6 +53,8 @@
    *
    * @throws IOException where the file cannot be read or is no JSON
    * @throws IllegalArgumentException which names what is missing or malformed
+   * @throws PolicySettingsReader.InvalidPolicySettingException at the first setting of the policy
+   *     that is missing or malformed
    */
   public static NodeConfig fromEnvironment(Map<String, String> environment) throws IOException {
     String file = environment.get("EDGE_CONFIG");
@@ -64,6 +70,8 @@
    *
    * @throws IOException where the content is no JSON
    * @throws IllegalArgumentException which names what is missing or malformed
+   * @throws PolicySettingsReader.InvalidPolicySettingException at the first setting of the policy
+   *     that is missing or malformed
    */
   public static NodeConfig reload(byte[] file, Map<String, String> environment) throws IOException {
     Map<String, String> variables = new HashMap<>(environment);
@@ -75,6 +83,8 @@
    * The configuration of a parsed file.
    *
    * @throws IllegalArgumentException which names what is missing or malformed
+   * @throws PolicySettingsReader.InvalidPolicySettingException at the first setting of the policy
+   *     that is missing or malformed
    */
   public static NodeConfig parse(JsonValue root, Map<String, String> environment) {
     Map<String, String> valuesByKey = new HashMap<>();
--- a/src/main/java/edgenode/config/OperatorSettings.java
+++ b/src/main/java/edgenode/config/OperatorSettings.java
@@ -14,7 +14,7 @@
  * @param sources where the endpoint list comes from, in the order of fail-over
  * @param failOverMs silence of a source after which the next one takes over
  * @param membershipLimits times and shares of {@link edgenode.membership.Membership}
- * @param idempotencyBounds how much is remembered of idempotency keys, or null where duplicates are
+ * @param idempotencyLimits how much is remembered of idempotency keys, or null where duplicates are
  *     not recognised
  * @param trackedCustomers how many customers have figures of their own; 0 for none
  * @param subsetMinEndpoints how many endpoints of a longer list a node uses on average, at least
@@ -27,7 +27,7 @@
     EdsSettings eds,
     DnsSrvSettings dnsSrv,
     MembershipLimits membershipLimits,
-    IdempotencyLimits idempotencyBounds,
+    IdempotencyLimits idempotencyLimits,
     int trackedCustomers,
     int subsetMinEndpoints,
     Path storeFolder) {
@@ -76,12 +76,12 @@
    * @throws InvalidSettingsException with every fault of the file
    */
   public static OperatorSettings read(Path file, double warmUpMs)
-      throws IOException, InvalidSettingsException {
+      throws IOException, InvalidOperatorSettingsException {
     return parse(new TomlReader(file), warmUpMs);
   }
 
   static OperatorSettings parse(TomlReader reader, double warmUpMs)
-      throws InvalidSettingsException {
+      throws InvalidOperatorSettingsException {
     return new OperatorSettingsParser(reader, warmUpMs).parse();
   }
 }
--- a/src/main/java/edgenode/config/OperatorSettingsParser.java
+++ b/src/main/java/edgenode/config/OperatorSettingsParser.java
@@ -37,7 +37,7 @@
   /**
    * @throws InvalidSettingsException with every fault of the file
    */
-  OperatorSettings parse() throws InvalidSettingsException {
+  OperatorSettings parse() throws InvalidOperatorSettingsException {
     List<String> sources = sources();
     double failOverMs = reader.integer("membership.fail_over_ms", 5000, 500, 10 * MINUTE_MS);
     MembershipLimits membershipLimits = membershipLimits();
@@ -45,14 +45,14 @@
     EdsSettings eds = eds();
     DnsSrvSettings dnsSrv = dnsSrv();
     checkSources(sources, consul, eds, dnsSrv);
-    IdempotencyLimits idempotencyBounds = idempotencyBounds();
+    IdempotencyLimits idempotencyLimits = idempotencyLimits();
     int trackedCustomers = (int) reader.integer("figures.campuses", 0, 0, 10_000);
     int subsetMinEndpoints =
         (int) reader.integer("subset.servers", EndpointSubset.DEFAULT_MIN_ENDPOINTS, 64, 1_000_000);
-    Path storeFolder = storeFolder(idempotencyBounds != null);
+    Path storeFolder = storeFolder(idempotencyLimits != null);
     List<String> faults = reader.faults();
     if (!faults.isEmpty()) {
-      throw new InvalidSettingsException(faults);
+      throw new InvalidOperatorSettingsException(faults);
     }
     return new OperatorSettings(
         sources,
@@ -61,7 +61,7 @@
         eds,
         dnsSrv,
         membershipLimits,
-        idempotencyBounds,
+        idempotencyLimits,
         trackedCustomers,
         subsetMinEndpoints,
         storeFolder);
@@ -205,7 +205,7 @@
   }
 
   /** Null where duplicates are not to be recognised; the keys are checked all the same. */
-  private IdempotencyLimits idempotencyBounds() {
+  private IdempotencyLimits idempotencyLimits() {
     IdempotencyLimits defaults = IdempotencyLimits.DEFAULT;
     boolean isEnabled = reader.bool("repeats.enabled", false);
     IdempotencyLimits bounds =
--- a/src/main/java/edgenode/config/PolicySettingsReader.java
+++ b/src/main/java/edgenode/config/PolicySettingsReader.java
@@ -15,16 +15,17 @@
 /**
  * Reads the policy's settings, given as a value for each path. Both the simulator's wire and the
  * node's configuration file end up in this form, whose names are mapped to the terms of the code
- * here and nowhere else.
+ * here. {@link NodeConfig} reads the rest of the file, and of the settings {@code limits.keepalive}
+ * (which it reads too, with a default of its own) and {@code limits.connect_timeout}.
  */
 public final class PolicySettingsReader {
   /** A setting is missing or malformed; the message names it. */
-  public static final class InvalidSettingException extends RuntimeException {
+  public static final class InvalidPolicySettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final String field;
     private final String problem;
 
-    InvalidSettingException(String field, String problem) {
+    InvalidPolicySettingException(String field, String problem) {
       super(field + ": " + problem);
       this.field = field;
       this.problem = problem;
@@ -90,7 +91,7 @@
           case "read_like" -> Idempotency.IDEMPOTENT;
           case "idempotency_key" -> Idempotency.KEYED;
           case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
-          default -> throw new InvalidSettingException(prefix + "effect", "unknown effect");
+          default -> throw new InvalidPolicySettingException(prefix + "effect", "unknown effect");
         };
     IdempotencyGroup group =
         switch (textOr(prefix + "group", "cell")) {
@@ -164,7 +165,7 @@
   private String text(String key) {
     String value = valuesByKey.get(key);
     if (value == null) {
-      throw new InvalidSettingException(key, "missing setting");
+      throw new InvalidPolicySettingException(key, "missing setting");
     }
     return value;
   }
@@ -191,7 +192,7 @@
     } catch (NumberFormatException e) {
       // reported below, as an infinite number is
     }
-    throw new InvalidSettingException(key, "number expected, found '" + value + "'");
+    throw new InvalidPolicySettingException(key, "number expected, found '" + value + "'");
   }
 
   private boolean isTrue(String key) {
--- a/src/main/java/edgenode/eventloop/Transport.java
+++ b/src/main/java/edgenode/eventloop/Transport.java
@@ -3,6 +3,7 @@
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
+import io.netty.channel.ConnectTimeoutException;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.epoll.EpollDatagramChannel;
@@ -13,6 +14,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioDatagramChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
+import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
@@ -54,6 +56,11 @@
     return false;
   }
 
+  /** Whether a connect failed as the peer refused it, rather than by a time-out. */
+  static boolean isRefused(Throwable cause) {
+    return cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
+  }
+
   /** The address in the form of these channels. */
   SocketAddress toSocketAddress(InetSocketAddress address);
 
--- a/src/main/java/edgenode/idempotency/IdempotencyIndex.java
+++ b/src/main/java/edgenode/idempotency/IdempotencyIndex.java
@@ -31,8 +31,11 @@
     JOINED,
     /** One of its key has completed: it gets the cached response at once. */
     REPLAYED,
-    /** One of its key has completed, and its response is not cached, or not any more. */
-    RESPONSE_EVICTED,
+    /**
+     * One of its key has completed, but its response is not cached: it was evicted, too long or
+     * streamed.
+     */
+    RESPONSE_UNAVAILABLE,
     /** Its key belongs to a different request: it must not run. */
     KEY_CONFLICT,
     /** A limit is reached: nothing ran, and the client may retry. */
@@ -63,7 +66,7 @@
       long responseBytes,
       long joined,
       long replayed,
-      long responseEvicted,
+      long responseUnavailable,
       long keyConflicts,
       long rejected,
       long untracked,
@@ -107,7 +110,7 @@
   private long responseBytes;
   private long joinedCount;
   private long replayedCount;
-  private long responseEvictedCount;
+  private long responseUnavailableCount;
   private long keyConflictCount;
   private long rejectedCount;
   private long untrackedCount;
@@ -139,8 +142,8 @@
       return join(requestId, entry);
     }
     if (entry.response == null) {
-      responseEvictedCount++;
-      return resultOf(Decision.RESPONSE_EVICTED);
+      responseUnavailableCount++;
+      return resultOf(Decision.RESPONSE_UNAVAILABLE);
     }
     replayedCount++;
     return new LookupResult<>(Decision.REPLAYED, entry.response, 0);
@@ -193,7 +196,7 @@
    * Adds a completed key that an earlier process remembered. To be called before the first request,
    * in the order of expiry.
    *
-   * @param expiresAtMs when it is forgotten (ms)
+   * @param expiresAtMs when it is forgotten (ms, on the clock of {@code nowMs})
    * @param response null where none was cached
    * @param responseSize bytes of the response
    */
@@ -293,7 +296,7 @@
         responseBytes,
         joinedCount,
         replayedCount,
-        responseEvictedCount,
+        responseUnavailableCount,
         keyConflictCount,
         rejectedCount,
         untrackedCount,
--- a/src/main/java/edgenode/net/counter/CounterClient.java
+++ b/src/main/java/edgenode/net/counter/CounterClient.java
@@ -43,7 +43,7 @@
   private InetSocketAddress address;
 
   /** Calls that are not overdue yet, the oldest first; some may have ended. */
-  private final ArrayDeque<CounterCall> recentCalls = new ArrayDeque<>();
+  private final ArrayDeque<CounterCommand> recentCalls = new ArrayDeque<>();
 
   private boolean isTimerSet;
 
@@ -129,8 +129,8 @@
       eventLoop.execute(() -> listener.callEnded(counterName, CallOutcome.NO_CONNECTION, 0, 0));
       return;
     }
-    CounterCall call =
-        CounterCall.add(
+    CounterCommand call =
+        CounterCommand.add(
             connection,
             counterName,
             eventLoop.nowMs(),
@@ -160,7 +160,7 @@
     while (!recentCalls.isEmpty()
         && (recentCalls.peek().isEnded
             || recentCalls.peek().sentAtMs + timeoutMs <= eventLoop.nowMs())) {
-      endIfOverdue(recentCalls.poll());
+      reportOverdue(recentCalls.poll());
     }
     isTimerSet = !recentCalls.isEmpty();
     if (isTimerSet) {
@@ -170,10 +170,12 @@
   }
 
   /**
-   * Reports a written call as overdue and leaves it open, as its late total is still of use: it
-   * ends with its response, its connection or after {@link #ABANDON_TIMEOUT_MULTIPLE}.
+   * The time-out of a call has passed: one that is not written yet ends as NO_CONNECTION; a written
+   * one is reported as OVERDUE and stays open, as its late total is still of use, until its
+   * response, the end of its connection or {@link #ABANDON_TIMEOUT_MULTIPLE}. A half-read response
+   * closes the connection first.
    */
-  private void endIfOverdue(CounterCall call) {
+  private void reportOverdue(CounterCommand call) {
     if (!call.isEnded && call.connection.hasPartialResponse()) {
       call.connection.failMalformed();
     }
@@ -188,7 +190,7 @@
   }
 
   /** Reports a call's end; nothing happens where it has ended before. */
-  void end(CounterCall call, CallOutcome outcome, double total) {
+  void end(CounterCommand call, CallOutcome outcome, double total) {
     if (!call.isEnded) {
       call.isEnded = true;
       listener.callEnded(call.counterName, outcome, eventLoop.nowMs() - call.sentAtMs, total);
@@ -207,17 +209,21 @@
 
   /** Closes a connection that does not answer, and pings an idle one. */
   private void checkConnection(CounterConnection connection) {
-    CounterCall oldest = connection.oldestCall();
+    CounterCommand oldest = connection.oldestCall();
     // A busy event loop may not have read the response yet.
     if (oldest != null
         && eventLoop.nowMs() - oldest.sentAtMs - eventLoop.queueingDelayMs()
             > UNANSWERED_TIMEOUT_MS) {
       connection.close();
     } else if (eventLoop.nowMs() - connection.lastUsedMs() > PING_IDLE_MS) {
-      connection.send(CounterCall.ping(connection, eventLoop.nowMs()));
+      connection.send(CounterCommand.ping(connection, eventLoop.nowMs()));
     }
   }
 
+  /**
+   * Whether connections to an address are still wanted. By identity: after the addresses A, B and A
+   * again the connections of the first A must not reconnect.
+   */
   boolean isCurrentAddress(InetSocketAddress candidate) {
     return candidate == address;
   }
--- a/src/main/java/edgenode/net/counter/CounterCall.java
+++ b/src/main/java/edgenode/net/counter/CounterCommand.java
@@ -1,7 +1,7 @@
 package edgenode.net.counter;
 
-/** One call, from the request to its end. */
-final class CounterCall {
+/** One command to the counter, an add or a ping, from its creation to its end. */
+final class CounterCommand {
   final CounterConnection connection;
   final long counterName;
   final double sentAtMs;
@@ -16,7 +16,7 @@
   /** Whether its end has been reported; its response may still come. */
   boolean isEnded;
 
-  private CounterCall(
+  private CounterCommand(
       CounterConnection connection,
       long counterName,
       double sentAtMs,
@@ -30,12 +30,12 @@
     isEnded = isPing;
   }
 
-  static CounterCall add(
+  static CounterCommand add(
       CounterConnection connection, long counterName, double sentAtMs, String[] command) {
-    return new CounterCall(connection, counterName, sentAtMs, command, false);
+    return new CounterCommand(connection, counterName, sentAtMs, command, false);
   }
 
-  static CounterCall ping(CounterConnection connection, double sentAtMs) {
-    return new CounterCall(connection, 0, sentAtMs, new String[] {"PING"}, true);
+  static CounterCommand ping(CounterConnection connection, double sentAtMs) {
+    return new CounterCommand(connection, 0, sentAtMs, new String[] {"PING"}, true);
   }
 }
--- a/src/main/java/edgenode/net/counter/CounterConnection.java
+++ b/src/main/java/edgenode/net/counter/CounterConnection.java
@@ -38,10 +38,10 @@
   private final InetSocketAddress remoteAddress;
 
   /** Calls whose response is awaited, the oldest first. */
-  private final ArrayDeque<CounterCall> inFlight = new ArrayDeque<>();
+  private final ArrayDeque<CounterCommand> inFlight = new ArrayDeque<>();
 
   /** Calls made while the connection is being established, in their order. */
-  private final Set<CounterCall> queued = new LinkedHashSet<>();
+  private final Set<CounterCommand> queued = new LinkedHashSet<>();
 
   /** Null while the connection is not established. */
   private Channel channel;
@@ -89,7 +89,7 @@
   }
 
   /** The call that has waited longest for its response, or null. */
-  CounterCall oldestCall() {
+  CounterCommand oldestCall() {
     return inFlight.peek();
   }
 
@@ -133,7 +133,7 @@
     channel = connected;
     unansweredConnects++;
     lastUsedMs = eventLoop.nowMs();
-    for (CounterCall call : takeQueued()) {
+    for (CounterCommand call : takeQueued()) {
       write(call);
     }
     eventLoop.flushPending();
@@ -142,15 +142,15 @@
 
   private void connectFailed() {
     isConnecting = false;
-    for (CounterCall call : takeQueued()) {
+    for (CounterCommand call : takeQueued()) {
       client.end(call, CallOutcome.NO_CONNECTION, 0);
     }
     eventLoop.flushPending();
     eventLoop.schedule(RECONNECT_BACKOFF_MS, this::connect);
   }
 
-  private List<CounterCall> takeQueued() {
-    List<CounterCall> calls = new ArrayList<>(queued);
+  private List<CounterCommand> takeQueued() {
+    List<CounterCommand> calls = new ArrayList<>(queued);
     queued.clear();
     return calls;
   }
@@ -172,7 +172,7 @@
   // ---- calls ----
 
   /** Writes the call, or queues it until the connection is established. */
-  void send(CounterCall call) {
+  void send(CounterCommand call) {
     if (channel == null) {
       queued.add(call); // a connection that closed is back in about a round trip
     } else {
@@ -180,7 +180,7 @@
     }
   }
 
-  private void write(CounterCall call) {
+  private void write(CounterCommand call) {
     inFlight.add(call);
     lastUsedMs = call.sentAtMs;
     channel
@@ -190,7 +190,7 @@
   }
 
   /** Removes a call that has not been written; false where it is not queued. */
-  boolean removeQueued(CounterCall call) {
+  boolean removeQueued(CounterCommand call) {
     return queued.remove(call);
   }
 
@@ -220,7 +220,7 @@
   }
 
   private void failInFlight() {
-    for (CounterCall call = inFlight.poll(); call != null; call = inFlight.poll()) {
+    for (CounterCommand call = inFlight.poll(); call != null; call = inFlight.poll()) {
       client.end(call, call.isWritten ? CallOutcome.RESET : CallOutcome.NO_CONNECTION, 0);
     }
   }
@@ -232,7 +232,7 @@
       try {
         undecodedBytes.messageDecoded((RedisMessage) msg);
         unansweredConnects = 0;
-        CounterCall call = inFlight.poll(); // overdue or not: responses come in the calls' order
+        CounterCommand call = inFlight.poll(); // overdue or not: responses come in the calls' order
         if (call == null) {
           ctx.close();
           return;
@@ -250,7 +250,7 @@
     }
 
     /** Ends the call; false where the message is no response to it. */
-    private boolean readResponse(CounterCall call, RedisMessage message) {
+    private boolean readResponse(CounterCommand call, RedisMessage message) {
       if (call.isPing) {
         return message instanceof SimpleStringRedisMessage;
       }
--- a/src/main/java/edgenode/net/resp/LongValueDecoder.java
+++ b/src/main/java/edgenode/net/resp/LongValueDecoder.java
@@ -36,9 +36,6 @@
    */
   public record ValueChunk(ByteBuf bytes, boolean isLast) {}
 
-  /** The value, the usage figures, the load report. */
-  private static final int RESPONSE_ELEMENTS = 3;
-
   private static final int LINE_END_BYTES = 2;
 
   /** Type byte and line end of a header. */
@@ -74,7 +71,7 @@
       passFirstElement(ctx, msg);
     } else if (!isInsideMessage
         && msg instanceof ArrayHeaderRedisMessage header
-        && header.length() == RESPONSE_ELEMENTS) {
+        && header.length() == RespCodec.RESPONSE_ELEMENTS) {
       pendingHeader = header;
     } else {
       isInsideMessage = true;
@@ -108,7 +105,7 @@
     isInsideValue = !isLast;
     ctx.fireChannelRead(new ValueChunk(content.content(), isLast));
     if (isLast) {
-      ctx.fireChannelRead(new ArrayHeaderRedisMessage(RESPONSE_ELEMENTS - 1));
+      ctx.fireChannelRead(new ArrayHeaderRedisMessage(RespCodec.RESPONSE_ELEMENTS - 1));
       undecodedBytes.consumed(-ARRAY_HEADER_BYTES); // this header was not on the wire
     }
   }
--- a/src/main/java/edgenode/net/resp/RespCodec.java
+++ b/src/main/java/edgenode/net/resp/RespCodec.java
@@ -30,6 +30,9 @@
   /** Longest value that is passed on in chunks. */
   public static final int MAX_LONG_VALUE_BYTES = 4 << 20;
 
+  /** Elements of an endpoint's response: the value, the usage figures, the load report. */
+  public static final int RESPONSE_ELEMENTS = 3;
+
   private static final int MAX_LINE_BYTES = 4096;
   private static final int MAX_ARRAY_DEPTH = 4;
 
@@ -95,7 +98,8 @@
 
     /**
      * A complete message has been read; to be called before the next one is read. A message that
-     * was not sent in its shortest form leaves the count wrong for good.
+     * was not sent in its shortest form leaves the count wrong for good; its connection is then
+     * closed as if it had sent a partial message.
      */
     public void messageDecoded(RedisMessage message) {
       pendingBytes -= encodedLength(message);
--- a/src/main/java/edgenode/net/upstream/EndpointConnections.java
+++ b/src/main/java/edgenode/net/upstream/EndpointConnections.java
@@ -41,7 +41,7 @@
    * Writes the attempt on the most recently used connection that may be reused; false where there
    * is none.
    */
-  boolean writeOnRested(UpstreamAttempt attempt, double nowMs) {
+  boolean writeOnIdle(UpstreamAttempt attempt, double nowMs) {
     for (Iterator<UpstreamConnection> iterator = idle.descendingIterator(); iterator.hasNext(); ) {
       UpstreamConnection connection = iterator.next();
       if (connection.isReusable(nowMs)) {
--- a/src/main/java/edgenode/net/upstream/ResponseReader.java
+++ b/src/main/java/edgenode/net/upstream/ResponseReader.java
@@ -13,9 +13,6 @@
 
 /** Turns an endpoint's complete response into the outcome of its attempt, with the load report. */
 final class ResponseReader {
-  /** The value, the usage figures, the load report. */
-  private static final int RESPONSE_ELEMENTS = 3;
-
   private static final int VALUE_INDEX = 0;
   private static final int LOAD_REPORT_INDEX = 2;
 
@@ -63,7 +60,7 @@
   boolean read(UpstreamAttempt attempt, RedisMessage message) {
     if (message instanceof ArrayRedisMessage array
         && !array.isNull()
-        && array.children().size() == RESPONSE_ELEMENTS
+        && array.children().size() == RespCodec.RESPONSE_ELEMENTS
         && RespCodec.isBulkString(array.children().get(VALUE_INDEX))
         && !attempt.isHealthCheck()) {
       readValue(attempt, array.children());
@@ -92,7 +89,12 @@
   private boolean readError(UpstreamAttempt attempt, String text) {
     boolean isBusy = text.equals("BUSY") || text.startsWith("BUSY ");
     if (!isBusy && !text.startsWith("ERR ")) {
-      eventLoop.logFailure("app server", new IllegalStateException(text));
+      eventLoop.logLine(
+          "endpoint "
+              + attempt.endpointId()
+              + ": unknown error response '"
+              + text
+              + "'; its connection is closed");
       return false;
     }
     int space = text.lastIndexOf(' ');
--- a/src/main/java/edgenode/net/upstream/UpstreamConnection.java
+++ b/src/main/java/edgenode/net/upstream/UpstreamConnection.java
@@ -259,7 +259,7 @@
     // After our own close the decoder only complains about the part of a message that it holds.
     boolean isInUse = currentAttempt != null || isTransferring() || channel.isActive();
     if (!(cause instanceof IOException) && isInUse) {
-      eventLoop.logFailure("app server connection", cause);
+      eventLoop.logFailure("endpoint " + endpoint.id + " (" + endpoint.address + ")", cause);
       abortTransfer();
       if (currentAttempt != null) { // a fault of this response, not of the endpoint
         failMalformed(currentAttempt);
--- a/src/main/java/edgenode/net/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/edgenode/net/upstream/UpstreamConnectionPool.java
@@ -2,6 +2,7 @@
 
 import edgenode.config.NodeConfig;
 import edgenode.eventloop.EdgeEventLoop;
+import edgenode.eventloop.Transport;
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.EndpointHealthListener;
 import edgenode.policy.CallOutcome;
@@ -11,7 +12,6 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
-import io.netty.channel.ConnectTimeoutException;
 import io.netty.handler.codec.redis.RedisMessage;
 import io.netty.util.concurrent.Future;
 import java.net.ConnectException;
@@ -187,7 +187,7 @@
       endLater(attempt, CallOutcome.NO_CONNECTION);
       return;
     }
-    if (endpoint.writeOnRested(attempt, eventLoop.nowMs())) {
+    if (endpoint.writeOnIdle(attempt, eventLoop.nowMs())) {
       return;
     }
     if (!endpoint.idle.isEmpty()) {
@@ -211,7 +211,7 @@
         endLater(attempt, CallOutcome.NO_CONNECTION);
       } else if (!attempt.isHealthCheck() && !attempt.request().isClientWaiting()) {
         endLater(attempt, CallOutcome.NOT_SENT);
-      } else if (!endpoint.writeOnRested(attempt, eventLoop.nowMs())) {
+      } else if (!endpoint.writeOnIdle(attempt, eventLoop.nowMs())) {
         break;
       }
       endpoint.queuedAttempts.poll();
@@ -364,14 +364,14 @@
     if (result.isSuccess()) {
       health.connected(endpoint.id); // which may bring it back up
     } else if (result.cause() instanceof ConnectException) {
-      boolean isRefused = !(result.cause() instanceof ConnectTimeoutException);
-      health.connectFailed(endpoint.id, isRefused, endpoint.connections.size());
+      health.connectFailed(
+          endpoint.id, Transport.isRefused(result.cause()), endpoint.connections.size());
     }
   }
 
   /**
-   * Each queued attempt began a connect, and one of them has failed: the oldest attempt ends.
-   * Later, as a connect that finds no file descriptor fails inside {@link #send}.
+   * Fails the oldest queued attempt where fewer connects and idle connections are left than
+   * attempts wait. Later, as a connect that finds no file descriptor fails inside {@link #send}.
    */
   private void failOneQueued(EndpointConnections endpoint) {
     if (endpoint.needsConnection()) {
--- a/src/main/java/edgenode/node/NodeComponents.java
+++ b/src/main/java/edgenode/node/NodeComponents.java
@@ -52,9 +52,9 @@
     discoverySource = MembershipService.agentSource(config.discoveryAddress());
     discovery = membershipService(operatorSettings);
     duplicates =
-        operatorSettings == null || operatorSettings.idempotencyBounds() == null
+        operatorSettings == null || operatorSettings.idempotencyLimits() == null
             ? null
-            : new DuplicateRequestHandler(loop, operatorSettings.idempotencyBounds());
+            : new DuplicateRequestHandler(loop, operatorSettings.idempotencyLimits());
     keyStoreFolder = operatorSettings == null ? null : operatorSettings.storeFolder();
     ledger =
         new RequestLedger(
--- a/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
+++ b/src/main/java/edgenode/node/PersistentIdempotencyKeys.java
@@ -213,7 +213,7 @@
 
   /** What opening the store found, as lines for the log. */
   List<String> openingMessages() {
-    return store.recoveryMessages();
+    return store.messages();
   }
 
   Map<String, Object> figures() {
--- a/src/main/java/edgenode/node/TelemetryJson.java
+++ b/src/main/java/edgenode/node/TelemetryJson.java
@@ -85,7 +85,7 @@
     out.writeNumberField("answer_bytes", duplicates.responseBytes());
     out.writeNumberField("followed", duplicates.joined());
     out.writeNumberField("replayed", duplicates.replayed());
-    out.writeNumberField("spent", duplicates.responseEvicted());
+    out.writeNumberField("spent", duplicates.responseUnavailable());
     out.writeNumberField("clashed", duplicates.keyConflicts());
     out.writeNumberField("refused", duplicates.rejected());
     out.writeNumberField("passed", duplicates.untracked());
--- a/src/main/java/edgenode/simhost/SimulatedInstance.java
+++ b/src/main/java/edgenode/simhost/SimulatedInstance.java
@@ -202,7 +202,7 @@
     }
     try {
       return PolicySettingsReader.read(valuesByKey);
-    } catch (PolicySettingsReader.InvalidSettingException invalid) {
+    } catch (PolicySettingsReader.InvalidPolicySettingException invalid) {
       throw in.malformed(invalid.field(), invalid.problem());
     }
   }
--- a/src/main/java/edgenode/store/KeyValueStore.java
+++ b/src/main/java/edgenode/store/KeyValueStore.java
@@ -194,8 +194,11 @@
     return writer.metrics();
   }
 
-  /** What operators should know of the opening, a line each: a torn end cut off, for example. */
-  public List<String> recoveryMessages() {
+  /**
+   * What operators should know of the opening, the maintenance and the close, a line each, so far:
+   * a torn end cut off, for example.
+   */
+  public List<String> messages() {
     return writer.messages();
   }
 
--- a/src/main/java/edgenode/store/StoreEngine.java
+++ b/src/main/java/edgenode/store/StoreEngine.java
@@ -100,7 +100,9 @@
   }
 
   private String failureMessage() {
-    return "the disk failed, nothing is written any more: " + failure;
+    return "the disk failed: "
+        + failure
+        + "; nothing is written until the node is restarted (reads go on)";
   }
 
   /** Ends writing: what the files hold is not known after this error. */
--- a/src/main/java/edgenode/store/StoreException.java
+++ b/src/main/java/edgenode/store/StoreException.java
@@ -21,7 +21,8 @@
     /** Too many writes are queued: nothing was written, and the write may be tried again. */
     BUSY,
     /**
-     * The disk failed: nothing is written any more until the store is opened again; reads go on.
+     * The disk failed. Where it was a write or a sync, nothing is written any more until the store
+     * is opened again ({@link StoreMetrics#isFailed}), and reads go on.
      */
     FAILED,
     /** The store is closed. */
--- a/src/main/java/edgenode/store/StoreWriter.java
+++ b/src/main/java/edgenode/store/StoreWriter.java
@@ -42,7 +42,7 @@
   private final KeyValueStore.Options options;
   private final LongSupplier clockMs;
   private final LinkedBlockingQueue<QueuedWrite> queue;
-  private final Thread thread = new Thread(this::run, "store");
+  private final Thread thread = new Thread(this::run, "store-writer");
 
   /** Written and not synced yet. */
   private final List<QueuedWrite> awaitingSync = new ArrayList<>();
--- a/src/test/java/edgenode/config/OperatorSettingsTest.java
+++ b/src/test/java/edgenode/config/OperatorSettingsTest.java
@@ -17,12 +17,12 @@
 class OperatorSettingsTest {
   @TempDir Path folder;
 
-  private static OperatorSettings read(String text) throws InvalidSettingsException {
+  private static OperatorSettings read(String text) throws InvalidOperatorSettingsException {
     return OperatorSettings.parse(new TomlReader("f.toml", text), 18_000);
   }
 
   private static List<String> faultsOf(String text) {
-    return assertThrows(InvalidSettingsException.class, () -> read(text)).faults();
+    return assertThrows(InvalidOperatorSettingsException.class, () -> read(text)).faults();
   }
 
   @Test
@@ -30,7 +30,7 @@
     OperatorSettings none = read("");
     assertEquals(MembershipLimits.defaults(18_000), none.membershipLimits());
     assertEquals(List.of("agent"), none.sources());
-    assertNull(none.idempotencyBounds());
+    assertNull(none.idempotencyLimits());
     assertEquals(0, none.trackedCustomers());
     assertEquals(256, none.subsetMinEndpoints());
     assertEquals(64, read("subset.servers = 64").subsetMinEndpoints());
@@ -60,8 +60,8 @@
         new OperatorSettings.DnsSrvSettings(
             "_resp._tcp.enrol.example", List.of("127.0.0.1:53"), 1000, 30_000),
         all.dnsSrv());
-    assertNull(all.idempotencyBounds()); // the sample enables nothing
-    assertEquals(IdempotencyLimits.DEFAULT, read(withIdempotency).idempotencyBounds());
+    assertNull(all.idempotencyLimits()); // the sample enables nothing
+    assertEquals(IdempotencyLimits.DEFAULT, read(withIdempotency).idempotencyLimits());
   }
 
   @Test
--- a/src/test/java/edgenode/idempotency/IdempotencyIndexProperties.java
+++ b/src/test/java/edgenode/idempotency/IdempotencyIndexProperties.java
@@ -178,14 +178,14 @@
       index.register(0, id, "k" + id, 1);
       index.complete(0, id, "a" + id, 40, true);
     }
-    assertEquals(Decision.RESPONSE_EVICTED, index.register(1, 10, "k1", 1).decision());
+    assertEquals(Decision.RESPONSE_UNAVAILABLE, index.register(1, 10, "k1", 1).decision());
     assertEquals("a2", index.register(1, 11, "k2", 1).response());
     index.register(1, 12, "k4", 1);
     index.complete(1, 12, null, 0, true); // a streamed value, which is not cached
-    assertEquals(Decision.RESPONSE_EVICTED, index.register(1, 13, "k4", 1).decision());
+    assertEquals(Decision.RESPONSE_UNAVAILABLE, index.register(1, 13, "k4", 1).decision());
     index.register(1, 14, "k5", 1);
     index.complete(1, 14, "a5", 101, true); // larger than the limit: the others stay
-    assertEquals(Decision.RESPONSE_EVICTED, index.register(1, 15, "k5", 1).decision());
+    assertEquals(Decision.RESPONSE_UNAVAILABLE, index.register(1, 15, "k5", 1).decision());
     assertEquals("a3", index.register(1, 16, "k3", 1).response());
   }
 
--- a/src/test/java/edgenode/store/KeyValueStoreTest.java
+++ b/src/test/java/edgenode/store/KeyValueStoreTest.java
@@ -133,7 +133,7 @@
         reason(store.write(new WriteBatch(), KeyValueStore.Durability.SYNC)));
     try (KeyValueStore reopened = KeyValueStore.open(tempDirectory, SMALL)) {
       assertEquals("v", new String(reopened.get("s", bytes("k")).value(), StandardCharsets.UTF_8));
-      assertTrue(reopened.recoveryMessages().isEmpty(), reopened.recoveryMessages().toString());
+      assertTrue(reopened.messages().isEmpty(), reopened.messages().toString());
     }
     assertThrows(
         StoreException.class, () -> new WriteBatch().put("s", new byte[1025], new byte[0]));
--- a/src/test/java/edgenode/store/StoreFormatTest.java
+++ b/src/test/java/edgenode/store/StoreFormatTest.java
@@ -96,7 +96,7 @@
       throws Exception {
     copyResource(directory);
     try (KeyValueStore store = KeyValueStore.open(directory, OPTIONS)) {
-      assertEquals(List.of(), store.recoveryMessages());
+      assertEquals(List.of(), store.messages());
       assertEquals(expectedRepeats(), scan(store, "repeats"));
       assertEquals(expectedAccounts(), scan(store, "accounts"));
       assertEquals(62, store.get("repeats", bytes("key-0")).version());
