--- a/src/main/java/edgenode/benchmark/FleetStudies.java
+++ b/src/main/java/edgenode/benchmark/FleetStudies.java
@@ -1,5 +1,6 @@
 package edgenode.benchmark;
 
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
@@ -140,7 +141,11 @@
         case TIMER -> policies[event.node].timerFired(nowMs, event.id);
         case ENDED ->
             policies[event.node].attemptEnded(
-                nowMs, event.id, 0, CallOutcome.OK, SERVICE_TIME_MS, true, 0, new double[0]);
+                nowMs,
+                event.id,
+                0,
+                new AttemptResult(CallOutcome.OK, SERVICE_TIME_MS, 0, new double[0]),
+                true);
         default -> counterCallEnded(event);
       }
     }
--- a/src/main/java/edgenode/benchmark/PolicyHarness.java
+++ b/src/main/java/edgenode/benchmark/PolicyHarness.java
@@ -1,5 +1,6 @@
 package edgenode.benchmark;
 
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.Capabilities;
 import edgenode.policy.EndpointInfo;
@@ -119,7 +120,11 @@
 
   private void answer() {
     policy.attemptEnded(
-        nowMs, inFlight.poll(), 0, CallOutcome.OK, SERVICE_TIME_MS, true, 0, new double[0]);
+        nowMs,
+        inFlight.poll(),
+        0,
+        new AttemptResult(CallOutcome.OK, SERVICE_TIME_MS, 0, new double[0]),
+        true);
     answerCounter();
   }
 
--- a/src/main/java/edgenode/node/GuardedPolicy.java
+++ b/src/main/java/edgenode/node/GuardedPolicy.java
@@ -4,6 +4,7 @@
 import edgenode.net.counter.CounterListener;
 import edgenode.net.upstream.HealthCheckListener;
 import edgenode.net.upstream.UpstreamAttempt;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
@@ -60,11 +61,8 @@
           nowMs,
           request.id(),
           attempt.number,
-          outcome,
-          nowMs - attempt.requestedAtMs,
-          request.isFinished(),
-          NO_TRUE_UNITS,
-          loadReport);
+          new AttemptResult(outcome, nowMs - attempt.requestedAtMs, NO_TRUE_UNITS, loadReport),
+          request.isFinished());
       return true;
     } catch (RuntimeException | Error e) {
       return logFailure(e);
--- a/src/main/java/edgenode/node/JitWarmUp.java
+++ b/src/main/java/edgenode/node/JitWarmUp.java
@@ -3,6 +3,7 @@
 import edgenode.net.resp.RequestCommand;
 import edgenode.net.resp.RespCodec;
 import edgenode.net.upstream.UpstreamConnectionPool;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
@@ -179,11 +180,9 @@
                 nowMs,
                 requestId,
                 0,
-                CallOutcome.OK,
-                ROUND_MS,
-                true,
-                0,
-                UpstreamConnectionPool.NO_LOAD_REPORT));
+                new AttemptResult(
+                    CallOutcome.OK, ROUND_MS, 0, UpstreamConnectionPool.NO_LOAD_REPORT),
+                true));
   }
 
   @Override
--- a/src/main/java/edgenode/policy/PolicyEngine.java
+++ b/src/main/java/edgenode/policy/PolicyEngine.java
@@ -145,14 +145,7 @@
 
   @Override
   public void attemptEnded(
-      double eventMs,
-      long id,
-      int number,
-      CallOutcome outcome,
-      double tookMs,
-      boolean isAnswered,
-      int trueUnits,
-      double[] load) {
+      double eventMs, long id, int number, AttemptResult result, boolean isAnswered) {
     advanceTo(eventMs);
     PendingRequest request = lifecycle.find(id);
     if (request == null
@@ -162,10 +155,10 @@
       return;
     }
     Attempt attempt = request.attempts.get(number);
-    lifecycle.recordEnd(attempt, outcome);
-    outcomes.record(attempt.endpoint, request.classStats, outcome, tookMs);
-    if (outcome == CallOutcome.OK && trueUnits > 0 && settlesUnits) {
-      reservations.recordTrueUnits(request.customer, trueUnits - request.units());
+    lifecycle.recordEnd(attempt, result.outcome());
+    outcomes.record(attempt.endpoint, request.classStats, result.outcome(), result.tookMs());
+    if (result.outcome() == CallOutcome.OK && result.trueUnits() > 0 && settlesUnits) {
+      reservations.recordTrueUnits(request.customer, result.trueUnits() - request.units());
     }
     if (isAnswered || request.isFinished) {
       lifecycle.finish(request);
--- a/src/main/java/edgenode/policy/PolicyEvents.java
+++ b/src/main/java/edgenode/policy/PolicyEvents.java
@@ -29,21 +29,10 @@
   /**
    * An attempt ended.
    *
-   * @param tookMs from when it was sent
    * @param isRequestOver the request needs no answer any more
-   * @param trueUnits what the request really took of the quota, 0 where this is not known
-   * @param loadReport the endpoint's own figures, in the order of {@link
-   *     PolicySettings#loadReportFields}; not used
    */
   void attemptEnded(
-      double nowMs,
-      long requestId,
-      int attempt,
-      CallOutcome outcome,
-      double tookMs,
-      boolean isRequestOver,
-      int trueUnits,
-      double[] loadReport);
+      double nowMs, long requestId, int attempt, AttemptResult result, boolean isRequestOver);
 
   /** The client of a request has disconnected: no further attempt is made. */
   void clientDisconnected(double nowMs, long requestId);
@@ -54,7 +43,7 @@
   /**
    * A health check ended. Not used by this engine; part of the simulator's protocol.
    *
-   * @param loadReport as for {@link #attemptEnded}
+   * @param loadReport as in {@link AttemptResult}
    */
   void healthCheckEnded(
       double nowMs, String endpointId, CallOutcome outcome, double tookMs, double[] loadReport);
--- a/src/main/java/edgenode/simhost/SimulatedInstance.java
+++ b/src/main/java/edgenode/simhost/SimulatedInstance.java
@@ -1,6 +1,7 @@
 package edgenode.simhost;
 
 import edgenode.config.PolicySettingsReader;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
@@ -120,11 +121,12 @@
         nowMs,
         in.integer(1, "tid"),
         (int) in.integer(4, "round_no"),
-        outcome(in, 5),
-        in.number(6, "cost_time"),
-        in.flag(3, "settled"),
-        (int) in.integerOrZero(8, "actual"),
-        in.numbers(9, "health_info"));
+        new AttemptResult(
+            outcome(in, 5),
+            in.number(6, "cost_time"),
+            (int) in.integerOrZero(8, "actual"),
+            in.numbers(9, "health_info")),
+        in.flag(3, "settled"));
   }
 
   private void counterCallEnded(LineReader in, double nowMs) {
--- a/src/main/java/edgenode/simulation/fleet/ModelNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -1,6 +1,7 @@
 package edgenode.simulation.fleet;
 
 import edgenode.node.PolicyFactory;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
@@ -181,11 +182,8 @@
                 nowMs,
                 request.id,
                 attempt.number,
-                outcome,
-                nowMs - attempt.sentMs,
-                request.isOver,
-                0,
-                NO_LOAD));
+                new AttemptResult(outcome, nowMs - attempt.sentMs, 0, NO_LOAD),
+                request.isOver));
     removeIfDone(request);
     if (outcome == CallOutcome.OK) {
       membership.responded(attempt.server);
--- a/src/test/java/edgenode/ArchitectureTest.java
+++ b/src/test/java/edgenode/ArchitectureTest.java
@@ -36,7 +36,7 @@
 
   /** What goes into the policy and what comes out of it. */
   private static final String POLICY_MODEL =
-      "edgenode\\.policy\\.(CallOutcome|Capabilities|EndpointInfo|EndpointState|Idempotency"
+      "edgenode\\.policy\\.(AttemptResult|CallOutcome|Capabilities|EndpointInfo|EndpointState|Idempotency"
           + "|IdempotencyGroup|IncomingRequest|PolicyActions|PolicyEvents|PolicySettings|Prices"
           + "|QuotaPlan|RequestClass|RuleLimits)(\\$.*)?";
 
--- a/src/test/java/edgenode/benchmark/SubsetCost.java
+++ b/src/test/java/edgenode/benchmark/SubsetCost.java
@@ -1,5 +1,6 @@
 package edgenode.benchmark;
 
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.Capabilities;
 import edgenode.policy.EndpointInfo;
@@ -150,7 +151,8 @@
         module.requestArrived(
             now, new IncomingRequest(id, "read", "big", "c", 2000, 1, 1, 0, false));
         if (id >= 16) {
-          module.attemptEnded(now, id - 16, 0, CallOutcome.OK, 20, true, 0, new double[0]);
+          module.attemptEnded(
+              now, id - 16, 0, new AttemptResult(CallOutcome.OK, 20, 0, new double[0]), true);
         }
       }
       double t1 = cpu();
--- a/src/test/java/edgenode/node/DiscoveryFixture.java
+++ b/src/test/java/edgenode/node/DiscoveryFixture.java
@@ -4,7 +4,7 @@
 import edgenode.config.NodeConfig;
 import edgenode.emulator.DiscoveryAgentEmulator;
 import edgenode.emulator.ThreadedAppServerEmulator;
-import edgenode.policy.CallOutcome;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
 import edgenode.policy.IncomingRequest;
@@ -195,14 +195,7 @@
 
     @Override
     public void attemptEnded(
-        double nowMs,
-        long id,
-        int attempt,
-        CallOutcome outcome,
-        double tookMs,
-        boolean isRequestOver,
-        int trueUnits,
-        double[] loadReport) {
+        double nowMs, long id, int attempt, AttemptResult result, boolean isRequestOver) {
       if (!isRequestOver) {
         actions.fail(id);
       }
--- a/src/test/java/edgenode/node/EdgeNodeFixture.java
+++ b/src/test/java/edgenode/node/EdgeNodeFixture.java
@@ -9,6 +9,7 @@
 import edgenode.eventloop.Clock;
 import edgenode.eventloop.NettyEdgeEventLoop;
 import edgenode.eventloop.Transport;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.IncomingRequest;
@@ -114,15 +115,9 @@
 
     @Override
     public void attemptEnded(
-        double nowMs,
-        long id,
-        int attempt,
-        CallOutcome outcome,
-        double tookMs,
-        boolean isRequestOver,
-        int trueUnits,
-        double[] loadReport) {
-      policyEvents.add("ended " + id + " " + attempt + " " + outcome + " " + isRequestOver);
+        double nowMs, long id, int attempt, AttemptResult result, boolean isRequestOver) {
+      policyEvents.add(
+          "ended " + id + " " + attempt + " " + result.outcome() + " " + isRequestOver);
       if (!isRequestOver && retried.remove(id)) {
         actions.send(id, "s0", 0);
       } else if (!isRequestOver) {
--- a/src/test/java/edgenode/node/JitWarmUpTest.java
+++ b/src/test/java/edgenode/node/JitWarmUpTest.java
@@ -5,6 +5,7 @@
 
 import edgenode.config.JsonValue;
 import edgenode.config.NodeConfig;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.IncomingRequest;
 import java.util.Map;
@@ -43,12 +44,9 @@
                   double endedAtMs,
                   long requestId,
                   int attempt,
-                  CallOutcome outcome,
-                  double tookMs,
-                  boolean isRequestOver,
-                  int trueUnits,
-                  double[] loadReport) {
-                assertEquals(CallOutcome.OK, outcome);
+                  AttemptResult result,
+                  boolean isRequestOver) {
+                assertEquals(CallOutcome.OK, result.outcome());
                 ended[0]++;
               }
             });
--- a/src/test/java/edgenode/node/NoOpPolicyEvents.java
+++ b/src/test/java/edgenode/node/NoOpPolicyEvents.java
@@ -1,5 +1,6 @@
 package edgenode.node;
 
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.PolicyEvents;
@@ -18,14 +19,7 @@
 
   @Override
   public void attemptEnded(
-      double nowMs,
-      long requestId,
-      int attempt,
-      CallOutcome outcome,
-      double tookMs,
-      boolean isRequestOver,
-      int trueUnits,
-      double[] loadReport) {}
+      double nowMs, long requestId, int attempt, AttemptResult result, boolean isRequestOver) {}
 
   @Override
   public void clientDisconnected(double nowMs, long requestId) {}
--- a/src/test/java/edgenode/policy/FakeGateway.java
+++ b/src/test/java/edgenode/policy/FakeGateway.java
@@ -155,12 +155,17 @@
 
   void endAttempt(long id, int attempt, CallOutcome outcome) {
     engine.attemptEnded(
-        nowMs, id, attempt, outcome, 20, outcome == CallOutcome.OK, 0, new double[0]);
+        nowMs,
+        id,
+        attempt,
+        new AttemptResult(outcome, 20, 0, new double[0]),
+        outcome == CallOutcome.OK);
   }
 
   /** The first attempt of a request is answered, after so long. */
   void answerAfter(long id, double tookMs) {
-    engine.attemptEnded(nowMs, id, 0, CallOutcome.OK, tookMs, true, 0, new double[0]);
+    engine.attemptEnded(
+        nowMs, id, 0, new AttemptResult(CallOutcome.OK, tookMs, 0, new double[0]), true);
   }
 
   /** Advances the clock, firing the timers that fall due. */
--- a/src/test/java/edgenode/policy/PolicyRulesTest.java
+++ b/src/test/java/edgenode/policy/PolicyRulesTest.java
@@ -182,11 +182,8 @@
           gateway.nowMs,
           i,
           (int) gateway.actionCount("send " + i + " ") - 1,
-          CallOutcome.OK,
-          75,
-          true,
-          0,
-          new double[0]);
+          new AttemptResult(CallOutcome.OK, 75, 0, new double[0]),
+          true);
       gateway.arrive(100 + i, "once", "big", "c");
       gateway.answerAfter(100 + i, 75);
     }
@@ -299,7 +296,8 @@
     FakeGateway gateway = FakeGateway.withoutCounter().start();
     gateway.engine.endpointsChanged(0, List.of(), true);
     gateway.engine.clientDisconnected(0, 99);
-    gateway.engine.attemptEnded(0, 99, 0, CallOutcome.OK, 1, true, 0, new double[0]);
+    gateway.engine.attemptEnded(
+        0, 99, 0, new AttemptResult(CallOutcome.OK, 1, 0, new double[0]), true);
     gateway.engine.timerFired(0, 12345);
     gateway.engine.healthCheckEnded(0, "s9", CallOutcome.OK, 1, new double[0]);
     gateway.engine.counterCallEnded(0, 5, CallOutcome.OK, 1, 3);
--- a/src/test/java/edgenode/policy/QuotaTest.java
+++ b/src/test/java/edgenode/policy/QuotaTest.java
@@ -289,7 +289,7 @@
     gateway.start().listEndpoints(8);
     gateway.arrive(1, "read", "rate", "c", 1, 2);
     gateway.answerCounter(OK);
-    gateway.engine.attemptEnded(0, 1, 0, OK, 20, true, 4, new double[0]);
+    gateway.engine.attemptEnded(0, 1, 0, new AttemptResult(OK, 20, 4, new double[0]), true);
     gateway.arrive(2, "read", "rate", "c", 1, 2);
     assertEquals(
         1, gateway.actionCount("add 4.0"), "the 3 more of the first request and the 1 of this one");
--- a/src/test/java/edgenode/policy/RandomScenario.java
+++ b/src/test/java/edgenode/policy/RandomScenario.java
@@ -68,11 +68,9 @@
             gateway.nowMs,
             id,
             (int) Math.max(0, gateway.actionCount("send " + id + " ") - 1),
-            outcome,
-            10 + random.nextInt(random.nextInt(8) == 0 ? 590 : 60),
-            outcome == CallOutcome.OK,
-            0,
-            new double[0]);
+            new AttemptResult(
+                outcome, 10 + random.nextInt(random.nextInt(8) == 0 ? 590 : 60), 0, new double[0]),
+            outcome == CallOutcome.OK);
       }
     }
     return gateway;
--- a/src/test/java/edgenode/policy/SlowStartFleetTest.java
+++ b/src/test/java/edgenode/policy/SlowStartFleetTest.java
@@ -183,7 +183,7 @@
 
       private void answer(long id, int number, double tookMs) {
         engines[index].attemptEnded(
-            nowMs, id, number, CallOutcome.OK, tookMs, true, 0, new double[0]);
+            nowMs, id, number, new AttemptResult(CallOutcome.OK, tookMs, 0, new double[0]), true);
       }
 
       @Override
--- a/src/test/java/edgenode/simulation/ScenarioRunTest.java
+++ b/src/test/java/edgenode/simulation/ScenarioRunTest.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import edgenode.node.NoOpPolicyEvents;
 import edgenode.node.PolicyFactory;
-import edgenode.policy.CallOutcome;
+import edgenode.policy.AttemptResult;
 import edgenode.policy.IncomingRequest;
 import edgenode.policy.PolicyActions;
 import edgenode.policy.PolicyEngine;
@@ -108,15 +108,7 @@
     }
 
     @Override
-    public void attemptEnded(
-        double now,
-        long id,
-        int attempt,
-        CallOutcome outcome,
-        double took,
-        boolean over,
-        int trueUnits,
-        double[] load) {
+    public void attemptEnded(double now, long id, int attempt, AttemptResult result, boolean over) {
       if (!over && attempt == 0 && then != null) {
         act.send(id, then, 0);
       } else if (!over) {
--- a/src/test/java/edgenode/simulation/fleet/FaultyPolicy.java
+++ b/src/test/java/edgenode/simulation/fleet/FaultyPolicy.java
@@ -1,5 +1,6 @@
 package edgenode.simulation.fleet;
 
+import edgenode.policy.AttemptResult;
 import edgenode.policy.CallOutcome;
 import edgenode.policy.EndpointInfo;
 import edgenode.policy.EndpointState;
@@ -84,16 +85,9 @@
 
   @Override
   public void attemptEnded(
-      double timeMs,
-      long id,
-      int attempt,
-      CallOutcome outcome,
-      double tookMs,
-      boolean isOver,
-      int trueUnits,
-      double[] load) {
+      double timeMs, long id, int attempt, AttemptResult result, boolean isOver) {
     nowMs = timeMs;
-    policy.attemptEnded(timeMs, id, attempt, outcome, tookMs, isOver, trueUnits, load);
+    policy.attemptEnded(timeMs, id, attempt, result, isOver);
     if (isOver && isFaultDue(Fault.SENDS_AFTER_END)) {
       actions.send(id, lastServer, 0);
     }
