--- a/src/main/java/edgenode/node/PendingRequest.java
+++ b/src/main/java/edgenode/node/PendingRequest.java
@@ -186,7 +186,7 @@
     double writeDeadlineMs =
         firstWrittenAtMs
             + table.settings.idempotencyWindowMs(call.className())
-            - table.settings.tickMs();
+            - table.settings.timerResolutionMs();
     UpstreamAttempt attempt =
         new UpstreamAttempt(this, attempts.size(), endpointId, table.loop.nowMs(), writeDeadlineMs);
     attempts.add(attempt);
--- a/src/main/java/edgenode/policy/AdmissionQueue.java
+++ b/src/main/java/edgenode/policy/AdmissionQueue.java
@@ -15,7 +15,7 @@
   private final HardCeiling ceiling;
   private final OpenRequestCap openRequests;
   private final RequestLifecycle lifecycle;
-  private final double tickMs;
+  private final double timerResolutionMs;
   private final double counterTimeoutMs;
   private final ArrayDeque<Customer> dispatchRing = new ArrayDeque<>();
 
@@ -31,7 +31,7 @@
     this.ceiling = ceiling;
     this.openRequests = openRequests;
     this.lifecycle = lifecycle;
-    tickMs = settings.tickMs();
+    timerResolutionMs = settings.timerResolutionMs();
     counterTimeoutMs = settings.capabilities().counterTimeoutMs();
   }
 
@@ -58,9 +58,9 @@
     double counterAnswerMs = nowMs + (request.customer.isUnshared ? 0 : counterTimeoutMs);
     double lastMs =
         Math.max(
-            request.lastUsefulStartMs(tickMs),
-            Math.min(counterAnswerMs, request.lastAnswerMs(tickMs)));
-    return Math.max(nowMs + tickMs, lastMs);
+            request.lastUsefulStartMs(timerResolutionMs),
+            Math.min(counterAnswerMs, request.lastAnswerMs(timerResolutionMs)));
+    return Math.max(nowMs + timerResolutionMs, lastMs);
   }
 
   /** Sends queued requests until each customer lacks quota or no endpoint can take one. */
--- a/src/main/java/edgenode/policy/Pacer.java
+++ b/src/main/java/edgenode/policy/Pacer.java
@@ -41,7 +41,7 @@
   private static final double INITIAL_ATTEMPTS_PER_ENDPOINT = 2;
 
   private final PolicyTimers timers;
-  private final double tickMs;
+  private final double timerResolutionMs;
   private final int nodeCount;
   private final double meanObjectiveMs;
 
@@ -58,7 +58,7 @@
   Pacer(PolicySettings settings, PolicyTimers timers, double meanObjectiveMs) {
     this.timers = timers;
     this.meanObjectiveMs = meanObjectiveMs;
-    tickMs = settings.tickMs();
+    timerResolutionMs = settings.timerResolutionMs();
     nodeCount = settings.nodeCount();
   }
 
@@ -102,7 +102,7 @@
     tokens = Math.min(maxTokens(), tokens + refill);
     refilledAtMs = nowMs;
     if (tokens < 1 && nowMs >= wakeAtMs) {
-      wakeAtMs = nowMs + Math.max(tickMs, (1 - tokens) / ratePerSecond * 1000);
+      wakeAtMs = nowMs + Math.max(timerResolutionMs, (1 - tokens) / ratePerSecond * 1000);
       timers.schedule(TimerKind.DISPATCH, wakeAtMs);
     }
     return tokens >= 1;
--- a/src/main/java/edgenode/policy/PendingRequest.java
+++ b/src/main/java/edgenode/policy/PendingRequest.java
@@ -66,13 +66,14 @@
   }
 
   /** The latest time at which a first attempt is still worth sending. */
-  double lastUsefulStartMs(double tickMs) {
-    return Math.min(usefulUntilMs - MIN_MEAN_TIMES_LEFT * classStats.meanMs, lastAnswerMs(tickMs));
+  double lastUsefulStartMs(double timerResolutionMs) {
+    return Math.min(
+        usefulUntilMs - MIN_MEAN_TIMES_LEFT * classStats.meanMs, lastAnswerMs(timerResolutionMs));
   }
 
   /** The latest time at which an answer still reaches the client for certain: two ticks early. */
-  double lastAnswerMs(double tickMs) {
-    return deadlineMs - 2 * tickMs;
+  double lastAnswerMs(double timerResolutionMs) {
+    return deadlineMs - 2 * timerResolutionMs;
   }
 
   Attempt lastAttempt() {
--- a/src/main/java/edgenode/policy/PolicySettings.java
+++ b/src/main/java/edgenode/policy/PolicySettings.java
@@ -8,7 +8,7 @@
  * @param nodeIndex its number in the fleet, from 0
  * @param nodeCount nodes of the fleet
  * @param zone its zone
- * @param tickMs the shortest time that the shell's timers can tell apart
+ * @param timerResolutionMs the shortest time that the shell's timers can tell apart
  * @param mustPollDiscovery whether the engine calls discovery itself
  * @param settlesUnits whether answers tell what a request really took of the quota
  * @param maxRequestUnits units of a request at most
@@ -23,7 +23,7 @@
     int nodeIndex,
     int nodeCount,
     String zone,
-    double tickMs,
+    double timerResolutionMs,
     boolean mustPollDiscovery,
     boolean settlesUnits,
     int maxRequestUnits,
--- a/src/main/java/edgenode/policy/QuotaReservations.java
+++ b/src/main/java/edgenode/policy/QuotaReservations.java
@@ -41,7 +41,7 @@
   private final CustomerTable customers;
   private final CounterCallBudget counterCalls;
   private final UsageEstimator estimator;
-  private final double tickMs;
+  private final double timerResolutionMs;
   private final int maxRequestUnits;
   private final double longestObjectiveMs;
   private double usualGrantShare = 1;
@@ -58,7 +58,7 @@
     this.counterCalls = counterCalls;
     this.estimator = estimator;
     this.longestObjectiveMs = longestObjectiveMs;
-    tickMs = settings.tickMs();
+    timerResolutionMs = settings.timerResolutionMs();
     maxRequestUnits = settings.maxRequestUnits();
   }
 
@@ -91,7 +91,7 @@
   private boolean canCoverInTime(Customer customer, PendingRequest request) {
     double evenShare = 1.0 / customer.nodeSpread;
     double share = Math.min(1, SHARES_FOR_A_CALL * Math.max(customer.usageShare, evenShare));
-    double sinceReadingMs = request.lastUsefulStartMs(tickMs) - customer.lastReadAtMs;
+    double sinceReadingMs = request.lastUsefulStartMs(timerResolutionMs) - customer.lastReadAtMs;
     double expected =
         customer.lastReadUnits + customer.plan.ratePerSecond() / 1000 * sinceReadingMs * share;
     return expected >= request.units();
@@ -332,7 +332,7 @@
     double waitMs =
         customer.queue.isEmpty()
             ? 0
-            : Math.max(0, customer.queue.last().lastUsefulStartMs(tickMs) - nowMs);
+            : Math.max(0, customer.queue.last().lastUsefulStartMs(timerResolutionMs) - nowMs);
     double granted = wholeUnits(Math.min(wanted, bucketUnits + ratePerMs * waitMs));
     double ready = wholeUnits(Math.min(granted, bucketUnits));
     // spent by the estimate while this call was overdue
--- a/src/main/java/edgenode/policy/RetryPolicy.java
+++ b/src/main/java/edgenode/policy/RetryPolicy.java
@@ -8,12 +8,12 @@
  */
 final class RetryPolicy {
   private final PolicyTimers timers;
-  private final double tickMs;
+  private final double timerResolutionMs;
   private final int maxAttempts;
 
   RetryPolicy(PolicySettings settings, PolicyTimers timers) {
     this.timers = timers;
-    tickMs = settings.tickMs();
+    timerResolutionMs = settings.timerResolutionMs();
     maxAttempts = settings.capabilities().maxAttempts();
   }
 
@@ -21,7 +21,7 @@
   boolean shouldRetry(PendingRequest request) {
     double nowMs = timers.nowMs();
     return nowMs < request.usefulUntilMs
-        && nowMs < request.lastAnswerMs(tickMs)
+        && nowMs < request.lastAnswerMs(timerResolutionMs)
         && request.attempts.size() < maxAttempts
         && isRepeatable(request);
   }
@@ -36,7 +36,8 @@
     return switch (requestClass.idempotency()) {
       case IDEMPOTENT -> true;
       case KEYED ->
-          timers.nowMs() - first.sentAtMs < requestClass.idempotencyWindowMs() - 2 * tickMs;
+          timers.nowMs() - first.sentAtMs
+              < requestClass.idempotencyWindowMs() - 2 * timerResolutionMs;
       case NOT_IDEMPOTENT -> false;
     };
   }
--- a/src/test/java/edgenode/simulation/ScenarioRunTest.java
+++ b/src/test/java/edgenode/simulation/ScenarioRunTest.java
@@ -123,7 +123,7 @@
         s.nodeIndex(),
         s.nodeCount(),
         s.zone(),
-        s.tickMs(),
+        s.timerResolutionMs(),
         s.mustPollDiscovery(),
         s.settlesUnits(),
         s.maxRequestUnits(),
