--- a/src/main/java/edgenode/policy/PendingRequest.java
+++ b/src/main/java/edgenode/policy/PendingRequest.java
@@ -71,7 +71,10 @@
         usefulUntilMs - MIN_MEAN_TIMES_LEFT * classStats.meanMs, lastAnswerMs(timerResolutionMs));
   }
 
-  /** The latest time at which an answer still reaches the client for certain: two ticks early. */
+  /**
+   * The latest time at which an answer still reaches the client for certain: two timer resolutions
+   * early.
+   */
   double lastAnswerMs(double timerResolutionMs) {
     return deadlineMs - 2 * timerResolutionMs;
   }
--- a/src/test/java/edgenode/ArchitectureTest.java
+++ b/src/test/java/edgenode/ArchitectureTest.java
@@ -26,7 +26,8 @@
                   || c.getPackageName().equals("edgenode.policy.subset")
                   || c.getName()
                       .matches(
-                          "edgenode\\.emulator\\.(CapacityModel|IdempotencyGroupModel|ArrivalProcess|ClientLoadBalancer)(\\$.*)?")
+                          "edgenode\\.emulator\\.(CapacityModel|IdempotencyGroupModel|ArrivalProcess"
+                              + "|ClientLoadBalancer)(\\$.*)?")
                   || c.getPackageName().equals("edgenode.simulation.invariants")
                   || c.getPackageName().equals("edgenode.drain")
                   || c.getPackageName().equals("edgenode.ledger")
@@ -36,7 +37,8 @@
 
   /** What goes into the policy and what comes out of it. */
   private static final String POLICY_MODEL =
-      "edgenode\\.policy\\.(AttemptResult|CallOutcome|Capabilities|EndpointInfo|EndpointState|Idempotency"
+      "edgenode\\.policy\\.(AttemptResult|CallOutcome|Capabilities|EndpointInfo|EndpointState"
+          + "|Idempotency"
           + "|IdempotencyGroup|IncomingRequest|PolicyActions|PolicyEvents|PolicySettings|Prices"
           + "|QuotaPlan|RequestClass|RuleLimits)(\\$.*)?";
 
