--- a/src/main/java/edgenode/benchmark/WireStudies.java
+++ b/src/main/java/edgenode/benchmark/WireStudies.java
@@ -189,7 +189,7 @@
     public void discoveryRefused() {}
 
     @Override
-    public void probeEndpoint(String id) {}
+    public void checkReachable(String id) {}
   }
 
   /** One node at an agent, from its start through some seconds in which nothing changes. */
--- a/src/main/java/edgenode/membership/Membership.java
+++ b/src/main/java/edgenode/membership/Membership.java
@@ -225,7 +225,7 @@
    * Endpoints to which a connect should be tried now and then: those that are unreachable, and
    * those in use against the list.
    */
-  public Collection<String> endpointsToProbe() {
+  public Collection<String> endpointsToCheck() {
     if (table.unreachableIds().isEmpty() && quarantine.activeIds().isEmpty()) {
       return List.of();
     }
--- a/src/main/java/edgenode/membership/MembershipLimits.java
+++ b/src/main/java/edgenode/membership/MembershipLimits.java
@@ -37,7 +37,20 @@
     int refusedConnectThreshold,
     int connectTimeoutThreshold) {
 
-  /** A share that every list reaches which has an endpoint at all. */
+  private static final double DEFAULT_RECOVERY_DELAY_MS = 100;
+  private static final double DEFAULT_MAX_RECOVERY_DELAY_MS = 1600;
+  private static final double DEFAULT_FLAP_WINDOW_MS = 10_000;
+  private static final double DEFAULT_MIN_RETAINED_SHARE = 0.5;
+  private static final double DEFAULT_SHRUNK_LIST_QUARANTINE_MS = 2000;
+  private static final double DEFAULT_EMPTY_LIST_QUARANTINE_MS = 30_000;
+  private static final double DEFAULT_LIVENESS_WINDOW_MS = 1000;
+  private static final double DEFAULT_STALE_VERSION_TIMEOUT_MS = 2000;
+  private static final double DEFAULT_RETIRED_SOURCE_TTL_MS = 2000;
+  private static final double DEFAULT_STALE_VIEW_AFTER_MS = 5000;
+  private static final int DEFAULT_REFUSED_CONNECT_THRESHOLD = 2;
+  private static final int DEFAULT_CONNECT_TIMEOUT_THRESHOLD = 3;
+
+  /** A minRetainedShare under which only a list without any endpoint that is up is quarantined. */
   private static final double EMPTY_LISTS_ONLY = 1e-9;
 
   /**
@@ -73,7 +86,19 @@
   /** The defaults for other installations than the platform. */
   public static MembershipLimits defaults(double warmUpMs) {
     return new MembershipLimits(
-        100, 1600, 10_000, 0.5, 2000, 30_000, 1000, 2000, 2000, 5000, warmUpMs, 2, 3);
+        DEFAULT_RECOVERY_DELAY_MS,
+        DEFAULT_MAX_RECOVERY_DELAY_MS,
+        DEFAULT_FLAP_WINDOW_MS,
+        DEFAULT_MIN_RETAINED_SHARE,
+        DEFAULT_SHRUNK_LIST_QUARANTINE_MS,
+        DEFAULT_EMPTY_LIST_QUARANTINE_MS,
+        DEFAULT_LIVENESS_WINDOW_MS,
+        DEFAULT_STALE_VERSION_TIMEOUT_MS,
+        DEFAULT_RETIRED_SOURCE_TTL_MS,
+        DEFAULT_STALE_VIEW_AFTER_MS,
+        warmUpMs,
+        DEFAULT_REFUSED_CONNECT_THRESHOLD,
+        DEFAULT_CONNECT_TIMEOUT_THRESHOLD);
   }
 
   /**
--- a/src/main/java/edgenode/net/discovery/AgentSession.java
+++ b/src/main/java/edgenode/net/discovery/AgentSession.java
@@ -1,12 +1,11 @@
 package edgenode.net.discovery;
 
 import edgenode.eventloop.EdgeEventLoop;
+import edgenode.eventloop.Transport;
 import edgenode.membership.EndpointSourceListener;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ConnectTimeoutException;
-import java.net.ConnectException;
 import java.net.InetSocketAddress;
 
 /** What the connections to one agent share. Lives on the event loop. */
@@ -75,9 +74,7 @@
                 return;
               }
               openConnections--;
-              boolean isRefused =
-                  result.cause() instanceof ConnectException
-                      && !(result.cause() instanceof ConnectTimeoutException);
+              boolean isRefused = Transport.isRefused(result.cause());
               connection.connectFailed(isRefused);
               reportIfClosed();
             });
--- a/src/main/java/edgenode/net/discovery/AgentWatch.java
+++ b/src/main/java/edgenode/net/discovery/AgentWatch.java
@@ -27,10 +27,13 @@
   private static final double TIMER_SLACK_MS = 1;
 
   private final AgentSession session;
-  private WatchConnection current;
+  private WatchConnection following;
 
-  /** The connection that {@link #current} will replace as soon as it is answered. */
-  private WatchConnection previous;
+  /**
+   * The watch that stays in use until its replacement, which is being connected or waits for its
+   * response, is answered; null where none is replaced.
+   */
+  private WatchConnection retiring;
 
   private boolean isConnecting;
   private double backoffMs = INITIAL_BACKOFF_MS;
@@ -44,7 +47,7 @@
 
   /** Opens a watch, unless there is one or the source was retired. */
   void open() {
-    if (isConnecting || current != null || session.isRetired()) {
+    if (isConnecting || following != null || session.isRetired()) {
       return;
     }
     isConnecting = true;
@@ -53,9 +56,9 @@
 
   /** Replaces an established watch by a new one. */
   void reopen() {
-    if (current != null) {
-      WatchConnection old = current;
-      current = null;
+    if (following != null) {
+      WatchConnection old = following;
+      following = null;
       old.close();
       open();
     }
@@ -63,19 +66,19 @@
 
   /** Closes the established connections. */
   void close() {
-    if (current != null) {
-      current.close();
+    if (following != null) {
+      following.close();
     }
-    if (previous != null) {
-      previous.close();
+    if (retiring != null) {
+      retiring.close();
     }
   }
 
   /** Closes a watch that has been silent for too long. */
   void checkSilence(double nowMs) {
-    if (current != null && nowMs - current.lastReadMs() > SILENCE_TIMEOUT_MS) {
-      backoffMs = INITIAL_BACKOFF_MS; // it was waited for long enough
-      current.close();
+    if (following != null && nowMs - following.lastReadMs() > SILENCE_TIMEOUT_MS) {
+      backoffMs = INITIAL_BACKOFF_MS; // the silence was the pause: connect again without backoff
+      following.close();
     }
   }
 
@@ -91,9 +94,9 @@
   /** Renews a watch that has said nothing for a poll interval. */
   void renewIfQuiet(double nowMs) {
     renewalIntervalMs = AgentSource.POLL_INTERVAL_MS;
-    if (current != null
-        && current.isAwaitingResponse()
-        && nowMs - current.lastReadMs() >= AgentSource.POLL_INTERVAL_MS - TIMER_SLACK_MS) {
+    if (following != null
+        && following.isAwaitingResponse()
+        && nowMs - following.lastReadMs() >= AgentSource.POLL_INTERVAL_MS - TIMER_SLACK_MS) {
       renew();
     }
   }
@@ -104,12 +107,12 @@
     if (isConnecting || nowMs - renewedAtMs < renewalIntervalMs) {
       return;
     }
-    if (previous != null) { // the newest has not been answered either
-      previous.close();
+    if (retiring != null) { // the newest has not been answered either
+      retiring.close();
     }
     renewedAtMs = nowMs;
-    previous = current;
-    current = null;
+    retiring = following;
+    following = null;
     open();
   }
 
@@ -117,34 +120,34 @@
 
   /** The first list of a watch arrived. */
   void listReceived(long version) {
-    if (current != null && version <= current.version()) {
+    if (following != null && version <= following.version()) {
       caughtUp();
     }
   }
 
   /** A poll brought a list: a watch that stays behind it has stalled. */
   void pollReceived(long version) {
-    if (current == null) {
+    if (following == null) {
       return;
     }
-    if (version <= current.version()) {
+    if (version <= following.version()) {
       caughtUp();
       return;
     }
-    if (!current.isStreaming()) {
+    if (!following.isStreaming()) {
       return;
     }
     double nowMs = session.loop.nowMs();
-    if (Double.isNaN(current.behindSinceMs())) {
-      current.setBehindSinceMs(nowMs);
-    } else if (nowMs - current.behindSinceMs() >= MAX_LAG_MS) {
+    if (Double.isNaN(following.behindSinceMs())) {
+      following.setBehindSinceMs(nowMs);
+    } else if (nowMs - following.behindSinceMs() >= MAX_LAG_MS) {
       renew();
       renewalIntervalMs = Math.min(2 * renewalIntervalMs, MAX_BACKOFF_MS);
     }
   }
 
   private void caughtUp() {
-    current.setBehindSinceMs(Double.NaN);
+    following.setBehindSinceMs(Double.NaN);
     renewalIntervalMs = AgentSource.POLL_INTERVAL_MS;
   }
 
@@ -152,13 +155,13 @@
 
   void established(WatchConnection connection) {
     isConnecting = false;
-    current = connection;
+    following = connection;
   }
 
   /** The response to a watch began: the one that it replaces ends. */
   void responseStarted(WatchConnection connection) {
-    if (previous != null && previous != connection) {
-      previous.close();
+    if (retiring != null && retiring != connection) {
+      retiring.close();
     }
   }
 
@@ -179,19 +182,19 @@
   }
 
   void connectFailed(boolean isRefused) {
-    if (previous != null) { // the one that stands goes on
-      current = previous;
-      previous = null;
+    if (retiring != null) { // the one that stands goes on
+      following = retiring;
+      retiring = null;
     }
     failed(isRefused);
   }
 
   void disconnected(WatchConnection connection) {
-    if (connection == current) {
-      current = null;
+    if (connection == following) {
+      following = null;
       failed(false);
-    } else if (connection == previous) {
-      previous = null;
+    } else if (connection == retiring) {
+      retiring = null;
     }
   }
 
--- a/src/main/java/edgenode/net/discovery/HttpPollingSource.java
+++ b/src/main/java/edgenode/net/discovery/HttpPollingSource.java
@@ -1,6 +1,7 @@
 package edgenode.net.discovery;
 
 import edgenode.eventloop.EdgeEventLoop;
+import edgenode.eventloop.Transport;
 import edgenode.membership.DiscoveredEndpoint;
 import edgenode.membership.EndpointSource;
 import edgenode.membership.EndpointSourceListener;
@@ -9,7 +10,6 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ConnectTimeoutException;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -18,7 +18,6 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
-import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.SocketException;
 import java.util.List;
@@ -178,9 +177,7 @@
               isConnecting = false;
               if (!result.isSuccess()) {
                 openConnections--;
-                failed(
-                    result.cause() instanceof ConnectException
-                        && !(result.cause() instanceof ConnectTimeoutException));
+                failed(Transport.isRefused(result.cause()));
               }
             });
   }
--- a/src/main/java/edgenode/net/discovery/MembershipListener.java
+++ b/src/main/java/edgenode/net/discovery/MembershipListener.java
@@ -23,5 +23,5 @@
    * Tries a connect to an endpoint, and reports the result to {@link MembershipService#connected}
    * or {@link MembershipService#connectFailed}.
    */
-  void probeEndpoint(String id);
+  void checkReachable(String id);
 }
--- a/src/main/java/edgenode/net/discovery/MembershipService.java
+++ b/src/main/java/edgenode/net/discovery/MembershipService.java
@@ -27,7 +27,7 @@
   /** So many refused connects in a row are not the restart of an agent. */
   private static final int REFUSED_CONNECT_THRESHOLD = 4;
 
-  private static final double PROBE_INTERVAL_MS = 250;
+  private static final double REACHABILITY_CHECK_INTERVAL_MS = 250;
   private static final int FAIL_OVER_CHECKS = 4;
 
   private final EdgeEventLoop loop;
@@ -42,7 +42,7 @@
   private String sourceId;
   private int sourceCount;
   private int refusedConnects;
-  private boolean isProbeScheduled;
+  private boolean isCheckScheduled;
   private Future<?> timer;
   private double timerAtMs = Double.POSITIVE_INFINITY;
 
@@ -250,22 +250,22 @@
     if (update.mustResync() && source != null) {
       source.resync();
     }
-    scheduleProbes();
+    scheduleReachabilityChecks();
     scheduleTick();
   }
 
-  private void scheduleProbes() {
-    if (isProbeScheduled || membership.endpointsToProbe().isEmpty()) {
+  private void scheduleReachabilityChecks() {
+    if (isCheckScheduled || membership.endpointsToCheck().isEmpty()) {
       return;
     }
-    isProbeScheduled = true;
+    isCheckScheduled = true;
     loop.schedule(
-        PROBE_INTERVAL_MS,
+        REACHABILITY_CHECK_INTERVAL_MS,
         () -> {
-          isProbeScheduled = false;
-          Collection<String> ids = new ArrayList<>(membership.endpointsToProbe());
-          ids.forEach(listener::probeEndpoint);
-          scheduleProbes();
+          isCheckScheduled = false;
+          Collection<String> ids = new ArrayList<>(membership.endpointsToCheck());
+          ids.forEach(listener::checkReachable);
+          scheduleReachabilityChecks();
         });
   }
 
--- a/src/main/java/edgenode/net/discovery/WatchConnection.java
+++ b/src/main/java/edgenode/net/discovery/WatchConnection.java
@@ -154,7 +154,8 @@
 
   @Override
   void timedOut() {
-    if (hasResponseBytes()) { // before its first list has begun, discovery may just be down
+    // without any byte yet discovery may be down: then AgentWatch.checkSilence ends it
+    if (hasResponseBytes()) {
       close();
     }
   }
--- a/src/main/java/edgenode/node/MembershipUpdates.java
+++ b/src/main/java/edgenode/node/MembershipUpdates.java
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public void probeEndpoint(String endpointId) {
+  public void checkReachable(String endpointId) {
     upstream.checkReachable(endpointId);
   }
 }
--- a/src/main/java/edgenode/policy/PolicyEngine.java
+++ b/src/main/java/edgenode/policy/PolicyEngine.java
@@ -99,9 +99,9 @@
   }
 
   @Override
-  public void endpointsChanged(double eventMs, List<EndpointInfo> list, boolean isComplete) {
-    advanceTo(eventMs);
-    endpoints.update(list, isComplete);
+  public void endpointsChanged(double nowMs, List<EndpointInfo> endpointInfos, boolean isComplete) {
+    advanceTo(nowMs);
+    endpoints.update(endpointInfos, isComplete);
     if (tickCount < START_TICKS && endpoints.upCount() > 0) {
       pacer.start(endpoints.upCount());
     }
@@ -109,14 +109,14 @@
   }
 
   @Override
-  public void discoveryFailed(double eventMs) {
-    advanceTo(eventMs);
+  public void discoveryFailed(double nowMs) {
+    advanceTo(nowMs);
     discovery.callFailed();
   }
 
   @Override
-  public void requestArrived(double eventMs, IncomingRequest incoming) {
-    advanceTo(eventMs);
+  public void requestArrived(double nowMs, IncomingRequest incoming) {
+    advanceTo(nowMs);
     RequestClassStats classStats = requestClasses.find(incoming.className());
     QuotaPlan plan = customers.findPlan(incoming.planName());
     if (classStats == null || plan == null) {
@@ -135,8 +135,8 @@
   }
 
   @Override
-  public void responseStarted(double eventMs, long requestId, int attempt) {
-    advanceTo(eventMs);
+  public void responseStarted(double nowMs, long requestId, int attempt) {
+    advanceTo(nowMs);
     PendingRequest request = lifecycle.find(requestId);
     if (request != null) {
       request.isStreaming = true;
@@ -145,22 +145,22 @@
 
   @Override
   public void attemptEnded(
-      double eventMs, long id, int number, AttemptResult result, boolean isAnswered) {
-    advanceTo(eventMs);
+      double nowMs, long id, int attemptNumber, AttemptResult result, boolean isRequestOver) {
+    advanceTo(nowMs);
     PendingRequest request = lifecycle.find(id);
     if (request == null
-        || number < 0
-        || number >= request.attempts.size()
-        || request.attempts.get(number).outcome != null) {
+        || attemptNumber < 0
+        || attemptNumber >= request.attempts.size()
+        || request.attempts.get(attemptNumber).outcome != null) {
       return;
     }
-    Attempt attempt = request.attempts.get(number);
+    Attempt attempt = request.attempts.get(attemptNumber);
     lifecycle.recordEnd(attempt, result.outcome());
     outcomes.record(attempt.endpoint, request.classStats, result.outcome(), result.tookMs());
     if (result.outcome() == CallOutcome.OK && result.trueUnits() > 0 && settlesUnits) {
       reservations.recordTrueUnits(request.customer, result.trueUnits() - request.units());
     }
-    if (isAnswered || request.isFinished) {
+    if (isRequestOver || request.isFinished) {
       lifecycle.finish(request);
     } else if (request.inFlight == 0) {
       lifecycle.retryOrAnswer(request);
@@ -170,8 +170,8 @@
   }
 
   @Override
-  public void clientDisconnected(double eventMs, long requestId) {
-    advanceTo(eventMs);
+  public void clientDisconnected(double nowMs, long requestId) {
+    advanceTo(nowMs);
     PendingRequest request = lifecycle.find(requestId);
     if (request != null) {
       lifecycle.finish(request);
@@ -179,9 +179,9 @@
   }
 
   @Override
-  public void timerFired(double eventMs, long token) {
-    boolean isLast = timers.isLastShellTimer(eventMs);
-    advanceTo(eventMs);
+  public void timerFired(double nowMs, long token) {
+    boolean isLast = timers.isLastShellTimer(nowMs);
+    advanceTo(nowMs);
     queue.dispatch();
     if (isLast) { // an earlier one leaves the one that is still to come alone
       timers.setNextShellTimer();
@@ -190,14 +190,14 @@
 
   @Override
   public void healthCheckEnded(
-      double eventMs, String endpointId, CallOutcome outcome, double tookMs, double[] loadReport) {
-    advanceTo(eventMs);
+      double nowMs, String endpointId, CallOutcome outcome, double tookMs, double[] loadReport) {
+    advanceTo(nowMs);
   }
 
   @Override
   public void counterCallEnded(
-      double eventMs, long name, CallOutcome outcome, double tookMs, double total) {
-    advanceTo(eventMs);
+      double nowMs, long name, CallOutcome outcome, double tookMs, double total) {
+    advanceTo(nowMs);
     OpenCounterCall call = counterCalls.callEnded(name, outcome, tookMs);
     if (call == null) {
       return;
@@ -224,8 +224,8 @@
   }
 
   /** Moves the time on and runs the timers that are due by then. */
-  private void advanceTo(double eventMs) {
-    timers.advanceTo(eventMs);
+  private void advanceTo(double nowMs) {
+    timers.advanceTo(nowMs);
     PolicyTimers.Timer timer = timers.pollDue();
     while (timer != null) {
       run(timer);
--- a/src/main/java/edgenode/simulation/fleet/FleetCounters.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetCounters.java
@@ -48,7 +48,7 @@
   long connects;
 
   /** Connection probes of ejected or quarantined servers. */
-  long probes;
+  long reachabilityChecks;
 
   long counterCalls;
   long counterBytes;
--- a/src/main/java/edgenode/simulation/fleet/FleetFigures.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetFigures.java
@@ -69,7 +69,7 @@
     add(
         figures,
         "connect tries of dead and held servers a node and second",
-        counters.probes / seconds,
+        counters.reachabilityChecks / seconds,
         "1/s");
   }
 
--- a/src/main/java/edgenode/simulation/fleet/ModelMembership.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelMembership.java
@@ -19,7 +19,7 @@
  */
 final class ModelMembership {
   /** Between probes of ejected or quarantined endpoints (ms), as in {@code MembershipService}. */
-  private static final double PROBE_INTERVAL_MS = 250;
+  private static final double REACHABILITY_CHECK_INTERVAL_MS = 250;
 
   private static final String SOURCE_NAME = "discovery";
   private static final char ID_PREFIX = 's';
@@ -40,7 +40,7 @@
   private final int[] appliedChangeCount;
 
   private boolean isReady;
-  private boolean isProbeScheduled;
+  private boolean isCheckScheduled;
   private double tickDueMs = Double.POSITIVE_INFINITY;
 
   ModelMembership(
@@ -172,7 +172,7 @@
     if (update.mustResync()) {
       discovery.resync(node);
     }
-    scheduleProbes();
+    scheduleReachabilityChecks();
     scheduleTick();
   }
 
@@ -192,32 +192,32 @@
     }
   }
 
-  private void scheduleProbes() {
-    if (isProbeScheduled || membership.endpointsToProbe().isEmpty()) {
+  private void scheduleReachabilityChecks() {
+    if (isCheckScheduled || membership.endpointsToCheck().isEmpty()) {
       return;
     }
-    isProbeScheduled = true;
-    timeline.scheduleAfter(PROBE_INTERVAL_MS, this::probe);
+    isCheckScheduled = true;
+    timeline.scheduleAfter(REACHABILITY_CHECK_INTERVAL_MS, this::checkReachability);
   }
 
-  private void probe() {
-    isProbeScheduled = false;
+  private void checkReachability() {
+    isCheckScheduled = false;
     if (node.isKilled()) {
       return;
     }
-    Collection<String> endpointIds = new ArrayList<>(membership.endpointsToProbe());
-    counters.probes += endpointIds.size();
+    Collection<String> endpointIds = new ArrayList<>(membership.endpointsToCheck());
+    counters.reachabilityChecks += endpointIds.size();
     for (String id : endpointIds) {
       AppServerModel server = servers.server(serverIndex(id));
       boolean timesOut = !server.isUp && server.isUnresponsive;
       timeline.scheduleAfter(
           timesOut ? Assumptions.CONNECT_TIMEOUT_MS : 2 * Assumptions.ONE_WAY_LATENCY_MS,
-          () -> probeEnded(server));
+          () -> checkEnded(server));
     }
-    scheduleProbes();
+    scheduleReachabilityChecks();
   }
 
-  private void probeEnded(AppServerModel server) {
+  private void checkEnded(AppServerModel server) {
     if (node.isKilled()) {
       return;
     }
--- a/src/main/java/edgenode/simulation/invariants/InvariantSuite.java
+++ b/src/main/java/edgenode/simulation/invariants/InvariantSuite.java
@@ -24,7 +24,7 @@
             new SlowStartInvariant(terms),
             new CeilingInvariant(terms),
             quotas,
-            new RequestTrace(nodes));
+            new TrafficInvariant(nodes));
   }
 
   @Override
--- a/src/main/java/edgenode/simulation/invariants/RequestTrace.java
+++ b/src/main/java/edgenode/simulation/invariants/TrafficInvariant.java
@@ -9,13 +9,13 @@
  * A day on which nothing was to be seen proves nothing: each edge node was asked, and somebody was
  * served.
  */
-public final class RequestTrace implements InvariantChecker {
+public final class TrafficInvariant implements InvariantChecker {
   private final int nodes;
   private final Set<Integer> asked = new TreeSet<>();
   private long served;
   private long sent;
 
-  public RequestTrace(int nodes) {
+  public TrafficInvariant(int nodes) {
     this.nodes = nodes;
   }
 
--- a/src/test/java/edgenode/membership/MembershipTest.java
+++ b/src/test/java/edgenode/membership/MembershipTest.java
@@ -219,7 +219,7 @@
     receive(SOURCE_A, 41, true);
     assertEquals("s0 s1 s2 s3", upEndpoints());
     assertEquals(1, messages.size());
-    assertTrue(membership.endpointsToProbe().containsAll(List.of("s0", "s1", "s2", "s3")));
+    assertTrue(membership.endpointsToCheck().containsAll(List.of("s0", "s1", "s2", "s3")));
     for (int i = 0; i < 40; i++) { // s3 does not respond
       advance(100);
       for (String id : List.of("s0", "s1", "s2")) {
@@ -236,7 +236,7 @@
       apply(membership.responded(nowMs, "s1"));
     }
     assertEquals("", upEndpoints()); // the quarantine of 30 s is over
-    assertTrue(membership.endpointsToProbe().isEmpty());
+    assertTrue(membership.endpointsToCheck().isEmpty());
   }
 
   @Test
@@ -348,7 +348,7 @@
     assertEquals("s0 s1", upEndpoints()); // one refused connect is not enough
     apply(membership.connectFailed(nowMs, "s0", true, 0));
     assertEquals("s1", upEndpoints());
-    assertEquals(List.of("s0"), List.copyOf(membership.endpointsToProbe()));
+    assertEquals(List.of("s0"), List.copyOf(membership.endpointsToCheck()));
     advance(3000);
     apply(membership.connected(nowMs, "s0"));
     double restartedAtMs = nowMs;
@@ -357,7 +357,7 @@
     assertEquals(restartedAtMs, view.get("s0").info().startedAtMs());
     receive(SOURCE_A, 41, false, endpoint("s0", "s0:1", EndpointState.UP, restartedAtMs - 30));
     assertEquals(restartedAtMs, view.get("s0").info().startedAtMs());
-    assertTrue(membership.endpointsToProbe().isEmpty());
+    assertTrue(membership.endpointsToCheck().isEmpty());
   }
 
   @Test
--- a/src/test/java/edgenode/net/discovery/EndpointSourceFixture.java
+++ b/src/test/java/edgenode/net/discovery/EndpointSourceFixture.java
@@ -98,7 +98,7 @@
     public void discoveryRefused() {}
 
     @Override
-    public void probeEndpoint(String id) {}
+    public void checkReachable(String id) {}
   }
 
   final void start(double failOverMs, SourceDefinition... definitions) {
--- a/src/test/java/edgenode/simulation/DiscoveryTermTest.java
+++ b/src/test/java/edgenode/simulation/DiscoveryTermTest.java
@@ -147,7 +147,7 @@
     public void discoveryRefused() {}
 
     @Override
-    public void probeEndpoint(String id) {}
+    public void checkReachable(String id) {}
   }
 
   static Stream<Arguments> outages() {
--- a/src/test/java/edgenode/simulation/invariants/InvariantSuiteTest.java
+++ b/src/test/java/edgenode/simulation/invariants/InvariantSuiteTest.java
@@ -447,11 +447,11 @@
   @Test
   void aDayOnWhichNobodyIsServedIsNoCleanOne() {
     asked(0, "1", "look").heard(1, "1", Event.Answer.BUSY, "BUSY");
-    finds(1, new RequestTrace(1), "no evidence");
+    finds(1, new TrafficInvariant(1), "no evidence");
     served("1", 0);
-    silent(new RequestTrace(1));
+    silent(new TrafficInvariant(1));
     served("1", 0);
-    finds(1, new RequestTrace(2), "of 2 edge nodes 1");
+    finds(1, new TrafficInvariant(2), "of 2 edge nodes 1");
   }
 
   @Test
