--- a/src/main/java/edgenode/simulation/DemoCommand.java
+++ b/src/main/java/edgenode/simulation/DemoCommand.java
@@ -131,15 +131,15 @@
   private static final class Tally implements CustomerClients.ClientListener {
     private final int[] fates = new int[CustomerClients.Fate.values().length];
     private double[] served = new double[64];
-    private int n;
+    private int servedCount;
 
     @Override
     public void attemptEnded(
         ArrivalProcess.Arrival of, int retry, CustomerClients.Fate fate, double ms) {
       fates[fate.ordinal()]++;
       if (fate == CustomerClients.Fate.SERVED) {
-        served = n == served.length ? Arrays.copyOf(served, 2 * n) : served;
-        served[n++] = ms;
+        served = servedCount == served.length ? Arrays.copyOf(served, 2 * servedCount) : served;
+        served[servedCount++] = ms;
       }
     }
 
@@ -155,17 +155,17 @@
               .append(',');
         }
       }
-      Arrays.sort(served, 0, n);
+      Arrays.sort(served, 0, servedCount);
       text.append(
-          n == 0
+          servedCount == 0
               ? " nothing served"
               : String.format(
                   Locale.ROOT,
                   " median %.1f ms, 99th %.1f ms",
-                  served[n / 2],
-                  served[Math.min(n - 1, n * 99 / 100)]));
+                  served[servedCount / 2],
+                  served[Math.min(servedCount - 1, servedCount * 99 / 100)]));
       Arrays.fill(fates, 0);
-      n = 0;
+      servedCount = 0;
       return text.toString();
     }
   }
--- a/src/main/java/edgenode/simulation/EmulatedWorld.java
+++ b/src/main/java/edgenode/simulation/EmulatedWorld.java
@@ -27,8 +27,8 @@
 
 /**
  * A small installation on loopback: one edge node, enrolment servers in two racks, discovery and
- * the counter, the stand-ins on an event loop of their own. For a first look, and for tests of the
- * stand-ins against a real node.
+ * the counter, the emulators on an event loop of their own. For a first look, and for tests of the
+ * emulators against a real node.
  */
 public final class EmulatedWorld implements AutoCloseable {
   /** The campuses that the settings' plans are made for. */
@@ -158,7 +158,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       end();
-      throw new IOException("told to end while it came up", e);
+      throw new IOException("ended while it came up", e);
     } catch (Exception e) { // bind tells an address in use as it is, unchecked
       end();
       throw e instanceof BindException || e.getMessage() == null
@@ -167,22 +167,27 @@
     }
   }
 
+  /** Where the edge node listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) node.address();
   }
 
+  /** The event loop of the emulators. */
   public NettyEdgeEventLoop loop() {
     return loop;
   }
 
+  /** The emulated app servers, by number. */
   public List<AppServerEmulator> servers() {
     return servers;
   }
 
+  /** The emulated agent of discovery. */
   public DiscoveryAgentEmulator discovery() {
     return discovery;
   }
 
+  /** The emulated counter. */
   public CounterEmulator counter() {
     return counter;
   }
--- a/src/main/java/edgenode/simulation/Recorder.java
+++ b/src/main/java/edgenode/simulation/Recorder.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleUnaryOperator;
 
-/** Turns what passes on the stand-ins' sockets into the judges' events, on the day's clock. */
+/** Turns what passes on the emulators' sockets into the judges' events, on the clock of the run. */
 final class Recorder
     implements AppServerListener, DiscoveryEmulator.ChangeListener, CustomerClients.ClientListener {
   private final Consumer<Event> to;
--- a/src/main/java/edgenode/simulation/Report.java
+++ b/src/main/java/edgenode/simulation/Report.java
@@ -100,26 +100,27 @@
   private void gather() {
     Map<String, List<double[]>> open = new TreeMap<>();
     Map<String, Integer> held = new TreeMap<>();
-    for (Event e : day.court().events()) {
-      if (e instanceof Event.Asked a) {
-        asked.put(a.id(), a);
-        offered[bin(a.at())] += 1000 / BIN;
-      } else if (e instanceof Event.Heard h && asked.containsKey(h.id())) {
-        Event.Asked a = asked.get(h.id());
-        if (h.answer() == Event.Answer.VALUE) {
-          served.computeIfAbsent(a.type(), t -> new double[bins])[bin(h.at())] += 1000 / BIN;
-          long us = Math.min(LONGEST, Math.max(1, Math.round((h.at() - a.at()) * 1000)));
-          latency[bin(h.at())].recordValue(us);
+    for (Event e : day.invariants().events()) {
+      if (e instanceof Event.Asked asked) {
+        this.asked.put(asked.id(), asked);
+        offered[bin(asked.at())] += 1000 / BIN;
+      } else if (e instanceof Event.Heard response && this.asked.containsKey(response.id())) {
+        Event.Asked asked = this.asked.get(response.id());
+        if (response.answer() == Event.Answer.VALUE) {
+          served.computeIfAbsent(asked.type(), t -> new double[bins])[bin(response.at())] +=
+              1000 / BIN;
+          long us = Math.min(LONGEST, Math.max(1, Math.round((response.at() - asked.at()) * 1000)));
+          latency[bin(response.at())].recordValue(us);
           whole.recordValue(us);
-        } else if (h.answer() == Event.Answer.BUSY) {
-          refused[bin(h.at())] += 1000 / BIN;
+        } else if (response.answer() == Event.Answer.BUSY) {
+          refused[bin(response.at())] += 1000 / BIN;
         }
-      } else if (e instanceof Event.Came c && c.ran()) {
-        step(open, held, c.server(), c.at(), 1);
-      } else if (e instanceof Event.Replied r && !r.kind().equals("BUSY")) {
-        step(open, held, r.server(), r.at(), -1);
-      } else if (e instanceof Event.Died d) {
-        step(open, held, d.server(), d.at(), -held.getOrDefault(d.server(), 0));
+      } else if (e instanceof Event.Came arrival && arrival.ran()) {
+        step(open, held, arrival.server(), arrival.at(), 1);
+      } else if (e instanceof Event.Replied reply && !reply.kind().equals("BUSY")) {
+        step(open, held, reply.server(), reply.at(), -1);
+      } else if (e instanceof Event.Died done) {
+        step(open, held, done.server(), done.at(), -held.getOrDefault(done.server(), 0));
       }
     }
     open.forEach((server, steps) -> inFlight.put(server, mean(steps)));
@@ -161,15 +162,17 @@
     }
   }
 
-  private double percentile(int bin, double p) {
-    return latency[bin].getTotalCount() == 0 ? 0 : latency[bin].getValueAtPercentile(p) / 1000.0;
+  private double percentile(int bin, double percentile) {
+    return latency[bin].getTotalCount() == 0
+        ? 0
+        : latency[bin].getValueAtPercentile(percentile) / 1000.0;
   }
 
   private List<QuotaAudit.Figures> worstFirst() {
-    return day.court().quotas().stream()
+    return day.invariants().quotas().stream()
         .sorted(
-            Comparator.comparingDouble((QuotaAudit.Figures f) -> f.beyond())
-                .thenComparingDouble(QuotaAudit.Figures::refusedWithRoom)
+            Comparator.comparingDouble((QuotaAudit.Figures f) -> f.overQuota())
+                .thenComparingDouble(QuotaAudit.Figures::rejectedWithinQuota)
                 .reversed())
         .toList();
   }
@@ -178,101 +181,104 @@
 
   private String json() throws IOException {
     java.io.StringWriter text = new java.io.StringWriter();
-    try (JsonGenerator g = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
-      g.writeStartObject();
-      g.writeNumberField("schema", SCHEMA);
-      g.writeStringField("scenario", day.scenario().name());
-      g.writeStringField("title", day.scenario().title());
-      g.writeNumberField("seed", day.seed());
-      g.writeNumberField("nodes", day.scenario().nodes());
-      g.writeNumberField("servers", day.scenario().servers());
-      g.writeBooleanField("kept", day.clean());
-      g.writeStringField("sha256", day.sha256());
-      g.writeNumberField("events", day.events());
-      g.writeNumberField("length_ms", day.lengthMs());
-      g.writeObjectFieldStart("tries");
+    try (JsonGenerator json = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
+      json.writeStartObject();
+      json.writeNumberField("schema", SCHEMA);
+      json.writeStringField("scenario", day.scenario().name());
+      json.writeStringField("title", day.scenario().title());
+      json.writeNumberField("seed", day.seed());
+      json.writeNumberField("nodes", day.scenario().nodes());
+      json.writeNumberField("servers", day.scenario().servers());
+      json.writeBooleanField("kept", day.hasNoViolation());
+      json.writeStringField("sha256", day.sha256());
+      json.writeNumberField("events", day.events());
+      json.writeNumberField("length_ms", day.lengthMs());
+      json.writeObjectFieldStart("tries");
       for (CustomerClients.Fate fate : CustomerClients.Fate.values()) {
-        g.writeNumberField(fate.name().toLowerCase(Locale.ROOT), day.fates().getOrDefault(fate, 0));
+        json.writeNumberField(
+            fate.name().toLowerCase(Locale.ROOT), day.fates().getOrDefault(fate, 0));
       }
-      g.writeEndObject();
-      g.writeObjectFieldStart("latency_ms");
-      for (double p : new double[] {50, 90, 99, 99.9}) {
-        g.writeNumberField(
-            "p" + String.valueOf(p).replaceAll("\\.0$", ""),
-            whole.getTotalCount() == 0 ? 0 : whole.getValueAtPercentile(p) / 1000.0);
+      json.writeEndObject();
+      json.writeObjectFieldStart("latency_ms");
+      for (double percentile : new double[] {50, 90, 99, 99.9}) {
+        json.writeNumberField(
+            "p" + String.valueOf(percentile).replaceAll("\\.0$", ""),
+            whole.getTotalCount() == 0 ? 0 : whole.getValueAtPercentile(percentile) / 1000.0);
       }
-      g.writeEndObject();
-      g.writeArrayFieldStart("rules");
-      for (String rule : day.court().rules()) {
-        g.writeStartObject();
-        g.writeStringField("rule", rule);
-        g.writeNumberField(
-            "broken", day.breaches().stream().filter(b -> b.rule().equals(rule)).count());
-        g.writeEndObject();
+      json.writeEndObject();
+      json.writeArrayFieldStart("rules");
+      for (String rule : day.invariants().rules()) {
+        json.writeStartObject();
+        json.writeStringField("rule", rule);
+        json.writeNumberField(
+            "broken",
+            day.violations().stream().filter(violation -> violation.rule().equals(rule)).count());
+        json.writeEndObject();
       }
-      g.writeEndArray();
-      quotas(g);
-      series(g);
-      g.writeArrayFieldStart("breaches");
-      for (Violation b : day.breaches()) {
-        breach(g, b);
+      json.writeEndArray();
+      quotas(json);
+      series(json);
+      json.writeArrayFieldStart("breaches");
+      for (Violation violation : day.violations()) {
+        breach(json, violation);
       }
-      g.writeEndArray();
-      g.writeEndObject();
+      json.writeEndArray();
+      json.writeEndObject();
     }
     return text.toString();
   }
 
-  private void quotas(JsonGenerator g) throws IOException {
-    g.writeArrayFieldStart("quotas");
+  private void quotas(JsonGenerator json) throws IOException {
+    json.writeArrayFieldStart("quotas");
     for (QuotaAudit.Figures f : worstFirst()) {
-      g.writeStartObject();
-      g.writeStringField("customer", f.customer());
-      g.writeStringField("plan", f.plan());
-      g.writeNumberField("units_inside", f.inside());
-      g.writeNumberField("units_beyond", f.beyond());
-      g.writeNumberField("units_refused_with_room", f.refusedWithRoom());
-      g.writeNumberField("worst_minute_share", f.worst());
+      json.writeStartObject();
+      json.writeStringField("customer", f.customer());
+      json.writeStringField("plan", f.plan());
+      json.writeNumberField("units_inside", f.withinQuota());
+      json.writeNumberField("units_beyond", f.overQuota());
+      json.writeNumberField("units_refused_with_room", f.rejectedWithinQuota());
+      json.writeNumberField("worst_minute_share", f.maxOverQuotaShare());
       array(
-          g,
+          json,
           "beyond_at_ms",
-          QuotaAudit.beyond(EmulatedWorld.plan(f.plan()), day.court().sends(f.customer())));
-      g.writeEndObject();
+          QuotaAudit.overQuotaTimesMs(
+              EmulatedWorld.plan(f.plan()), day.invariants().forwardedUnits(f.customer())));
+      json.writeEndObject();
     }
-    g.writeEndArray();
+    json.writeEndArray();
   }
 
-  private void series(JsonGenerator g) throws IOException {
-    g.writeObjectFieldStart("series");
-    g.writeNumberField("bin_ms", BIN);
-    array(g, "offered_per_s", offered);
-    array(g, "refused_per_s", refused);
+  private void series(JsonGenerator json) throws IOException {
+    json.writeObjectFieldStart("series");
+    json.writeNumberField("bin_ms", BIN);
+    array(json, "offered_per_s", offered);
+    array(json, "refused_per_s", refused);
     for (Map.Entry<String, double[]> e : served.entrySet()) {
-      array(g, "served_per_s_" + e.getKey(), e.getValue());
+      array(json, "served_per_s_" + e.getKey(), e.getValue());
     }
     for (Map.Entry<String, double[]> e : inFlight.entrySet()) {
-      array(g, "in_flight_" + e.getKey(), e.getValue());
+      array(json, "in_flight_" + e.getKey(), e.getValue());
     }
-    g.writeEndObject();
+    json.writeEndObject();
   }
 
-  private static void array(JsonGenerator g, String name, double[] values) throws IOException {
-    g.writeFieldName(name);
-    g.writeArray(values, 0, values.length);
+  private static void array(JsonGenerator json, String name, double[] values) throws IOException {
+    json.writeFieldName(name);
+    json.writeArray(values, 0, values.length);
   }
 
-  private void breach(JsonGenerator g, Violation b) throws IOException {
-    g.writeStartObject();
-    g.writeStringField("rule", b.rule());
-    g.writeNumberField("at_ms", b.at());
-    g.writeStringField("request", b.id());
-    g.writeStringField("what", b.what());
-    g.writeArrayFieldStart("story");
-    for (Event e : day.court().story(b).stream().limit(STORY).toList()) {
-      g.writeString(String.format(Locale.ROOT, "%.3f %s", e.at(), e));
+  private void breach(JsonGenerator json, Violation violation) throws IOException {
+    json.writeStartObject();
+    json.writeStringField("rule", violation.rule());
+    json.writeNumberField("at_ms", violation.at());
+    json.writeStringField("request", violation.id());
+    json.writeStringField("what", violation.what());
+    json.writeArrayFieldStart("story");
+    for (Event e : day.invariants().trace(violation).stream().limit(STORY).toList()) {
+      json.writeString(String.format(Locale.ROOT, "%.3f %s", e.at(), e));
     }
-    g.writeEndArray();
-    g.writeEndObject();
+    json.writeEndArray();
+    json.writeEndObject();
   }
 
   // ---- for people ----
@@ -313,13 +319,13 @@
   private void bands(XYChart chart) {
     double top =
         chart.getSeriesMap().values().stream().mapToDouble(XYSeries::getYMax).max().orElse(1);
-    int n = 0;
+    int count = 0;
     for (Scenario.Fault f : day.scenario().faults()) {
-      double from = f.at() / 1000;
-      double to = from + Math.max(STROKE, f.lasts() / 1000);
+      double from = f.atMs() / 1000;
+      double to = from + Math.max(STROKE, f.durationMs() / 1000);
       XYSeries band =
           chart.addSeries(
-              ++n + " " + f.kind().word(),
+              ++count + " " + f.kind().word(),
               new double[] {from, from, to, to},
               new double[] {0, Math.max(1, top), Math.max(1, top), 0});
       band.setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Area);
@@ -349,12 +355,12 @@
     served.forEach((type, values) -> add(rates, "served " + type, values));
     add(rates, "refused", refused);
     XYChart times = chart("From asked to answered, what was served", "ms");
-    for (double p : new double[] {50, 90, 99}) {
+    for (double percentile : new double[] {50, 90, 99}) {
       double[] values = new double[bins];
       for (int i = 0; i < bins; i++) {
-        values[i] = percentile(i, p);
+        values[i] = percentile(i, percentile);
       }
-      add(times, "p" + Math.round(p), values);
+      add(times, "p" + Math.round(percentile), values);
     }
     XYChart open =
         chart(
@@ -376,9 +382,9 @@
         .forEach(
             f -> {
               double[] values = new double[bins];
-              double[][] sends = day.court().sends(f.customer());
+              double[][] sends = day.invariants().forwardedUnits(f.customer());
               for (int i = 0; i < bins; i++) {
-                values[i] = QuotaAudit.store(EmulatedWorld.plan(f.plan()), sends, (i + 1) * BIN);
+                values[i] = QuotaAudit.unitsAt(EmulatedWorld.plan(f.plan()), sends, (i + 1) * BIN);
               }
               add(chart, f.customer().substring(8) + " " + f.plan(), values);
             });
@@ -394,8 +400,8 @@
   }
 
   private String html() {
-    StringBuilder t = new StringBuilder(1 << 18);
-    t.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
+    StringBuilder html = new StringBuilder(1 << 18);
+    html.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
         .append(escape(day.scenario().name()))
         .append(", seed ")
         .append(day.seed())
@@ -415,22 +421,24 @@
         .append(day.sha256())
         .append("</code></p>\n<p class=\"")
         .append(
-            day.clean()
+            day.hasNoViolation()
                 ? "good\">All rules kept."
-                : "bad\">Rules broken: " + escape(String.join(", ", day.broken())) + ".")
+                : "bad\">Rules broken: " + escape(String.join(", ", day.violatedRules())) + ".")
         .append("</p>\n<table><tr>" + "<th>rule</th><th>broken</th></tr>\n");
-    for (String rule : day.court().rules()) {
-      t.append("<tr><td>")
+    for (String rule : day.invariants().rules()) {
+      html.append("<tr><td>")
           .append(rule)
           .append("</td><td>")
-          .append(day.breaches().stream().filter(b -> b.rule().equals(rule)).count())
+          .append(
+              day.violations().stream().filter(violation -> violation.rule().equals(rule)).count())
           .append("</td></tr>\n");
     }
-    t.append("</table>\n<p>Red bands are faults, numbered in their order.</p>\n").append(charts());
-    t.append("<h2>What went wrong on purpose</h2>\n<table>");
-    for (Event e : day.court().events()) {
+    html.append("</table>\n<p>Red bands are faults, numbered in their order.</p>\n")
+        .append(charts());
+    html.append("<h2>What went wrong on purpose</h2>\n<table>");
+    for (Event e : day.invariants().events()) {
       if (e instanceof Event.Done done) {
-        t.append(
+        html.append(
             String.format(
                 Locale.ROOT,
                 "<tr><td>%.1f s</td><td>%s</td></tr>%n",
@@ -438,45 +446,45 @@
                 escape(done.what())));
       }
     }
-    t.append(
+    html.append(
         "</table>\n<h2>Quotas</h2>\n<table><tr><th>customer</th><th>plan</th><th>inside</th><th>beyond</th>"
             + "<th>refused with room</th><th>worst minute beyond</th></tr>\n");
     for (QuotaAudit.Figures f : worstFirst()) {
-      t.append(
+      html.append(
           String.format(
               Locale.ROOT,
               "<tr><td>%s</td><td>%s</td><td>%.0f</td><td>%.0f</td><td>%.0f</td>"
                   + "<td>%.1f%%</td></tr>%n",
               f.customer(),
               escape(f.plan()),
-              f.inside(),
-              f.beyond(),
-              f.refusedWithRoom(),
-              100 * f.worst()));
+              f.withinQuota(),
+              f.overQuota(),
+              f.rejectedWithinQuota(),
+              100 * f.maxOverQuotaShare()));
     }
-    t.append("</table>\n");
-    for (Violation b : day.breaches()) {
-      t.append(
+    html.append("</table>\n");
+    for (Violation violation : day.violations()) {
+      html.append(
           String.format(
               Locale.ROOT,
               "<h3 class=\"bad\">%.3f s, %s</h3>%n<p>%s</p>%n<pre>",
-              b.at() / 1000,
-              b.rule(),
-              escape(b.what())));
-      day.court().story(b).stream()
+              violation.at() / 1000,
+              violation.rule(),
+              escape(violation.what())));
+      day.invariants().trace(violation).stream()
           .limit(STORY)
           .forEach(
               e ->
-                  t.append(
+                  html.append(
                       String.format(
                           Locale.ROOT, "%9.3f  %s%n", e.at() / 1000, escape(e.toString()))));
-      t.append("</pre>\n");
+      html.append("</pre>\n");
     }
     if (!day.log().isEmpty()) {
-      t.append("<h2>What the edge nodes logged</h2>\n<pre>");
-      day.log().forEach(line -> t.append(escape(line)).append('\n'));
-      t.append("</pre>\n");
+      html.append("<h2>What the edge nodes logged</h2>\n<pre>");
+      day.log().forEach(line -> html.append(escape(line)).append('\n'));
+      html.append("</pre>\n");
     }
-    return t.append("</body></html>\n").toString();
+    return html.append("</body></html>\n").toString();
   }
 }
--- a/src/main/java/edgenode/simulation/Scenario.java
+++ b/src/main/java/edgenode/simulation/Scenario.java
@@ -10,7 +10,7 @@
  * hits where it says "any") comes from a seed.
  *
  * @param lengthMs how long the campuses ask; then all that is open may end
- * @param noticeMs how long the front goes on sending to an edge node that has died
+ * @param loadBalancerNoticeMs how long the front goes on sending to an edge node that has died
  * @param load requests a second over time: straight lines between these points, steady after the
  *     last
  */
@@ -21,12 +21,12 @@
     int nodes,
     int servers,
     CapacityModel.Size size,
-    int campuses,
-    double noticeMs,
-    List<Point> load,
+    int customers,
+    double loadBalancerNoticeMs,
+    List<LoadPoint> load,
     List<Fault> faults) {
   /** All that can go wrong; the design note tells each. */
-  public enum Kind {
+  public enum FaultKind {
     DIE,
     DRAIN,
     SILENT,
@@ -69,64 +69,80 @@
   }
 
   /** A rate at a time: ms from the start, requests a second. */
-  public record Point(double at, double perSecond) {}
+  public record LoadPoint(double atMs, double perSecond) {}
 
   /**
-   * @param at ms from the start
+   * @param atMs ms from the start
    * @param index of the server or edge node, from 0; -1 for any
-   * @param lasts how long (ms); what has no length of its own takes no notice of it
+   * @param durationMs how long (ms); what has no length of its own takes no notice of it
    * @param share of a neighbour or a crowd, 0 to 1
-   * @param lag what discovery needs to learn of it (ms)
-   * @param elsewhere whether a server that died comes back at another address, and a new one at its
-   *     old
+   * @param lagMs what discovery needs to learn of it (ms)
+   * @param movesAddress whether a server that died comes back at another address, and a new one at
+   *     its old
    */
   public record Fault(
-      Kind kind, double at, int index, double lasts, double share, double lag, boolean elsewhere) {
+      FaultKind kind,
+      double atMs,
+      int index,
+      double durationMs,
+      double share,
+      double lagMs,
+      boolean movesAddress) {
     String text() {
       return kind.word()
           + (kind.target() == Target.NONE ? "" : index < 0 ? " any" : " " + index)
-          + (lasts > 0 ? " for " + Math.round(lasts) + " ms" : "");
+          + (durationMs > 0 ? " for " + Math.round(durationMs) + " ms" : "");
     }
   }
 
   /** Requests a second at a time (ms from the start). */
   double rate(double ms) {
-    Point before = load.get(0);
-    for (Point p : load) {
-      if (p.at > ms) {
-        return ms <= before.at
+    LoadPoint before = load.get(0);
+    for (LoadPoint p : load) {
+      if (p.atMs > ms) {
+        return ms <= before.atMs
             ? before.perSecond
             : before.perSecond
-                + (p.perSecond - before.perSecond) * (ms - before.at) / (p.at - before.at);
+                + (p.perSecond - before.perSecond) * (ms - before.atMs) / (p.atMs - before.atMs);
       }
       before = p;
     }
     return before.perSecond;
   }
 
-  double most() {
-    return load.stream().mapToDouble(Point::perSecond).max().orElse(0);
+  double maxPerSecond() {
+    return load.stream().mapToDouble(LoadPoint::perSecond).max().orElse(0);
   }
 
   Scenario withNodes(int count) {
     return new Scenario(
-        name, title, lengthMs, count, servers, size, campuses, noticeMs, load, faults);
+        name, title, lengthMs, count, servers, size, customers, loadBalancerNoticeMs, load, faults);
   }
 
   Scenario withServers(int count) {
     return new Scenario(
-        name, title, lengthMs, nodes, count, size, campuses, noticeMs, load, faults);
+        name, title, lengthMs, nodes, count, size, customers, loadBalancerNoticeMs, load, faults);
   }
 
   Scenario withLength(double ms) {
-    return new Scenario(name, title, ms, nodes, servers, size, campuses, noticeMs, load, faults);
+    return new Scenario(
+        name, title, ms, nodes, servers, size, customers, loadBalancerNoticeMs, load, faults);
   }
 
   Scenario without(Fault fault) {
     List<Fault> rest = new ArrayList<>(faults);
     rest.remove(fault);
     return new Scenario(
-        name, title, lengthMs, nodes, servers, size, campuses, noticeMs, load, List.copyOf(rest));
+        name,
+        title,
+        lengthMs,
+        nodes,
+        servers,
+        size,
+        customers,
+        loadBalancerNoticeMs,
+        load,
+        List.copyOf(rest));
   }
 
   /** What cannot be together, a line each; empty where all is well. */
@@ -137,8 +153,8 @@
       if (f.kind.target() != Target.NONE && f.index >= there) {
         all.add(f.kind.word() + " of number " + f.index + ", and there are " + there + " (from 0)");
       }
-      if (f.at > lengthMs) {
-        all.add(f.kind.word() + " at " + f.at / 1000 + " s, after the end");
+      if (f.atMs > lengthMs) {
+        all.add(f.kind.word() + " at " + f.atMs / 1000 + " s, after the end");
       }
     }
     return all;
--- a/src/main/java/edgenode/simulation/ScenarioRun.java
+++ b/src/main/java/edgenode/simulation/ScenarioRun.java
@@ -19,7 +19,7 @@
 /**
  * One scenario played with one seed, and judged.
  *
- * @param sha256 of all that passed on the stand-ins' sockets; the same seed and build give the same
+ * @param sha256 of all that passed on the emulators' sockets; the same seed and build give the same
  * @param lengthMs of the day, in its own time
  * @param tookMs that it took to play
  * @param log the edge nodes' own lines; no judge reads them
@@ -32,8 +32,8 @@
     double lengthMs,
     double tookMs,
     Map<CustomerClients.Fate, Integer> fates,
-    InvariantSuite court,
-    List<Violation> breaches,
+    InvariantSuite invariants,
+    List<Violation> violations,
     List<String> log) {
   private static final int LOGGED = 500;
 
@@ -82,23 +82,23 @@
         (System.nanoTime() - from) / 1e6,
         new EnumMap<>(day.fates()),
         court,
-        court.verdict(day.length()),
+        court.violations(day.length()),
         log);
   }
 
-  boolean clean() {
-    return breaches.isEmpty();
+  boolean hasNoViolation() {
+    return violations.isEmpty();
   }
 
   /** The rules that were broken, in order of their names. */
-  TreeSet<String> broken() {
+  TreeSet<String> violatedRules() {
     TreeSet<String> all = new TreeSet<>();
-    breaches.forEach(b -> all.add(b.rule()));
+    violations.forEach(b -> all.add(b.rule()));
     return all;
   }
 
   long asked() {
-    return court.events().stream().filter(e -> e instanceof Event.Asked).count();
+    return invariants.events().stream().filter(e -> e instanceof Event.Asked).count();
   }
 
   /** Of first tries and retries together, those that were served (0 to 1). */
@@ -108,8 +108,10 @@
   }
 
   /** The customer that was worst off beyond its quota, or null where none has one. */
-  QuotaAudit.Figures worst() {
-    return court.quotas().stream().max((a, b) -> Double.compare(a.worst(), b.worst())).orElse(null);
+  QuotaAudit.Figures worstCustomer() {
+    return invariants.quotas().stream()
+        .max((a, b) -> Double.compare(a.maxOverQuotaShare(), b.maxOverQuotaShare()))
+        .orElse(null);
   }
 
   /**
@@ -134,7 +136,7 @@
       double cut = ms;
       Scenario shorter = least.scenario.withLength(least.scenario.lengthMs() - cut);
       List<Scenario.Fault> late =
-          shorter.faults().stream().filter(f -> f.at() > shorter.lengthMs()).toList();
+          shorter.faults().stream().filter(f -> f.atMs() > shorter.lengthMs()).toList();
       if (late.isEmpty()) {
         ScenarioRun tried = play(shorter, seed);
         if (breaksAsWell(tried)) {
@@ -146,6 +148,6 @@
   }
 
   private boolean breaksAsWell(ScenarioRun other) {
-    return other.broken().stream().anyMatch(broken()::contains);
+    return other.violatedRules().stream().anyMatch(violatedRules()::contains);
   }
 }
--- a/src/main/java/edgenode/simulation/SimulateCommand.java
+++ b/src/main/java/edgenode/simulation/SimulateCommand.java
@@ -41,15 +41,15 @@
       "Exit code: 0 rules kept, 1 broken, 2 wrong input."
     })
 public final class SimulateCommand implements Callable<Integer> {
-  private static final int MOST_NODES = 64;
-  private static final int MOST_SERVERS = 1000;
-  private static final int MOST_SEEDS = 1_000_000;
+  private static final int MAX_NODES = 64;
+  private static final int MAX_SERVERS = 1000;
+  private static final int MAX_SEEDS = 1_000_000;
 
   /** Breaches whose stories are printed; the report has them all. */
-  private static final int STORIES = 3;
+  private static final int MAX_PRINTED_TRACES = 3;
 
-  private static final int STORY_LINES = 40;
-  private static final int BAR = 30;
+  private static final int MAX_TRACE_LINES = 40;
+  private static final int BAR_WIDTH = 30;
 
   @Spec private CommandSpec spec;
 
@@ -118,15 +118,15 @@
       return list();
     }
     try {
-      List<Scenario> days = days();
+      List<Scenario> days = scenarios();
       if (show) {
         return show(days);
       }
       if (report != null) {
-        writable();
+        requireWritableReport();
       }
-      return seeds == null ? one(days) : many(days);
-    } catch (Scenarios.Refused e) {
+      return seeds == null ? runOneSeed(days) : runSeeds(days);
+    } catch (Scenarios.InvalidScenarioException e) {
       e.faults().forEach(line -> System.err.println("simulate: " + line));
       return 2;
     } catch (IOException e) {
@@ -139,7 +139,7 @@
     for (String name : Scenarios.NAMES) {
       try {
         out.printf("%-16s %s%n", name, Scenarios.of(name).title());
-      } catch (Scenarios.Refused e) {
+      } catch (Scenarios.InvalidScenarioException e) {
         throw new IllegalStateException(e); // they come with the program, and a test reads each
       }
     }
@@ -161,21 +161,22 @@
     }
   }
 
-  private List<Scenario> days() throws Scenarios.Refused {
+  private List<Scenario> scenarios() throws Scenarios.InvalidScenarioException {
     List<Scenario> days = new ArrayList<>();
     for (String name : scenario.equals("all") ? Scenarios.NAMES : List.of(scenario)) {
       Scenario day = Scenarios.of(name);
       if (nodes != null) {
-        check("--nodes", nodes, MOST_NODES);
+        check("--nodes", nodes, MAX_NODES);
         day = day.withNodes(nodes);
       }
       if (servers != null) {
-        check("--servers", servers, MOST_SERVERS);
+        check("--servers", servers, MAX_SERVERS);
         day = day.withServers(servers);
       }
       List<String> wrong = day.contradictions();
       if (!wrong.isEmpty()) {
-        throw new Scenarios.Refused(wrong.stream().map(w -> name + ": " + w).toList());
+        throw new Scenarios.InvalidScenarioException(
+            wrong.stream().map(w -> name + ": " + w).toList());
       }
       days.add(day);
     }
@@ -183,7 +184,7 @@
   }
 
   /** Before anything is played: a day is not thrown away at its end. */
-  private void writable() throws IOException {
+  private void requireWritableReport() throws IOException {
     try {
       Files.createDirectories(report);
       Files.delete(Files.createTempFile(report, "report", ".tmp"));
@@ -194,7 +195,7 @@
 
   // ---- one seed ----
 
-  private int one(List<Scenario> days) throws IOException, InterruptedException {
+  private int runOneSeed(List<Scenario> days) throws IOException, InterruptedException {
     int code = 0;
     for (Scenario day : days) {
       ScenarioRun played;
@@ -209,9 +210,9 @@
         Report.write(played, dir);
         out.println("  report      " + dir.resolve("report.html"));
       }
-      if (!played.clean()) {
+      if (!played.hasNoViolation()) {
         code = 1;
-        stories(played);
+        printTraces(played);
         if (shrink) {
           ScenarioRun least = played.shrink();
           out.printf(
@@ -220,26 +221,26 @@
               least.scenario().lengthMs() / 1000,
               least.scenario().faults().size(),
               day.faults().size(),
-              String.join(", ", least.broken()));
+              String.join(", ", least.violatedRules()));
           least
               .scenario()
               .faults()
-              .forEach(f -> out.printf(Locale.ROOT, "    %.1f s  %s%n", f.at() / 1000, f.text()));
+              .forEach(f -> out.printf(Locale.ROOT, "    %.1f s  %s%n", f.atMs() / 1000, f.text()));
         }
       }
     }
     return code;
   }
 
-  private void summary(ScenarioRun r) {
-    int all = r.fates().values().stream().mapToInt(Integer::intValue).sum();
+  private void summary(ScenarioRun run) {
+    int all = run.fates().values().stream().mapToInt(Integer::intValue).sum();
     StringBuilder fates = new StringBuilder();
     for (CustomerClients.Fate fate : CustomerClients.Fate.values()) {
-      int n = r.fates().getOrDefault(fate, 0);
-      if (n > 0) {
+      int count = run.fates().getOrDefault(fate, 0);
+      if (count > 0) {
         fates
             .append(fates.length() > 0 ? ", " : "")
-            .append(n)
+            .append(count)
             .append(' ')
             .append(fate.name().toLowerCase(Locale.ROOT).replace('_', ' '));
       }
@@ -247,47 +248,53 @@
     out.printf(
         Locale.ROOT,
         "%s, seed %d: %s%n",
-        r.scenario().name(),
-        r.seed(),
-        r.clean()
+        run.scenario().name(),
+        run.seed(),
+        run.hasNoViolation()
             ? "rules kept"
-            : "BROKEN: " + String.join(", ", r.broken()) + " (" + r.breaches().size() + " times)");
+            : "BROKEN: "
+                + String.join(", ", run.violatedRules())
+                + " ("
+                + run.violations().size()
+                + " times)");
     out.printf(Locale.ROOT, "  tries       %d: %s%n", all, fates);
-    QuotaAudit.Figures worst = r.worst();
+    QuotaAudit.Figures worst = run.worstCustomer();
     if (worst != null) {
       out.printf(
           Locale.ROOT,
           "  quota       worst %s (%s): %.0f units inside, %.0f beyond, %.1f%% of a minute's%n",
           worst.customer(),
           worst.plan(),
-          worst.inside(),
-          worst.beyond(),
-          100 * worst.worst());
+          worst.withinQuota(),
+          worst.overQuota(),
+          100 * worst.maxOverQuotaShare());
     }
     out.printf(
         Locale.ROOT,
         "  day         %.1f s in %.2f s, %d events, sha256 %s%n",
-        r.lengthMs() / 1000,
-        r.tookMs() / 1000,
-        r.events(),
-        r.sha256());
+        run.lengthMs() / 1000,
+        run.tookMs() / 1000,
+        run.events(),
+        run.sha256());
   }
 
-  private void stories(ScenarioRun r) {
+  private void printTraces(ScenarioRun run) {
     int told = 0;
-    for (Violation b : r.breaches()) {
-      if (++told > STORIES) {
+    for (Violation b : run.violations()) {
+      if (++told > MAX_PRINTED_TRACES) {
         out.println(
-            "  ... and " + (r.breaches().size() - STORIES) + " more; --report has them all");
+            "  ... and "
+                + (run.violations().size() - MAX_PRINTED_TRACES)
+                + " more; --report has them all");
         return;
       }
       out.printf(Locale.ROOT, "  %.3f s  %s: %s%n", b.at() / 1000, b.rule(), b.what());
-      List<Event> story = r.court().story(b);
+      List<Event> story = run.invariants().trace(b);
       story.stream()
-          .limit(STORY_LINES)
+          .limit(MAX_TRACE_LINES)
           .forEach(e -> out.printf(Locale.ROOT, "    %9.3f  %s%n", e.at() / 1000, e));
-      if (story.size() > STORY_LINES) {
-        out.println("    ... " + (story.size() - STORY_LINES) + " events more");
+      if (story.size() > MAX_TRACE_LINES) {
+        out.println("    ... " + (story.size() - MAX_TRACE_LINES) + " events more");
       }
     }
   }
@@ -304,7 +311,7 @@
       double lengthMs,
       double tookMs) {}
 
-  private int many(List<Scenario> scenarios) throws InterruptedException {
+  private int runSeeds(List<Scenario> scenarios) throws InterruptedException {
     long[] range = range();
     int cores = Runtime.getRuntime().availableProcessors();
     ExecutorService pool =
@@ -329,9 +336,9 @@
                 left.incrementAndGet();
                 return null;
               }
-              ScenarioRun r;
+              ScenarioRun run;
               try {
-                r = ScenarioRun.play(day, with);
+                run = ScenarioRun.play(day, with);
               } catch (RuntimeException | Error e) {
                 throw new IllegalStateException(
                     "simulate " + day.name() + " --seed " + with + ": " + e.getMessage(), e);
@@ -339,12 +346,12 @@
               return new Played(
                   day.name(),
                   with,
-                  r.clean(),
-                  String.join(", ", r.broken()),
-                  r.servedShare(),
-                  r.events(),
-                  r.lengthMs(),
-                  r.tookMs());
+                  run.hasNoViolation(),
+                  String.join(", ", run.violatedRules()),
+                  run.servedShare(),
+                  run.events(),
+                  run.lengthMs(),
+                  run.tookMs());
             });
       }
     }
@@ -415,25 +422,25 @@
   private long[] range() {
     String[] ends = seeds.split("\\.\\.", -1);
     try {
-      long a = Long.parseLong(ends[0]);
-      long b = ends.length == 2 ? Long.parseLong(ends[1]) : a - 1;
-      if (b >= a && b - a < MOST_SEEDS) {
-        return new long[] {a, b};
+      long first = Long.parseLong(ends[0]);
+      long last = ends.length == 2 ? Long.parseLong(ends[1]) : first - 1;
+      if (last >= first && last - first < MAX_SEEDS) {
+        return new long[] {first, last};
       }
     } catch (NumberFormatException e) {
       // told below
     }
     throw new ParameterException(
         spec.commandLine(),
-        "--seeds: found '" + seeds + "', allowed is A..B, at most " + MOST_SEEDS + " seeds");
+        "--seeds: found '" + seeds + "', allowed is A..B, at most " + MAX_SEEDS + " seeds");
   }
 
   private static void progress(long done, long total, int broke) {
-    int full = (int) (BAR * done / total);
+    int full = (int) (BAR_WIDTH * done / total);
     System.err.print(
         "\r["
             + "#".repeat(full)
-            + " ".repeat(BAR - full)
+            + " ".repeat(BAR_WIDTH - full)
             + "] "
             + done
             + " of "
--- a/src/main/java/edgenode/simulation/Simulation.java
+++ b/src/main/java/edgenode/simulation/Simulation.java
@@ -44,7 +44,7 @@
   private static final double LISTED = 300;
 
   /** After the day each open request comes to its end within this (ms). */
-  private static final double SETTLE = 6000;
+  private static final double SETTLE_MS = 6000;
 
   /** What the platform grants after SIGTERM (ms), beyond the longest deadline. */
   private static final double KILLED_AFTER = 700;
@@ -128,7 +128,10 @@
               .max()
               .orElse(0);
       front.nodeDown(
-          number, loop.nowMs() - scenario.noticeMs() + Math.min(scenario.noticeMs(), 400));
+          number,
+          loop.nowMs()
+              - scenario.loadBalancerNoticeMs()
+              + Math.min(scenario.loadBalancerNoticeMs(), 400));
       leaving
           .shutdownAsync()
           .thenRun(
@@ -198,7 +201,7 @@
    * Comes up; {@link #play} then plays the day.
    *
    * @param maker the decision module of each edge node
-   * @param events hears what passes on the stand-ins' sockets, in ms since the campuses began
+   * @param events hears what passes on the emulators' sockets, in ms since the campuses began
    * @param log hears the nodes' lines
    * @param reached hears how far the day has gone (ms, 0 until the campuses begin), whenever that
    *     moves
@@ -238,7 +241,8 @@
     for (int i = 0; i < scenario.nodes(); i++) {
       places.add(new Place(i));
     }
-    front = new ClientLoadBalancer(scenario.nodes(), scenario.noticeMs(), seed * 17 + 3);
+    front =
+        new ClientLoadBalancer(scenario.nodes(), scenario.loadBalancerNoticeMs(), seed * 17 + 3);
     places.forEach(Place::start);
     double until = 0;
     while (places.stream().anyMatch(p -> p.node.address() == null)) {
@@ -251,7 +255,8 @@
     elapsed = until;
     began = until;
     ArrivalProcess arrivals =
-        new ArrivalProcess(seed, campuses(), EmulatedWorld.KINDS, scenario::rate, scenario.most());
+        new ArrivalProcess(
+            seed, campuses(), EmulatedWorld.KINDS, scenario::rate, scenario.maxPerSecond());
     clients =
         new CustomerClients(
             shared,
@@ -334,7 +339,7 @@
   private List<ArrivalProcess.Customer> campuses() {
     Random draw = new Random(seed * 7 + 1);
     List<ArrivalProcess.Customer> all = new ArrayList<>();
-    for (int i = 0; i < scenario.campuses(); i++) {
+    for (int i = 0; i < scenario.customers(); i++) {
       EmulatedWorld.Plan plan = EmulatedWorld.PLANS.get(i % EmulatedWorld.PLANS.size());
       double use = draw.nextInt(6) == 0 ? 3 : 0.2 + 0.6 * draw.nextDouble();
       all.add(
@@ -348,12 +353,12 @@
 
   /** Plays the day to the end of its last request. */
   void play() {
-    scenario.faults().forEach(f -> shared.schedule(f.at(), () -> strike(f)));
+    scenario.faults().forEach(fault -> shared.schedule(fault.atMs(), () -> applyFault(fault)));
     clients.start();
     elapsed += scenario.lengthMs();
     loop.runUntil(elapsed);
     clients.stop();
-    double end = elapsed + SETTLE;
+    double end = elapsed + SETTLE_MS;
     while (elapsed < end && clients.openAttempts() > 0) {
       elapsed += 100;
       loop.runUntil(elapsed);
@@ -381,72 +386,72 @@
     events.accept(new Event.Done(day(loop.nowMs()), what));
   }
 
-  private void strike(Scenario.Fault f) {
-    switch (f.kind().target()) {
+  private void applyFault(Scenario.Fault fault) {
+    switch (fault.kind().target()) {
       case SERVER -> {
-        int n = f.index() >= 0 ? f.index() : chance.nextInt(scenario.servers());
-        done(f.kind().word() + " s" + n);
-        server(f, servers.get(n), n);
+        int number = fault.index() >= 0 ? fault.index() : chance.nextInt(scenario.servers());
+        done(fault.kind().word() + " s" + number);
+        server(fault, servers.get(number), number);
       }
       case NODE -> {
-        int n = f.index() >= 0 ? f.index() : chance.nextInt(scenario.nodes());
-        done(f.kind().word() + " node " + n);
-        node(f, n);
+        int number = fault.index() >= 0 ? fault.index() : chance.nextInt(scenario.nodes());
+        done(fault.kind().word() + " node " + number);
+        node(fault, number);
       }
       default -> {
-        done(f.text());
-        service(f);
+        done(fault.text());
+        service(fault);
       }
     }
   }
 
-  private void server(Scenario.Fault f, AppServerEmulator server, int number) {
-    switch (f.kind()) {
-      case DIE -> die(f, server, number);
+  private void server(Scenario.Fault fault, AppServerEmulator server, int number) {
+    switch (fault.kind()) {
+      case DIE -> die(fault, server, number);
       case DRAIN -> {
-        shared.schedule(f.lag(), () -> discovery.set(server.entry("leaving")));
-        lifted(f, () -> discovery.set(server.entry("active")));
+        shared.schedule(fault.lagMs(), () -> discovery.set(server.entry("leaving")));
+        scheduleEnd(fault, () -> discovery.set(server.entry("active")));
       }
       case NEIGHBOUR -> {
-        server.setNeighbourShare(f.share());
-        lifted(f, () -> server.setNeighbourShare(0));
+        server.setNeighbourShare(fault.share());
+        scheduleEnd(fault, () -> server.setNeighbourShare(0));
       }
       default -> {
-        server.setFaultMode(AppServerEmulator.FaultMode.valueOf(f.kind().name()));
-        lifted(f, () -> server.setFaultMode(AppServerEmulator.FaultMode.NORMAL));
+        server.setFaultMode(AppServerEmulator.FaultMode.valueOf(fault.kind().name()));
+        scheduleEnd(fault, () -> server.setFaultMode(AppServerEmulator.FaultMode.NORMAL));
       }
     }
   }
 
-  private void lifted(Scenario.Fault f, Runnable what) {
-    if (f.lasts() > 0) {
+  private void scheduleEnd(Scenario.Fault fault, Runnable what) {
+    if (fault.durationMs() > 0) {
       shared.schedule(
-          f.lasts(),
+          fault.durationMs(),
           () -> {
-            done(f.kind().word() + " is over");
+            done(fault.kind().word() + " is over");
             what.run();
           });
     }
   }
 
-  private void die(Scenario.Fault f, AppServerEmulator server, int number) {
+  private void die(Scenario.Fault fault, AppServerEmulator server, int number) {
     server.crash();
     events.accept(new Event.Died(day(loop.nowMs()), server.id()));
     DiscoveryAgentEmulator.Host gone = server.entry("left");
     boolean[] back = new boolean[1];
     shared.schedule(
-        f.lag(),
+        fault.lagMs(),
         () -> {
           if (!back[0]) {
             discovery.set(gone);
           }
         });
-    lifted(
-        f,
+    scheduleEnd(
+        fault,
         () -> {
           InetSocketAddress old = server.address();
-          back[0] = !f.elsewhere();
-          server.restart(f.elsewhere() ? address(4, number) : old);
+          back[0] = !fault.movesAddress();
+          server.restart(fault.movesAddress() ? address(4, number) : old);
           events.accept(
               new Event.Born(
                   day(loop.nowMs()),
@@ -455,8 +460,9 @@
                   scenario.size(),
                   true));
           shared.schedule(
-              f.elsewhere() ? f.lag() : LISTED, () -> discovery.set(server.entry("active")));
-          if (f.elsewhere()) {
+              fault.movesAddress() ? fault.lagMs() : LISTED,
+              () -> discovery.set(server.entry("active")));
+          if (fault.movesAddress()) {
             follow(old, number);
           }
         });
@@ -474,31 +480,31 @@
     shared.schedule(LISTED, () -> discovery.set(another.entry("active")));
   }
 
-  private void node(Scenario.Fault f, int number) {
+  private void node(Scenario.Fault fault, int number) {
     Place place = places.get(number);
-    switch (f.kind()) {
-      case KILL -> place.kill(f.lasts());
+    switch (fault.kind()) {
+      case KILL -> place.kill(fault.durationMs());
       case RESTART -> place.restart();
       case RELOAD -> {
         moved = !moved;
         place.reload();
       }
       default -> {
-        front.crowd(number, f.share());
-        lifted(f, () -> front.crowd(number, 0));
+        front.crowd(number, fault.share());
+        scheduleEnd(fault, () -> front.crowd(number, 0));
       }
     }
   }
 
-  private void service(Scenario.Fault f) {
-    switch (f.kind()) {
+  private void service(Scenario.Fault fault) {
+    switch (fault.kind()) {
       case DISCOVERY_SILENT -> {
         discovery.setSilent(true);
-        lifted(f, () -> discovery.setSilent(false));
+        scheduleEnd(fault, () -> discovery.setSilent(false));
       }
       case DISCOVERY_LAG -> {
-        discovery.setLag(f.lag());
-        lifted(f, () -> discovery.setLag(0));
+        discovery.setLag(fault.lagMs());
+        scheduleEnd(fault, () -> discovery.setLag(0));
       }
       case DISCOVERY_STALL -> discovery.stallWatches(chance.nextInt(300));
       case DISCOVERY_EMPTY -> discovery.serveEmptyLists(1 + chance.nextInt(scenario.nodes()));
@@ -507,8 +513,8 @@
       case RESHUFFLE -> front.reshuffle();
       default -> {
         counter.setFaultMode(
-            CounterEmulator.FaultMode.valueOf(f.kind().name().substring("COUNTER_".length())));
-        lifted(f, () -> counter.setFaultMode(CounterEmulator.FaultMode.NORMAL));
+            CounterEmulator.FaultMode.valueOf(fault.kind().name().substring("COUNTER_".length())));
+        scheduleEnd(fault, () -> counter.setFaultMode(CounterEmulator.FaultMode.NORMAL));
       }
     }
   }
--- a/src/main/java/edgenode/simulation/Trace.java
+++ b/src/main/java/edgenode/simulation/Trace.java
@@ -10,7 +10,7 @@
 import java.util.HexFormat;
 
 /**
- * Each event on the stand-ins' sockets as a line, and the SHA-256 of all lines: two runs are one if
+ * Each event on the emulators' sockets as a line, and the SHA-256 of all lines: two runs are one if
  * these are.
  */
 final class Trace implements CounterEmulator.AddListener {
--- a/src/main/java/edgenode/simulation/fleet/FleetCounters.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetCounters.java
@@ -13,7 +13,8 @@
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
   /**
-   * Sends to one cold server within its warm-up, and what all nodes together should send it then.
+   * Sends to one warming-up endpoint within its warm-up, and what all nodes together should send it
+   * then.
    */
   record WarmUpSample(int server, int sends, double expectedSends) {}
 
--- a/src/main/java/edgenode/simulation/invariants/CeilingInvariant.java
+++ b/src/main/java/edgenode/simulation/invariants/CeilingInvariant.java
@@ -16,11 +16,12 @@
 public final class CeilingInvariant implements InvariantChecker {
   private final InvariantTerms terms;
   private final Map<String, Event.Asked> asked = new HashMap<>();
-  private final Map<String, Bucket> stores = new HashMap<>();
+  private final Map<String, TokenBucket> buckets = new HashMap<>();
   private final Set<String> sent = new HashSet<>();
-  private final Set<String> broken = new HashSet<>();
-  private final List<Violation> breaches = new ArrayList<>();
+  private final Set<String> customersInViolation = new HashSet<>();
+  private final List<Violation> violations = new ArrayList<>();
 
+  /** A checker that has seen nothing yet. */
   public CeilingInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
@@ -31,32 +32,35 @@
   }
 
   @Override
-  public void see(Event event) {
-    if (event instanceof Event.Asked a) {
-      asked.put(a.id(), a);
-    } else if (event instanceof Event.Came came
-        && asked.containsKey(came.id())
-        && sent.add(came.id())) {
-      Event.Asked a = asked.get(came.id());
-      QuotaPlan plan = terms.plan(a.plan());
+  public void onEvent(Event event) {
+    if (event instanceof Event.Asked request) {
+      asked.put(request.id(), request);
+    } else if (event instanceof Event.Came arrival
+        && asked.containsKey(arrival.id())
+        && sent.add(arrival.id())) {
+      Event.Asked request = asked.get(arrival.id());
+      QuotaPlan plan = terms.plan(request.plan());
       if (plan.ceilingRatePerSecond() > 0) {
-        Bucket store =
-            stores.computeIfAbsent(
-                a.customer(),
-                c -> new Bucket(plan.ceilingRatePerSecond(), plan.ceilingBurstUnits(), came.at()));
-        store.take(came.at(), a.units());
-        if (store.units(came.at()) < -plan.ceilingSlackUnits() - 1e-9 && broken.add(a.customer())) {
-          breaches.add(
+        TokenBucket bucket =
+            buckets.computeIfAbsent(
+                request.customer(),
+                c ->
+                    new TokenBucket(
+                        plan.ceilingRatePerSecond(), plan.ceilingBurstUnits(), arrival.at()));
+        bucket.take(arrival.at(), request.units());
+        if (bucket.units(arrival.at()) < -plan.ceilingSlackUnits() - 1e-9
+            && customersInViolation.add(request.customer())) {
+          violations.add(
               new Violation(
                   rule(),
-                  came.at(),
-                  came.id(),
+                  arrival.at(),
+                  arrival.id(),
                   String.format(
                       Locale.ROOT,
                       "customer %s has taken %.2f"
                           + " units more than its ceiling holds, %.2f are granted",
-                      a.customer(),
-                      -store.units(came.at()),
+                      request.customer(),
+                      -bucket.units(arrival.at()),
                       plan.ceilingSlackUnits())));
         }
       }
@@ -64,7 +68,7 @@
   }
 
   @Override
-  public List<Violation> verdict(double at) {
-    return List.copyOf(breaches);
+  public List<Violation> violations(double at) {
+    return List.copyOf(violations);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/DrainInvariant.java
+++ b/src/main/java/edgenode/simulation/invariants/DrainInvariant.java
@@ -13,9 +13,10 @@
  */
 public final class DrainInvariant implements InvariantChecker {
   private final InvariantTerms terms;
-  private final Map<String, Event.Told> away = new HashMap<>();
-  private final List<Violation> breaches = new ArrayList<>();
+  private final Map<String, Event.Told> removedEndpoints = new HashMap<>();
+  private final List<Violation> violations = new ArrayList<>();
 
+  /** A checker that has seen nothing yet. */
   public DrainInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
@@ -26,33 +27,33 @@
   }
 
   @Override
-  public void see(Event event) {
-    if (event instanceof Event.Told told) {
-      if (told.health().equals("active")) {
-        away.remove(told.server());
+  public void onEvent(Event event) {
+    if (event instanceof Event.Told listChange) {
+      if (listChange.health().equals("active")) {
+        removedEndpoints.remove(listChange.server());
       } else {
-        away.putIfAbsent(told.server(), told);
+        removedEndpoints.putIfAbsent(listChange.server(), listChange);
       }
-    } else if (event instanceof Event.Came came) {
-      Event.Told told = away.get(came.server());
-      if (told != null && came.at() > told.at() + terms.drainGrace()) {
-        breaches.add(
+    } else if (event instanceof Event.Came arrival) {
+      Event.Told listChange = removedEndpoints.get(arrival.server());
+      if (listChange != null && arrival.at() > listChange.at() + terms.drainGraceMs()) {
+        violations.add(
             new Violation(
                 rule(),
-                came.at(),
-                came.id(),
+                arrival.at(),
+                arrival.id(),
                 String.format(
                     Locale.ROOT,
                     "%s got it %.0f ms after it was" + " told as %s",
-                    came.server(),
-                    came.at() - told.at(),
-                    told.health())));
+                    arrival.server(),
+                    arrival.at() - listChange.at(),
+                    listChange.health())));
       }
     }
   }
 
   @Override
-  public List<Violation> verdict(double at) {
-    return List.copyOf(breaches);
+  public List<Violation> violations(double at) {
+    return List.copyOf(violations);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/Event.java
+++ b/src/main/java/edgenode/simulation/invariants/Event.java
@@ -3,11 +3,12 @@
 import edgenode.emulator.CapacityModel;
 
 /**
- * What passed on the sockets of the stand-ins, and what was done to the world: all that the judges
- * go by. Nothing here is what an edge node says of itself. Times are ms on the day's clock and
- * never go back from one event to the next.
+ * What passed on the sockets of the emulators, and what was done to the emulated services: all that
+ * the judges go by. Nothing here is what an edge node says of itself. Times are ms on the clock of
+ * the run and never go back from one event to the next.
  */
 public sealed interface Event {
+  /** When it happened (ms on the clock of the run). */
   double at();
 
   /** The request that it belongs to, or null. */
@@ -58,7 +59,7 @@
   /**
    * A request came whole to an app server.
    *
-   * @param ran whether its work began; else it was turned away, or dropped as a repeat
+   * @param ran whether its work began; else it was rejected, or dropped as a repeat
    */
   record Came(double at, String id, String server, String customer, boolean ran) implements Event {}
 
@@ -76,12 +77,15 @@
   record Born(double at, String server, int rack, CapacityModel.Size size, boolean cold)
       implements Event {}
 
+  /** The process of an app server has ended. */
   record Died(double at, String server) implements Event {}
 
+  /** A node serves its clients. */
   record NodeUp(double at, int node) implements Event {}
 
+  /** A node has ended. */
   record NodeEnded(double at, int node, End how) implements Event {}
 
-  /** Any other thing that was done to the world, in a few words: for the story of a breach. */
+  /** Any other thing that was done to the world, in a few words: for the trace of a violation. */
   record Done(double at, String what) implements Event {}
 }
--- a/src/main/java/edgenode/simulation/invariants/InvariantChecker.java
+++ b/src/main/java/edgenode/simulation/invariants/InvariantChecker.java
@@ -7,8 +7,9 @@
   /** Short, with hyphens: it stands in reports. */
   String rule();
 
-  void see(Event event);
+  /** Takes the next event; times never go back. */
+  void onEvent(Event event);
 
   /** All that it has found, once the last event has been seen; at is when the day ended (ms). */
-  List<Violation> verdict(double at);
+  List<Violation> violations(double endMs);
 }
--- a/src/main/java/edgenode/simulation/invariants/InvariantSuite.java
+++ b/src/main/java/edgenode/simulation/invariants/InvariantSuite.java
@@ -5,18 +5,19 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** All judges over one day, and the day's events for the stories of what was broken. */
+/** All checkers over one run, and its events for the traces of violations. */
 public final class InvariantSuite implements Consumer<Event> {
-  /** Events of the world that are told with a story, from so long (ms) before its breach. */
-  private static final double AROUND = 3000;
+  /** A trace includes other events from so long (ms) before its violation. */
+  private static final double CONTEXT_MS = 3000;
 
   private final List<Event> events = new ArrayList<>();
   private final QuotaAudit quotas;
-  private final List<InvariantChecker> judges;
+  private final List<InvariantChecker> checkers;
 
+  /** All checkers, for a run of so many nodes. */
   public InvariantSuite(InvariantTerms terms, int nodes) {
     quotas = new QuotaAudit(terms);
-    judges =
+    checkers =
         List.of(
             new SingleResponseInvariant(terms),
             new SingleExecutionInvariant(terms),
@@ -30,44 +31,49 @@
   @Override
   public void accept(Event event) {
     events.add(event);
-    judges.forEach(j -> j.see(event));
+    checkers.forEach(j -> j.onEvent(event));
   }
 
+  /** All events so far, in order. */
   public List<Event> events() {
     return events;
   }
 
+  /** The names of the rules, in the order of reports. */
   public List<String> rules() {
-    return judges.stream().map(InvariantChecker::rule).toList();
+    return checkers.stream().map(InvariantChecker::rule).toList();
   }
 
+  /** The quota figures of all customers; complete after {@link #violations}. */
   public List<QuotaAudit.Figures> quotas() {
     return quotas.figures();
   }
 
   /** What a customer sent on first, in order: time (ms) and units. */
-  public double[][] sends(String customer) {
+  public double[][] forwardedUnits(String customer) {
     return quotas.sends(customer);
   }
 
   /** By time. */
-  public List<Violation> verdict(double at) {
-    return judges.stream()
-        .flatMap(j -> j.verdict(at).stream())
+  public List<Violation> violations(double at) {
+    return checkers.stream()
+        .flatMap(j -> j.violations(at).stream())
         .sorted(Comparator.comparingDouble(Violation::at))
         .toList();
   }
 
   /**
-   * Every event of the request that a breach names, and what was done to the world shortly before
-   * it.
+   * Every event of the request that a violation names, and what was done to the world shortly
+   * before it.
    */
-  public List<Event> story(Violation breach) {
+  public List<Event> trace(Violation violation) {
     return events.stream()
         .filter(
             e ->
-                breach.id() != null && breach.id().equals(e.id())
-                    || e.id() == null && e.at() <= breach.at() && e.at() > breach.at() - AROUND)
+                violation.id() != null && violation.id().equals(e.id())
+                    || e.id() == null
+                        && e.at() <= violation.at()
+                        && e.at() > violation.at() - CONTEXT_MS)
         .toList();
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/InvariantTerms.java
+++ b/src/main/java/edgenode/simulation/invariants/InvariantTerms.java
@@ -13,19 +13,20 @@
  */
 public final class InvariantTerms {
   /** What sockets and real time are granted on each time limit (ms). */
-  public static final double SOCKETS = 50;
+  public static final double SOCKET_GRACE_MS = 50;
 
   private final Map<String, RequestClass> classes = new LinkedHashMap<>();
   private final Map<String, QuotaPlan> plans = new LinkedHashMap<>();
   private final PolicySettings settings;
 
+  /** The terms that follow from the settings of one node. */
   public InvariantTerms(PolicySettings settings) {
     this.settings = settings;
     settings.requestClasses().forEach(c -> classes.put(c.name(), c));
     settings.plans().forEach(p -> plans.put(p.name(), p));
   }
 
-  RequestClass type(String name) {
+  RequestClass requestClass(String name) {
     return classes.get(name);
   }
 
@@ -38,12 +39,12 @@
   }
 
   /** After the client's wait (ms). */
-  double answerGrace() {
-    return settings.rules().answerGraceMs() + SOCKETS;
+  double answerGraceMs() {
+    return settings.rules().answerGraceMs() + SOCKET_GRACE_MS;
   }
 
-  double drainGrace() {
-    return settings.rules().drainGraceMs() + SOCKETS;
+  double drainGraceMs() {
+    return settings.rules().drainGraceMs() + SOCKET_GRACE_MS;
   }
 
   /** Nodes that a customer's requests may come through. */
@@ -51,7 +52,7 @@
     return settings.nodeCount();
   }
 
-  int mostUnits() {
+  int maxRequestUnits() {
     return settings.maxRequestUnits();
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/QuotaAudit.java
+++ b/src/main/java/edgenode/simulation/invariants/QuotaAudit.java
@@ -19,54 +19,55 @@
  */
 public final class QuotaAudit implements InvariantChecker {
   /** Beyond the quota within any minute, against what the quota gives in it. */
-  public static final double OVER = 0.05;
+  public static final double MAX_OVER_QUOTA_SHARE = 0.05;
 
-  private static final double MINUTE = 60_000;
+  private static final double MINUTE_MS = 60_000;
 
   private static final class Account {
     private final String customer;
     private final QuotaPlan plan;
-    private final Bucket store;
-    private final ArrayDeque<double[]> beyond = new ArrayDeque<>();
+    private final TokenBucket bucket;
+    private final ArrayDeque<double[]> overQuotaSends = new ArrayDeque<>();
     private final List<double[]> sends = new ArrayList<>();
-    private double beyondNow;
-    private double inside;
-    private double beyondAll;
-    private double refusedWithRoom;
+    private double overQuotaInMinute;
+    private double withinQuota;
+    private double overQuotaTotal;
+    private double rejectedWithinQuota;
 
     /** The most that was beyond within a minute, and the last that came of it. */
-    private double most;
+    private double maxOverQuotaInMinute;
 
-    private Event.Came mostAt;
+    private Event.Came maxReachedBy;
 
     Account(String customer, QuotaPlan plan, double now) {
       this.customer = customer;
       this.plan = plan;
-      store = new Bucket(plan.ratePerSecond(), plan.burstUnits(), now);
+      bucket = new TokenBucket(plan.ratePerSecond(), plan.burstUnits(), now);
     }
   }
 
   /**
    * A customer's figures, in units.
    *
-   * @param worst the most that was beyond the quota within a minute, as a share of what the quota
-   *     gives in it
+   * @param maxOverQuotaShare the most that was beyond the quota within a minute, as a share of what
+   *     the quota gives in it
    */
   public record Figures(
       String customer,
       String plan,
-      double inside,
-      double beyond,
-      double refusedWithRoom,
-      double worst) {}
+      double withinQuota,
+      double overQuota,
+      double rejectedWithinQuota,
+      double maxOverQuotaShare) {}
 
   private final InvariantTerms terms;
   private final Map<String, Event.Asked> asked = new HashMap<>();
   private final Map<String, Boolean> sent = new HashMap<>();
   private final Map<String, Account> accounts = new LinkedHashMap<>();
-  private double began = Double.NaN;
-  private double length = MINUTE;
+  private double beganAtMs = Double.NaN;
+  private double lengthMs = MINUTE_MS;
 
+  /** An audit of full buckets. */
   public QuotaAudit(InvariantTerms terms) {
     this.terms = terms;
   }
@@ -77,55 +78,55 @@
   }
 
   @Override
-  public void see(Event event) {
-    if (Double.isNaN(began)) {
-      began = event.at();
+  public void onEvent(Event event) {
+    if (Double.isNaN(beganAtMs)) {
+      beganAtMs = event.at();
     }
-    if (event instanceof Event.Asked a) {
-      asked.put(a.id(), a);
-    } else if (event instanceof Event.Came came
-        && asked.containsKey(came.id())
-        && sent.putIfAbsent(came.id(), true) == null) {
-      sentOn(came, asked.get(came.id()));
-    } else if (event instanceof Event.Heard heard
-        && heard.answer() == Event.Answer.BUSY
-        && asked.containsKey(heard.id())
-        && !sent.containsKey(heard.id())) {
-      Event.Asked a = asked.get(heard.id());
-      Account account = account(a);
-      if (account != null && account.store.holds(heard.at(), a.units())) {
-        account.refusedWithRoom += a.units();
+    if (event instanceof Event.Asked request) {
+      asked.put(request.id(), request);
+    } else if (event instanceof Event.Came arrival
+        && asked.containsKey(arrival.id())
+        && sent.putIfAbsent(arrival.id(), true) == null) {
+      forwarded(arrival, asked.get(arrival.id()));
+    } else if (event instanceof Event.Heard response
+        && response.answer() == Event.Answer.BUSY
+        && asked.containsKey(response.id())
+        && !sent.containsKey(response.id())) {
+      Event.Asked request = asked.get(response.id());
+      Account account = account(request);
+      if (account != null && account.bucket.holds(response.at(), request.units())) {
+        account.rejectedWithinQuota += request.units();
       }
     }
   }
 
-  private Account account(Event.Asked a) {
-    QuotaPlan plan = terms.plan(a.plan());
+  private Account account(Event.Asked request) {
+    QuotaPlan plan = terms.plan(request.plan());
     return plan.ratePerSecond() > 0
-        ? accounts.computeIfAbsent(a.customer(), c -> new Account(c, plan, began))
+        ? accounts.computeIfAbsent(request.customer(), c -> new Account(c, plan, beganAtMs))
         : null;
   }
 
-  private void sentOn(Event.Came came, Event.Asked a) {
-    Account account = account(a);
+  private void forwarded(Event.Came arrival, Event.Asked request) {
+    Account account = account(request);
     if (account == null) {
       return;
     }
-    account.sends.add(new double[] {came.at(), a.units()});
-    if (account.store.holds(came.at(), a.units())) {
-      account.store.take(came.at(), a.units());
-      account.inside += a.units();
+    account.sends.add(new double[] {arrival.at(), request.units()});
+    if (account.bucket.holds(arrival.at(), request.units())) {
+      account.bucket.take(arrival.at(), request.units());
+      account.withinQuota += request.units();
       return;
     }
-    account.beyond.add(new double[] {came.at(), a.units()});
-    account.beyondNow += a.units();
-    account.beyondAll += a.units();
-    while (account.beyond.peek()[0] < came.at() - MINUTE) {
-      account.beyondNow -= account.beyond.poll()[1];
+    account.overQuotaSends.add(new double[] {arrival.at(), request.units()});
+    account.overQuotaInMinute += request.units();
+    account.overQuotaTotal += request.units();
+    while (account.overQuotaSends.peek()[0] < arrival.at() - MINUTE_MS) {
+      account.overQuotaInMinute -= account.overQuotaSends.poll()[1];
     }
-    if (account.beyondNow > account.most) {
-      account.most = account.beyondNow;
-      account.mostAt = came;
+    if (account.overQuotaInMinute > account.maxOverQuotaInMinute) {
+      account.maxOverQuotaInMinute = account.overQuotaInMinute;
+      account.maxReachedBy = arrival;
     }
   }
 
@@ -138,33 +139,33 @@
   /**
    * What a store holds at a time (ms), after these sends; those that it did not hold took nothing.
    */
-  public static double store(QuotaPlan plan, double[][] sends, double at) {
-    Bucket store = new Bucket(plan.ratePerSecond(), plan.burstUnits(), 0);
+  public static double unitsAt(QuotaPlan plan, double[][] sends, double atMs) {
+    TokenBucket bucket = new TokenBucket(plan.ratePerSecond(), plan.burstUnits(), 0);
     for (double[] send : sends) {
-      if (send[0] > at) {
+      if (send[0] > atMs) {
         break;
       }
-      if (store.holds(send[0], send[1])) {
-        store.take(send[0], send[1]);
+      if (bucket.holds(send[0], send[1])) {
+        bucket.take(send[0], send[1]);
       }
     }
-    return store.units(at);
+    return bucket.units(atMs);
   }
 
   /** What a quota gives in a minute, or in a day that is shorter. */
-  private static double gives(QuotaPlan plan, double length) {
-    return plan.burstUnits() + plan.ratePerSecond() * Math.min(MINUTE, length) / 1000;
+  private static double quotaUnits(QuotaPlan plan, double lengthMs) {
+    return plan.burstUnits() + plan.ratePerSecond() * Math.min(MINUTE_MS, lengthMs) / 1000;
   }
 
   /** When (ms) units were sent on beyond a quota, given all sends. */
-  public static double[] beyond(QuotaPlan plan, double[][] sends) {
-    Bucket store = new Bucket(plan.ratePerSecond(), plan.burstUnits(), 0);
+  public static double[] overQuotaTimesMs(QuotaPlan plan, double[][] sends) {
+    TokenBucket bucket = new TokenBucket(plan.ratePerSecond(), plan.burstUnits(), 0);
     return Arrays.stream(sends)
         .filter(
             send -> {
-              boolean holds = store.holds(send[0], send[1]);
+              boolean holds = bucket.holds(send[0], send[1]);
               if (holds) {
-                store.take(send[0], send[1]);
+                bucket.take(send[0], send[1]);
               }
               return !holds;
             })
@@ -180,40 +181,39 @@
                 new Figures(
                     a.customer,
                     a.plan.name(),
-                    a.inside,
-                    a.beyondAll,
-                    a.refusedWithRoom,
-                    a.most / gives(a.plan, length)))
+                    a.withinQuota,
+                    a.overQuotaTotal,
+                    a.rejectedWithinQuota,
+                    a.maxOverQuotaInMinute / quotaUnits(a.plan, lengthMs)))
         .toList();
   }
 
   @Override
-  public List<Violation> verdict(double at) {
-    length = Math.max(1, at - (Double.isNaN(began) ? 0 : began));
-    double rounding = terms.nodes() * (double) terms.mostUnits();
-    List<Violation> breaches = new ArrayList<>();
-    for (Account a : accounts.values()) {
-      double gives = gives(a.plan, length);
-      if (a.most > OVER * gives + rounding) {
-        breaches.add(
+  public List<Violation> violations(double at) {
+    lengthMs = Math.max(1, at - (Double.isNaN(beganAtMs) ? 0 : beganAtMs));
+    double rounding = terms.nodes() * (double) terms.maxRequestUnits();
+    List<Violation> violations = new ArrayList<>();
+    for (Account account : accounts.values()) {
+      double quotaUnits = quotaUnits(account.plan, lengthMs);
+      if (account.maxOverQuotaInMinute > MAX_OVER_QUOTA_SHARE * quotaUnits + rounding) {
+        violations.add(
             new Violation(
                 rule(),
-                a.mostAt.at(),
-                a.mostAt.id(),
+                account.maxReachedBy.at(),
+                account.maxReachedBy.id(),
                 String.format(
                     Locale.ROOT,
-                    "customer %s"
-                        + " (%s) had %.0f units beyond its quota within a minute that gives %.1f: %.1f%%; %.1f are granted,"
-                        + " and %.0f for rounding",
-                    a.customer,
-                    a.plan.name(),
-                    a.most,
-                    gives,
-                    100 * a.most / gives,
-                    OVER * gives,
+                    "customer %s (%s) had %.0f units beyond its quota within a minute that gives"
+                        + " %.1f: %.1f%%; %.1f are granted, and %.0f for rounding",
+                    account.customer,
+                    account.plan.name(),
+                    account.maxOverQuotaInMinute,
+                    quotaUnits,
+                    100 * account.maxOverQuotaInMinute / quotaUnits,
+                    MAX_OVER_QUOTA_SHARE * quotaUnits,
                     rounding)));
       }
     }
-    return breaches;
+    return violations;
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/SingleExecutionInvariant.java
+++ b/src/main/java/edgenode/simulation/invariants/SingleExecutionInvariant.java
@@ -18,22 +18,23 @@
   private static final class Attempt {
     private final String server;
     private final int rack;
-    private final double at;
-    private boolean neverRan;
+    private final double atMs;
+    private boolean provesNothingRan;
 
     Attempt(String server, int rack, double at) {
       this.server = server;
       this.rack = rack;
-      this.at = at;
+      this.atMs = at;
     }
   }
 
   private final InvariantTerms terms;
-  private final Map<String, RequestClass> types = new HashMap<>();
+  private final Map<String, RequestClass> requestClasses = new HashMap<>();
   private final Map<String, Integer> racks = new HashMap<>();
   private final Map<String, List<Attempt>> attempts = new HashMap<>();
-  private final List<Violation> breaches = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
 
+  /** A checker that has seen nothing yet. */
   public SingleExecutionInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
@@ -44,82 +45,85 @@
   }
 
   @Override
-  public void see(Event event) {
+  public void onEvent(Event event) {
     if (event instanceof Event.Born born) {
       racks.put(born.server(), born.rack());
     } else if (event instanceof Event.Asked asked) {
-      types.put(asked.id(), terms.type(asked.type()));
-    } else if (event instanceof Event.Came came) {
-      came(came);
+      requestClasses.put(asked.id(), terms.requestClass(asked.type()));
+    } else if (event instanceof Event.Came arrival) {
+      arrived(arrival);
     } else if (event instanceof Event.Replied replied && replied.kind().equals("BUSY")) {
       attempts.getOrDefault(replied.id(), List.of()).stream()
           .filter(a -> a.server.equals(replied.server()))
           .reduce((a, b) -> b)
-          .ifPresent(a -> a.neverRan = true);
-    } else if (event instanceof Event.Heard heard && heard.answer() == Event.Answer.BUSY) {
-      RequestClass type = types.get(heard.id());
-      attempts.getOrDefault(heard.id(), List.of()).stream()
-          .filter(a -> !a.neverRan)
+          .ifPresent(a -> a.provesNothingRan = true);
+    } else if (event instanceof Event.Heard response && response.answer() == Event.Answer.BUSY) {
+      RequestClass requestClass = requestClasses.get(response.id());
+      attempts.getOrDefault(response.id(), List.of()).stream()
+          .filter(a -> !a.provesNothingRan)
           .findFirst()
           .ifPresent(
               a -> {
-                if (type != null
-                    && type.idempotency() != Idempotency.IDEMPOTENT
-                    && !anywhere(type)) {
-                  breaches.add(
+                if (requestClass != null
+                    && requestClass.idempotency() != Idempotency.IDEMPOTENT
+                    && !mayRepeatAnywhere(requestClass)) {
+                  violations.add(
                       new Violation(
                           rule(),
-                          heard.at(),
-                          heard.id(),
+                          response.at(),
+                          response.id(),
                           "refused as if nothing had run, and " + a.server + " may have run it"));
                 }
               });
     }
   }
 
-  private static boolean anywhere(RequestClass type) {
-    return type.idempotency() == Idempotency.KEYED && type.group() == IdempotencyGroup.ALL;
+  private static boolean mayRepeatAnywhere(RequestClass requestClass) {
+    return requestClass.idempotency() == Idempotency.KEYED
+        && requestClass.group() == IdempotencyGroup.ALL;
   }
 
-  private void came(Event.Came came) {
-    RequestClass type = types.get(came.id());
-    if (type == null) {
-      breaches.add(
-          new Violation(rule(), came.at(), came.id(), came.server() + " got what no client asked"));
+  private void arrived(Event.Came arrival) {
+    RequestClass requestClass = requestClasses.get(arrival.id());
+    if (requestClass == null) {
+      violations.add(
+          new Violation(
+              rule(), arrival.at(), arrival.id(), arrival.server() + " got what no client asked"));
       return;
     }
-    int rack = racks.getOrDefault(came.server(), -1);
-    List<Attempt> before = attempts.computeIfAbsent(came.id(), id -> new ArrayList<>(2));
-    before.stream()
-        .filter(a -> !a.neverRan)
+    int rack = racks.getOrDefault(arrival.server(), -1);
+    List<Attempt> earlierAttempts =
+        attempts.computeIfAbsent(arrival.id(), id -> new ArrayList<>(2));
+    earlierAttempts.stream()
+        .filter(a -> !a.provesNothingRan)
         .findFirst()
         .ifPresent(
             first -> {
-              boolean dropped =
-                  type.idempotency() == Idempotency.KEYED
-                      && (anywhere(type) || first.rack == rack)
-                      && came.at() - first.at
-                          <= type.idempotencyWindowMs() + InvariantTerms.SOCKETS;
-              if (type.idempotency() != Idempotency.IDEMPOTENT && !dropped) {
-                breaches.add(
+              boolean isDropped =
+                  requestClass.idempotency() == Idempotency.KEYED
+                      && (mayRepeatAnywhere(requestClass) || first.rack == rack)
+                      && arrival.at() - first.atMs
+                          <= requestClass.idempotencyWindowMs() + InvariantTerms.SOCKET_GRACE_MS;
+              if (requestClass.idempotency() != Idempotency.IDEMPOTENT && !isDropped) {
+                violations.add(
                     new Violation(
                         rule(),
-                        came.at(),
-                        came.id(),
+                        arrival.at(),
+                        arrival.id(),
                         String.format(
                             Locale.ROOT,
                             "%s may have run it %.0f ms before," + " and %s got it again%s",
                             first.server,
-                            came.at() - first.at,
-                            came.server(),
+                            arrival.at() - first.atMs,
+                            arrival.server(),
                             first.rack == rack ? "" : " in another rack")));
               }
             });
-    before.add(new Attempt(came.server(), rack, came.at()));
+    earlierAttempts.add(new Attempt(arrival.server(), rack, arrival.at()));
   }
 
   @Override
-  public List<Violation> verdict(double at) {
-    return List.copyOf(breaches);
+  public List<Violation> violations(double at) {
+    return List.copyOf(violations);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/SingleResponseInvariant.java
+++ b/src/main/java/edgenode/simulation/invariants/SingleResponseInvariant.java
@@ -17,24 +17,25 @@
  */
 public final class SingleResponseInvariant implements InvariantChecker {
   /** A send that crossed the answer: both were under way (ms). */
-  private static final double CROSSING = 50;
+  private static final double IN_TRANSIT_MS = 50;
 
-  private static final class Open {
+  private static final class OpenRequest {
     private final Event.Asked asked;
-    private double answeredAt = Double.NaN;
-    private boolean excused;
-    private boolean closed;
+    private double answeredAtMs = Double.NaN;
+    private boolean isExcused;
+    private boolean isClosed;
 
-    Open(Event.Asked asked) {
+    OpenRequest(Event.Asked asked) {
       this.asked = asked;
     }
   }
 
   private final InvariantTerms terms;
-  private final Map<String, Open> requests = new LinkedHashMap<>();
-  private final Map<String, Set<String>> made = new HashMap<>();
-  private final List<Violation> breaches = new ArrayList<>();
+  private final Map<String, OpenRequest> requests = new LinkedHashMap<>();
+  private final Map<String, Set<String>> valuesByRequest = new HashMap<>();
+  private final List<Violation> violations = new ArrayList<>();
 
+  /** A checker that has seen nothing yet. */
   public SingleResponseInvariant(InvariantTerms terms) {
     this.terms = terms;
   }
@@ -44,100 +45,111 @@
     return "one-answer-in-time";
   }
 
-  private void breach(double at, String id, String what) {
-    breaches.add(new Violation(rule(), at, id, what));
+  private void report(double atMs, String id, String what) {
+    violations.add(new Violation(rule(), atMs, id, what));
   }
 
-  private double due(Open r) {
-    return r.asked.at() + r.asked.patience() + terms.answerGrace();
+  private double answerDueAtMs(OpenRequest request) {
+    return request.asked.at() + request.asked.patience() + terms.answerGraceMs();
   }
 
   @Override
-  public void see(Event event) {
+  public void onEvent(Event event) {
     if (event instanceof Event.Asked asked) {
-      if (requests.putIfAbsent(asked.id(), new Open(asked)) != null) {
+      if (requests.putIfAbsent(asked.id(), new OpenRequest(asked)) != null) {
         throw new IllegalArgumentException(
             "two requests of one id, " + asked.id() + ": the world is at fault");
       }
     } else if (event instanceof Event.Replied replied && replied.kind().equals("value")) {
-      made.computeIfAbsent(replied.id(), id -> new HashSet<>(2)).add(replied.server());
-    } else if (event instanceof Event.Heard heard) {
-      heard(heard);
+      valuesByRequest.computeIfAbsent(replied.id(), id -> new HashSet<>(2)).add(replied.server());
+    } else if (event instanceof Event.Heard response) {
+      responseReceived(response);
     } else if (event instanceof Event.Cut cut) {
-      Open r = requests.get(cut.id());
-      if (r != null && Double.isNaN(r.answeredAt) && !r.excused && !r.closed) {
-        r.closed = true;
-        breach(cut.at(), cut.id(), "its connection was ended with no whole answer");
+      OpenRequest request = requests.get(cut.id());
+      if (request != null
+          && Double.isNaN(request.answeredAtMs)
+          && !request.isExcused
+          && !request.isClosed) {
+        request.isClosed = true;
+        report(cut.at(), cut.id(), "its connection was ended with no whole answer");
       }
-    } else if (event instanceof Event.GaveUp gone) {
-      Open r = requests.get(gone.id());
-      if (r != null) {
-        if (gone.at() > due(r)) {
-          never(r, gone.at());
+    } else if (event instanceof Event.GaveUp disconnect) {
+      OpenRequest request = requests.get(disconnect.id());
+      if (request != null) {
+        if (disconnect.at() > answerDueAtMs(request)) {
+          reportUnanswered(request, disconnect.at());
         }
-        r.closed = true;
+        request.isClosed = true;
       }
     } else if (event instanceof Event.NodeEnded end && end.how() == Event.End.KILLED) {
       requests.values().stream()
-          .filter(r -> r.asked.node() == end.node() && Double.isNaN(r.answeredAt))
-          .forEach(r -> r.excused = true);
-    } else if (event instanceof Event.Came came) {
-      Open r = requests.get(came.id());
-      if (r != null && came.at() > r.answeredAt + CROSSING) {
-        breach(
-            came.at(),
-            came.id(),
+          .filter(
+              request -> request.asked.node() == end.node() && Double.isNaN(request.answeredAtMs))
+          .forEach(request -> request.isExcused = true);
+    } else if (event instanceof Event.Came arrival) {
+      OpenRequest request = requests.get(arrival.id());
+      if (request != null && arrival.at() > request.answeredAtMs + IN_TRANSIT_MS) {
+        report(
+            arrival.at(),
+            arrival.id(),
             String.format(
                 Locale.ROOT,
                 "sent on to %s %.0f ms after its final answer",
-                came.server(),
-                came.at() - r.answeredAt));
+                arrival.server(),
+                arrival.at() - request.answeredAtMs));
       }
     }
   }
 
-  private void heard(Event.Heard heard) {
-    Open r = requests.get(heard.id());
-    if (r == null) {
-      breach(heard.at(), heard.id(), "an answer to nothing");
+  private void responseReceived(Event.Heard response) {
+    OpenRequest request = requests.get(response.id());
+    if (request == null) {
+      report(response.at(), response.id(), "an answer to nothing");
       return;
     }
-    if (!Double.isNaN(r.answeredAt)) {
-      breach(heard.at(), heard.id(), "answered twice");
+    if (!Double.isNaN(request.answeredAtMs)) {
+      report(response.at(), response.id(), "answered twice");
       return;
     }
-    r.answeredAt = heard.at();
-    if (heard.at() > due(r) && !r.closed) {
-      breach(
-          heard.at(),
-          heard.id(),
+    request.answeredAtMs = response.at();
+    if (response.at() > answerDueAtMs(request) && !request.isClosed) {
+      report(
+          response.at(),
+          response.id(),
           String.format(
-              Locale.ROOT, "answered %.0f ms after its time and the grace", heard.at() - due(r)));
+              Locale.ROOT,
+              "answered %.0f ms after its time and the grace",
+              response.at() - answerDueAtMs(request)));
     }
-    if (heard.answer() == Event.Answer.VALUE
-        && made.getOrDefault(heard.id(), Set.of()).stream()
-            .noneMatch(server -> heard.text().equals("ok " + heard.id() + " by " + server))) {
-      breach(heard.at(), heard.id(), "served with what no app server made for it: " + heard.text());
+    if (response.answer() == Event.Answer.VALUE
+        && valuesByRequest.getOrDefault(response.id(), Set.of()).stream()
+            .noneMatch(server -> response.text().equals("ok " + response.id() + " by " + server))) {
+      report(
+          response.at(),
+          response.id(),
+          "served with what no app server made for it: " + response.text());
     }
   }
 
-  private void never(Open r, double at) {
-    if (Double.isNaN(r.answeredAt) && !r.excused && !r.closed) {
-      r.closed = true;
-      breach(
-          at,
-          r.asked.id(),
+  private void reportUnanswered(OpenRequest request, double atMs) {
+    if (Double.isNaN(request.answeredAtMs) && !request.isExcused && !request.isClosed) {
+      request.isClosed = true;
+      report(
+          atMs,
+          request.asked.id(),
           String.format(
               Locale.ROOT,
               "no answer %.0f ms after it was asked, its time was %.0f ms",
-              at - r.asked.at(),
-              r.asked.patience()));
+              atMs - request.asked.at(),
+              request.asked.patience()));
     }
   }
 
   @Override
-  public List<Violation> verdict(double at) {
-    requests.values().stream().filter(r -> due(r) < at).forEach(r -> never(r, at));
-    return List.copyOf(breaches);
+  public List<Violation> violations(double at) {
+    requests.values().stream()
+        .filter(r -> answerDueAtMs(r) < at)
+        .forEach(r -> reportUnanswered(r, at));
+    return List.copyOf(violations);
   }
 }
--- a/src/main/java/edgenode/simulation/invariants/Bucket.java
+++ b/src/main/java/edgenode/simulation/invariants/TokenBucket.java
@@ -4,29 +4,29 @@
  * A store of units that starts full, fills at a rate and holds its burst at most (a token bucket).
  * Times in ms.
  */
-final class Bucket {
+final class TokenBucket {
   /** Sums of parts of units that are one unit, but for the last bit. */
   private static final double ROUNDING = 1e-9;
 
-  private final double rate;
+  private final double unitsPerSecond;
   private final double burst;
   private double units;
-  private double at;
+  private double updatedAtMs;
 
   /**
    * @param rate units a second
    */
-  Bucket(double rate, double burst, double now) {
-    this.rate = rate;
+  TokenBucket(double rate, double burst, double now) {
+    this.unitsPerSecond = rate;
     this.burst = burst;
     units = burst;
-    at = now;
+    updatedAtMs = now;
   }
 
   /** What it holds now. */
   double units(double now) {
-    units = Math.min(burst, units + rate * Math.max(0, now - at) / 1000);
-    at = Math.max(at, now);
+    units = Math.min(burst, units + unitsPerSecond * Math.max(0, now - updatedAtMs) / 1000);
+    updatedAtMs = Math.max(updatedAtMs, now);
     return units;
   }
 
--- a/src/main/java/edgenode/simulation/invariants/TrafficInvariant.java
+++ b/src/main/java/edgenode/simulation/invariants/TrafficInvariant.java
@@ -10,13 +10,14 @@
  * served.
  */
 public final class TrafficInvariant implements InvariantChecker {
-  private final int nodes;
-  private final Set<Integer> asked = new TreeSet<>();
+  private final int nodeCount;
+  private final Set<Integer> nodesWithRequests = new TreeSet<>();
   private long served;
   private long sent;
 
+  /** A checker for a run of so many nodes. */
   public TrafficInvariant(int nodes) {
-    this.nodes = nodes;
+    this.nodeCount = nodes;
   }
 
   @Override
@@ -25,26 +26,30 @@
   }
 
   @Override
-  public void see(Event event) {
-    if (event instanceof Event.Asked a) {
-      asked.add(a.node());
+  public void onEvent(Event event) {
+    if (event instanceof Event.Asked request) {
+      nodesWithRequests.add(request.node());
     } else if (event instanceof Event.Came) {
       sent++;
-    } else if (event instanceof Event.Heard heard && heard.answer() == Event.Answer.VALUE) {
+    } else if (event instanceof Event.Heard response && response.answer() == Event.Answer.VALUE) {
       served++;
     }
   }
 
   @Override
-  public List<Violation> verdict(double at) {
+  public List<Violation> violations(double at) {
     List<Violation> all = new ArrayList<>();
-    if (asked.size() < nodes) {
+    if (nodesWithRequests.size() < nodeCount) {
       all.add(
           new Violation(
               rule(),
               at,
               null,
-              "of " + nodes + " edge nodes " + asked.size() + " were asked anything"));
+              "of "
+                  + nodeCount
+                  + " edge nodes "
+                  + nodesWithRequests.size()
+                  + " were asked anything"));
     }
     if (sent == 0 || served == 0) {
       all.add(new Violation(rule(), at, null, "nobody was served: a report on no evidence"));
--- a/src/main/java/edgenode/simulation/invariants/Violation.java
+++ b/src/main/java/edgenode/simulation/invariants/Violation.java
@@ -3,8 +3,8 @@
 /**
  * A rule that was broken.
  *
- * @param rule the judge's name
- * @param at when it was seen (ms on the day's clock)
+ * @param rule the name of its checker
+ * @param at when it was seen (ms on the clock of the run)
  * @param id the request, or null where it is none's
  * @param what in a sentence, with figures
  */
--- a/src/test/java/edgenode/simulation/EventLoopStallTest.java
+++ b/src/test/java/edgenode/simulation/EventLoopStallTest.java
@@ -142,8 +142,8 @@
             day.nodes(),
             day.servers(),
             day.size(),
-            day.campuses(),
-            day.noticeMs(),
+            day.customers(),
+            day.loadBalancerNoticeMs(),
             day.load(),
             List.of());
     List<Double> reached = new ArrayList<>();
--- a/src/test/java/edgenode/simulation/RaceScenarios.java
+++ b/src/test/java/edgenode/simulation/RaceScenarios.java
@@ -189,19 +189,19 @@
     IdempotencyGroupModel[] racks = {
       new IdempotencyGroupModel("a", 0, window), new IdempotencyGroupModel("b", 1, window)
     };
-    for (int i = 0; i < SERVERS; i++) {
+    for (int index = 0; index < SERVERS; index++) {
       servers.add(
           new AppServerEmulator(
                   shared,
-                  "s" + i,
-                  racks[i % 2],
+                  "s" + index,
+                  racks[index % 2],
                   SIZE,
                   new AppServerEmulator.ConnectionOptions(64, keepAlive, 200, 0.1),
                   recorder,
-                  seed * 31 + i)
-              .start(at(2, i)));
-      see(new Event.Born(0, "s" + i, i % 2, SIZE, false));
-      discovery.set(servers.get(i).entry("active"));
+                  seed * 31 + index)
+              .start(at(2, index)));
+      see(new Event.Born(0, "s" + index, index % 2, SIZE, false));
+      discovery.set(servers.get(index).entry("active"));
     }
     node =
         new EdgeNode(
@@ -244,7 +244,7 @@
     if (event.at() >= 0) {
       story.add(String.format(Locale.ROOT, "%.1f %s", event.at(), event));
     }
-    judges.forEach(j -> j.see(event));
+    judges.forEach(j -> j.onEvent(event));
     if (event instanceof Event.Came came) {
       boolean first = sentOn.add(came.id());
       // the page allows 100 ms; on this network nothing takes time, so that each ms is the node's
@@ -282,10 +282,10 @@
       }
     }
     began = until;
-    for (int i = 0; i < 120; i++) {
+    for (int index = 0; index < 120; index++) {
       shared.schedule(chance.nextDouble() * LENGTH, this::ask);
     }
-    for (int i = 0; i < 14; i++) {
+    for (int index = 0; index < 14; index++) {
       shared.schedule(chance.nextDouble() * LENGTH, this::trouble);
     }
     double term = 1000 + chance.nextDouble() * (LENGTH - 1000);
@@ -293,7 +293,7 @@
         term
             + Math.min(3000, Math.max(deadlines[0], Math.max(deadlines[1], deadlines[2])))
             + GRANTED;
-    for (int i = 0; i < 60; i++) { // clients go on on each connection that stays open
+    for (int index = 0; index < 60; index++) { // clients go on on each connection that stays open
       shared.schedule(
           term + chance.nextDouble() * (killed - term),
           () ->
@@ -314,7 +314,7 @@
     shared.schedule(killed, () -> ends("SIGKILL", term + GRANTED));
     loop.runUntil(began + killed + 10);
     List<Violation> all = new ArrayList<>(own);
-    judges.forEach(j -> all.addAll(j.verdict(killed)));
+    judges.forEach(j -> all.addAll(j.violations(killed)));
     return all;
   }
 
@@ -348,11 +348,11 @@
   }
 
   private void trouble() {
-    int i = chance.nextInt(SERVERS);
-    AppServerEmulator server = servers.get(i);
+    int index = chance.nextInt(SERVERS);
+    AppServerEmulator server = servers.get(index);
     double lasts = 50 + chance.nextDouble() * 1500;
     int kind = chance.nextInt(12);
-    see(new Event.Done(now(), "trouble " + kind + " s" + i + " for " + Math.round(lasts)));
+    see(new Event.Done(now(), "trouble " + kind + " s" + index + " for " + Math.round(lasts)));
     switch (kind) {
       case 0, 1 -> {
         double back =
@@ -363,7 +363,7 @@
         }
         double dies = hangs ? 50 + lateness.nextDouble() * 300 : 0;
         shared.schedule(dies * lateness.nextDouble(), this::leaveTogether);
-        shared.schedule(dies, () -> dies(i, back));
+        shared.schedule(dies, () -> dies(index, back));
       }
       case 2, 3, 4, 5 -> {
         server.setFaultMode(MOODS.get(chance.nextInt(MOODS.size())));
@@ -371,7 +371,7 @@
       }
       case 6, 7 -> {
         discovery.set(server.entry("leaving"));
-        shared.schedule(lasts, () -> discovery.set(server.entry(dead[i] ? "left" : "active")));
+        shared.schedule(lasts, () -> discovery.set(server.entry(dead[index] ? "left" : "active")));
       }
       case 8 -> {
         discovery.setSilent(!stalls);
@@ -390,25 +390,25 @@
         moved = !moved;
         try {
           node.reload(configuration());
-        } catch (IOException e) {
-          throw new IllegalStateException(e);
+        } catch (IOException event) {
+          throw new IllegalStateException(event);
         }
       }
     }
   }
 
-  private void dies(int i, double back) {
-    AppServerEmulator server = servers.get(i);
-    if (!dead[i]) {
-      dead[i] = true;
+  private void dies(int index, double back) {
+    AppServerEmulator server = servers.get(index);
+    if (!dead[index]) {
+      dead[index] = true;
       server.crash();
       server.setFaultMode(AppServerEmulator.FaultMode.NORMAL);
       shared.schedule(
           back,
           () -> {
-            dead[i] = false;
+            dead[index] = false;
             server.restart(server.address());
-            see(new Event.Born(now(), server.id(), i % 2, SIZE, true));
+            see(new Event.Born(now(), server.id(), index % 2, SIZE, true));
             discovery.set(server.entry("active"));
           });
     }
--- a/src/test/java/edgenode/simulation/ScenarioRunTest.java
+++ b/src/test/java/edgenode/simulation/ScenarioRunTest.java
@@ -118,21 +118,21 @@
   }
 
   private static PolicySettings plans(
-      PolicySettings s, java.util.function.UnaryOperator<QuotaPlan> change) {
+      PolicySettings sends, java.util.function.UnaryOperator<QuotaPlan> change) {
     return new PolicySettings(
-        s.nodeIndex(),
-        s.nodeCount(),
-        s.zone(),
-        s.timerResolutionMs(),
-        s.mustPollDiscovery(),
-        s.settlesUnits(),
-        s.maxRequestUnits(),
-        s.loadReportFields(),
-        s.requestClasses(),
-        s.plans().stream().map(change).toList(),
-        s.capabilities(),
-        s.rules(),
-        s.prices());
+        sends.nodeIndex(),
+        sends.nodeCount(),
+        sends.zone(),
+        sends.timerResolutionMs(),
+        sends.mustPollDiscovery(),
+        sends.settlesUnits(),
+        sends.maxRequestUnits(),
+        sends.loadReportFields(),
+        sends.requestClasses(),
+        sends.plans().stream().map(change).toList(),
+        sends.capabilities(),
+        sends.rules(),
+        sends.prices());
   }
 
   private static Scenario day(String text) throws Exception {
@@ -141,9 +141,9 @@
 
   private static Set<String> broken(ScenarioRun day, String... expected) {
     assertTrue(
-        day.broken().containsAll(List.of(expected)),
-        day.broken() + " " + day.breaches().stream().limit(3).toList());
-    return day.broken();
+        day.violatedRules().containsAll(List.of(expected)),
+        day.violatedRules() + " " + day.violations().stream().limit(3).toList());
+    return day.violatedRules();
   }
 
   /**
@@ -166,12 +166,13 @@
       int beyond = 0;
       double worst = 0;
       for (Future<ScenarioRun> f : pool.invokeAll(days)) {
-        ScenarioRun r = f.get();
-        Set<String> rules = new TreeSet<>(r.broken());
+        ScenarioRun run = f.get();
+        Set<String> rules = new TreeSet<>(run.violatedRules());
         beyond += rules.remove(QUOTA) ? 1 : 0; // see the roadmap: a known gap, with its figures
-        worst = Math.max(worst, r.worst().worst());
+        worst = Math.max(worst, run.worstCustomer().maxOverQuotaShare());
         if (!rules.isEmpty()) {
-          broken.add(r.scenario().name() + " --seed " + r.seed() + " " + r.breaches().get(0));
+          broken.add(
+              run.scenario().name() + " --seed " + run.seed() + " " + run.violations().get(0));
         }
       }
       System.out.printf(
@@ -215,10 +216,10 @@
                   }
                 });
     ScenarioRun held = ScenarioRun.play(day(DRAIN), 1, crooked);
-    assertEquals(Set.of(), new HashSet<>(held.broken()));
+    assertEquals(Set.of(), new HashSet<>(held.violatedRules()));
     double last =
-        held.court().events().stream()
-            .filter(e -> e instanceof Event.Came)
+        held.invariants().events().stream()
+            .filter(errFile -> errFile instanceof Event.Came)
             .mapToDouble(Event::at)
             .max()
             .orElse(0);
@@ -249,7 +250,7 @@
   void aModuleThatFloodsAColdServerIsFound() throws Exception {
     PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, null);
     broken(ScenarioRun.play(day(COLD), 2, crooked), "no-cold-server-pushed-over");
-    assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(COLD), 2).broken()));
+    assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(COLD), 2).violatedRules()));
   }
 
   private static final String BUSY =
@@ -268,15 +269,15 @@
             new PolicyEngine(
                 plans(
                     settings,
-                    p ->
+                    plan ->
                         new QuotaPlan(
-                            p.name(),
-                            2 * p.ratePerSecond(),
-                            2 * p.burstUnits(),
-                            p.maxOpenRequests(),
-                            p.priceWeight(),
-                            p.overQuotaWeight(),
-                            p.overQuotaCost(),
+                            plan.name(),
+                            2 * plan.ratePerSecond(),
+                            2 * plan.burstUnits(),
+                            plan.maxOpenRequests(),
+                            plan.priceWeight(),
+                            plan.overQuotaWeight(),
+                            plan.overQuotaCost(),
                             0,
                             0,
                             0)),
@@ -306,7 +307,7 @@
   void aModuleThatTriesAgainInAnotherRackIsFound() throws Exception {
     PolicyFactory crooked = (settings, seed, now, act) -> new Reckless(act, "s1");
     broken(ScenarioRun.play(day(FAILING), 4, crooked), "no-second-effect");
-    assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(FAILING), 4).broken()));
+    assertEquals(Set.of(), new HashSet<>(ScenarioRun.play(day(FAILING), 4).violatedRules()));
   }
 
   @Test
@@ -362,16 +363,16 @@
             1,
             0,
             List.of(
-                new Scenario.Point(0, 0),
-                new Scenario.Point(7900, 0),
-                new Scenario.Point(7990, 0.1)),
+                new Scenario.LoadPoint(0, 0),
+                new Scenario.LoadPoint(7900, 0),
+                new Scenario.LoadPoint(7990, 0.1)),
             big.faults());
     ScenarioRun found = ScenarioRun.play(nobody, 1);
     broken(found, "evidence");
     ScenarioRun least = found.shrink();
     assertEquals(List.of(), least.scenario().faults());
     assertTrue(least.scenario().lengthMs() < 8000, least.scenario().toString());
-    assertTrue(least.broken().contains("evidence"));
+    assertTrue(least.violatedRules().contains("evidence"));
   }
 
   // ---- report and command ----
@@ -381,9 +382,9 @@
     ScenarioRun day = ScenarioRun.play(Scenarios.of("stalls"), 5);
     Report.write(day, dir);
     Set<String> names = new HashSet<>();
-    try (JsonParser p = new JsonFactory().createParser(dir.resolve("report.json").toFile())) {
-      while (p.nextToken() != null) {
-        names.add(String.valueOf(p.currentName()));
+    try (JsonParser plan = new JsonFactory().createParser(dir.resolve("report.json").toFile())) {
+      while (plan.nextToken() != null) {
+        names.add(String.valueOf(plan.currentName()));
       }
     }
     assertTrue(
@@ -411,15 +412,16 @@
   private static Said simulate(String... words) {
     PrintStream out = System.out;
     PrintStream err = System.err;
-    ByteArrayOutputStream o = new ByteArrayOutputStream();
-    ByteArrayOutputStream e = new ByteArrayOutputStream();
+    ByteArrayOutputStream outFile = new ByteArrayOutputStream();
+    ByteArrayOutputStream errFile = new ByteArrayOutputStream();
     List<String> all = new ArrayList<>(List.of("simulate"));
     all.addAll(List.of(words));
-    System.setOut(new PrintStream(o, true, StandardCharsets.UTF_8));
-    System.setErr(new PrintStream(e, true, StandardCharsets.UTF_8));
+    System.setOut(new PrintStream(outFile, true, StandardCharsets.UTF_8));
+    System.setErr(new PrintStream(errFile, true, StandardCharsets.UTF_8));
     try {
       int code = SimulationCommands.run(all.toArray(new String[0]));
-      return new Said(code, o.toString(StandardCharsets.UTF_8), e.toString(StandardCharsets.UTF_8));
+      return new Said(
+          code, outFile.toString(StandardCharsets.UTF_8), errFile.toString(StandardCharsets.UTF_8));
     } finally {
       System.setOut(out);
       System.setErr(err);
@@ -486,11 +488,12 @@
   @Test
   void aScenarioThatAsksForWhatIsNotThereIsRefused() {
     assertThrows(
-        Scenarios.Refused.class, () -> day("servers = 2\n[[fault]]\nkind = \"die\"\nserver = 2\n"));
+        Scenarios.InvalidScenarioException.class,
+        () -> day("servers = 2\n[[fault]]\nkind = \"die\"\nserver = 2\n"));
     assertThrows(
-        Scenarios.Refused.class,
+        Scenarios.InvalidScenarioException.class,
         () -> day("length_s = 5\n[[fault]]\nkind = \"reload\"\nat_s = 6\n"));
-    assertThrows(Scenarios.Refused.class, () -> day("[[load]]\nper_second = 0\n"));
-    assertThrows(Scenarios.Refused.class, () -> day("fault = 3\n"));
+    assertThrows(Scenarios.InvalidScenarioException.class, () -> day("[[load]]\nper_second = 0\n"));
+    assertThrows(Scenarios.InvalidScenarioException.class, () -> day("fault = 3\n"));
   }
 }
--- a/src/test/java/edgenode/simulation/invariants/InvariantSuiteTest.java
+++ b/src/test/java/edgenode/simulation/invariants/InvariantSuiteTest.java
@@ -98,8 +98,8 @@
   }
 
   private List<Violation> by(InvariantChecker judge) {
-    day.forEach(judge::see);
-    List<Violation> found = judge.verdict(100_000);
+    day.forEach(judge::onEvent);
+    List<Violation> found = judge.violations(100_000);
     day.clear();
     found.forEach(b -> assertEquals(judge.rule(), b.rule()));
     return found;
@@ -434,12 +434,12 @@
         .replied(1001, "u", "s0", "BUSY")
         .heard(1002, "u", Event.Answer.BUSY, "BUSY"); // it was sent on
     silent(judge);
-    QuotaAudit.Figures f = judge.figures().get(0);
-    assertEquals(21, f.inside());
-    assertEquals(2, f.beyond());
-    assertEquals(1, f.refusedWithRoom());
+    QuotaAudit.Figures figures = judge.figures().get(0);
+    assertEquals(21, figures.withinQuota());
+    assertEquals(2, figures.overQuota());
+    assertEquals(1, figures.rejectedWithinQuota());
     assertEquals(
-        9, QuotaAudit.store(settings(1).plans().get(0), judge.sends(CUSTOMER), 1000), 1e-9);
+        9, QuotaAudit.unitsAt(settings(1).plans().get(0), judge.sends(CUSTOMER), 1000), 1e-9);
   }
 
   // ---- evidence ----
@@ -462,10 +462,10 @@
         .heard(21, "1", Event.Answer.ERROR, "ERR failed")
         .heard(25, "2", Event.Answer.BUSY, "BUSY");
     day.forEach(court);
-    List<Violation> found = court.verdict(10_000);
+    List<Violation> found = court.violations(10_000);
     assertEquals(1, found.size(), found.toString());
     assertEquals(
         List.of("Asked", "Came", "Replied", "Heard", "Heard"),
-        court.story(found.get(0)).stream().map(e -> e.getClass().getSimpleName()).toList());
+        court.trace(found.get(0)).stream().map(e -> e.getClass().getSimpleName()).toList());
   }
 }
