--- a/src/main/java/edgenode/simulation/fleet/AppServerFleet.java
+++ b/src/main/java/edgenode/simulation/fleet/AppServerFleet.java
@@ -9,7 +9,7 @@
  * servers, in virtual time.
  */
 final class AppServerFleet {
-  private static final double ROUND_TRIP_MS = 2 * Assumptions.ONE_WAY_LATENCY_MS;
+  private static final double ROUND_TRIP_MS = 2 * FleetAssumptions.ONE_WAY_LATENCY_MS;
 
   /** From the notice that a server drains to its stop (ms). */
   private static final double DRAIN_MS = 1000;
@@ -47,11 +47,11 @@
     warmSends = new long[lists.length];
     int perList = shape.serversPerList();
     for (int i = 0; i < servers.length; i++) {
-      servers[i] = new AppServerModel(i, i / perList, "z" + i % Assumptions.ZONES);
+      servers[i] = new AppServerModel(i, i / perList, "z" + i % FleetAssumptions.ZONES);
     }
     DiscoveryModel.Link link =
         new DiscoveryModel.Link(
-            Assumptions.DISCOVERY_BYTES_PER_MS_PER_NODE * shape.modelledNodes());
+            FleetAssumptions.DISCOVERY_BYTES_PER_MS_PER_NODE * shape.modelledNodes());
     for (int i = 0; i < lists.length; i++) {
       lists[i] = new DiscoveryModel(timeline, counters, link, servers, i * perList, perList);
     }
@@ -64,7 +64,7 @@
         shape.requestsPerSecond()
             * (1 - shape.modelledShare())
             / shape.servers()
-            * Assumptions.MEAN_WORK_MS
+            * FleetAssumptions.MEAN_WORK_MS
             / 1000
             / AppServerModel.CORES);
   }
@@ -115,22 +115,25 @@
       return;
     }
     boolean isWarmingUp =
-        server.startedAtMs > 0 && nowMs - server.startedAtMs < Assumptions.WARM_UP_MS;
+        server.startedAtMs > 0 && nowMs - server.startedAtMs < FleetAssumptions.WARM_UP_MS;
     server.warmUpSends += isWarmingUp ? 1 : 0;
     warmSends[server.listIndex] += isWarmingUp ? 0 : 1;
     double speed =
-        server.speed(nowMs, Assumptions.INITIAL_SPEED_SHARE, Assumptions.WARM_UP_MS)
+        server.speed(nowMs, FleetAssumptions.INITIAL_SPEED_SHARE, FleetAssumptions.WARM_UP_MS)
             * (1 - unmodelledLoad);
-    double workMs = -Math.log(1 - workRandom.nextDouble()) * Assumptions.MEAN_WORK_MS;
+    double workMs = -Math.log(1 - workRandom.nextDouble()) * FleetAssumptions.MEAN_WORK_MS;
     double doneMs =
         server.enqueue(
-            nowMs + Assumptions.ONE_WAY_LATENCY_MS, workMs, Assumptions.MEAN_WORK_MS, speed);
+            nowMs + FleetAssumptions.ONE_WAY_LATENCY_MS,
+            workMs,
+            FleetAssumptions.MEAN_WORK_MS,
+            speed);
     if (Double.isNaN(doneMs)) {
       counters.rejectedByServer++;
       timeline.scheduleAfter(ROUND_TRIP_MS, () -> node.attemptEnded(attempt, CallOutcome.FULL));
       return;
     }
-    double answeredMs = doneMs + Assumptions.ONE_WAY_LATENCY_MS;
+    double answeredMs = doneMs + FleetAssumptions.ONE_WAY_LATENCY_MS;
     timeline.scheduleAt(
         Math.min(answeredMs, attempt.request.deadlineMs),
         () -> attemptDue(node, attempt, answeredMs));
@@ -143,7 +146,7 @@
     timeline.scheduleAt(
         Math.min(
             attempt.request.deadlineMs,
-            nowMs + (isRefused ? ROUND_TRIP_MS : Assumptions.CONNECT_TIMEOUT_MS)),
+            nowMs + (isRefused ? ROUND_TRIP_MS : FleetAssumptions.CONNECT_TIMEOUT_MS)),
         () -> {
           node.attemptEnded(attempt, CallOutcome.NO_CONNECTION);
           node.connectFailed(server, isRefused);
@@ -188,7 +191,7 @@
     int incarnation = server.incarnation + 1;
     crash(server, true);
     timeline.scheduleAfter(
-        Assumptions.FAILURE_DETECTION_MS,
+        FleetAssumptions.FAILURE_DETECTION_MS,
         () -> {
           if (server.incarnation == incarnation && !server.isUp) {
             setHealth(server, AppServerModel.Health.LEFT);
@@ -200,7 +203,7 @@
   /** The machines of a zone fail, {@code maxServers} of them at most. */
   void failZone(int zone, int maxServers, double downMs) {
     int failed = 0;
-    for (int i = zone; i < servers.length && failed < maxServers; i += Assumptions.ZONES) {
+    for (int i = zone; i < servers.length && failed < maxServers; i += FleetAssumptions.ZONES) {
       failed++;
       failMachine(servers[i], downMs);
     }
@@ -231,7 +234,7 @@
     setHealth(server, AppServerModel.Health.ACTIVE);
     int incarnation = server.incarnation;
     timeline.scheduleAfter(
-        Assumptions.WARM_UP_MS,
+        FleetAssumptions.WARM_UP_MS,
         () -> {
           if (server.isUp
               && server.incarnation == incarnation
@@ -255,7 +258,8 @@
     int warmServers = 0;
     for (int i = list.firstServer(); i < list.firstServer() + list.size(); i++) {
       boolean isWarm =
-          servers[i].isUp && timeline.nowMs() - servers[i].startedAtMs > Assumptions.WARM_UP_MS;
+          servers[i].isUp
+              && timeline.nowMs() - servers[i].startedAtMs > FleetAssumptions.WARM_UP_MS;
       warmServers += isWarm ? 1 : 0;
     }
     if (timeline.nowMs() > wrongListsFromMs) {
@@ -264,11 +268,12 @@
     }
     double sendsPerWarmServer =
         (double) (warmSends[server.listIndex] - server.listSendsAtStart) / Math.max(1, warmServers);
-    double overloadShare = Math.max(1, Assumptions.settings(0, 1, "").rules().overloadFactor() / 2);
+    double overloadShare =
+        Math.max(1, FleetAssumptions.settings(0, 1, "").rules().overloadFactor() / 2);
     counters.warmUps.add(
         new FleetCounters.WarmUpSample(
             server.index,
             server.warmUpSends,
-            sendsPerWarmServer * overloadShare * (1 + Assumptions.INITIAL_SPEED_SHARE) / 2));
+            sendsPerWarmServer * overloadShare * (1 + FleetAssumptions.INITIAL_SPEED_SHARE) / 2));
   }
 }
--- a/src/main/java/edgenode/simulation/fleet/CounterModel.java
+++ b/src/main/java/edgenode/simulation/fleet/CounterModel.java
@@ -40,30 +40,30 @@
     counters.counterCalls++;
     counters.counterBytes += formats.addBytes(name, amount, ttlMs);
     double sentMs = timeline.nowMs();
-    double receivedMs = sentMs + Assumptions.ONE_WAY_LATENCY_MS;
+    double receivedMs = sentMs + FleetAssumptions.ONE_WAY_LATENCY_MS;
     if (isUnavailable || isPartitioned) {
       timeline.scheduleAfter(
-          Assumptions.COUNTER_TIMEOUT_MS,
+          FleetAssumptions.COUNTER_TIMEOUT_MS,
           () -> node.counterCallEnded(name, CallOutcome.OVERDUE, sentMs, 0));
       timeline.scheduleAfter(
-          Assumptions.COUNTER_DISCONNECT_MS,
+          FleetAssumptions.COUNTER_DISCONNECT_MS,
           () -> node.counterCallEnded(name, CallOutcome.RESET, sentMs, 0));
       return;
     }
-    if (freeAtMs - receivedMs > Assumptions.COUNTER_MAX_QUEUE_MS) {
+    if (freeAtMs - receivedMs > FleetAssumptions.COUNTER_MAX_QUEUE_MS) {
       counters.counterRejected++;
       timeline.scheduleAt(
-          receivedMs + Assumptions.ONE_WAY_LATENCY_MS,
+          receivedMs + FleetAssumptions.ONE_WAY_LATENCY_MS,
           () -> node.counterCallEnded(name, CallOutcome.FULL, sentMs, 0));
       return;
     }
     freeAtMs = Math.max(freeAtMs, receivedMs) + serviceTimeMs;
     double executedMs = freeAtMs;
-    double answeredMs = executedMs + Assumptions.ONE_WAY_LATENCY_MS;
-    if (answeredMs - sentMs > Assumptions.COUNTER_TIMEOUT_MS) {
+    double answeredMs = executedMs + FleetAssumptions.ONE_WAY_LATENCY_MS;
+    if (answeredMs - sentMs > FleetAssumptions.COUNTER_TIMEOUT_MS) {
       counters.counterLate++;
       timeline.scheduleAt(
-          sentMs + Assumptions.COUNTER_TIMEOUT_MS,
+          sentMs + FleetAssumptions.COUNTER_TIMEOUT_MS,
           () -> node.counterCallEnded(name, CallOutcome.OVERDUE, sentMs, 0));
     }
     timeline.scheduleAt(
--- a/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
+++ b/src/main/java/edgenode/simulation/fleet/DiscoveryModel.java
@@ -35,7 +35,7 @@
     /** Queues a message and returns when it arrives (ms). */
     double deliveryTimeMs(double nowMs, int bytes) {
       freeAtMs = Math.max(nowMs, freeAtMs) + bytes / bytesPerMs;
-      return freeAtMs + Assumptions.ONE_WAY_LATENCY_MS;
+      return freeAtMs + FleetAssumptions.ONE_WAY_LATENCY_MS;
     }
   }
 
@@ -100,7 +100,7 @@
         server.health.name().toLowerCase(Locale.ROOT),
         server.startedAtMs,
         server.zone,
-        index / Assumptions.SERVERS_PER_RACK + (server.changeCount & 1) * servers.length);
+        index / FleetAssumptions.SERVERS_PER_RACK + (server.changeCount & 1) * servers.length);
   }
 
   /** The complete list at the present version; the same object until the next change. */
@@ -145,7 +145,7 @@
     counters.changesMade++;
     if (!isPushScheduled) {
       isPushScheduled = true;
-      timeline.scheduleAfter(Assumptions.CHANGE_BATCH_MS, this::push);
+      timeline.scheduleAfter(FleetAssumptions.CHANGE_BATCH_MS, this::push);
     }
   }
 
@@ -172,7 +172,7 @@
     if (version != version()) {
       send(node, changesSince(version));
     } else {
-      timeline.scheduleAfter(Assumptions.ONE_WAY_LATENCY_MS, node::heartbeatReceived);
+      timeline.scheduleAfter(FleetAssumptions.ONE_WAY_LATENCY_MS, node::heartbeatReceived);
     }
     watchers.add(node);
   }
@@ -213,7 +213,8 @@
   /** A node asks for the complete list; ignored where it has no watch. */
   void resync(ModelNode node) {
     if (watchers.contains(node)) {
-      timeline.scheduleAfter(2 * Assumptions.ONE_WAY_LATENCY_MS, () -> send(node, completeList()));
+      timeline.scheduleAfter(
+          2 * FleetAssumptions.ONE_WAY_LATENCY_MS, () -> send(node, completeList()));
     }
   }
 }
--- a/src/main/java/edgenode/simulation/fleet/Assumptions.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetAssumptions.java
@@ -16,7 +16,7 @@
  * Figures of the model that no measurement backs: network, app servers, outside services, tenants.
  * The report prints them with each run.
  */
-final class Assumptions {
+final class FleetAssumptions {
   /**
    * Adds a second that the counter's machines serve for one edge node: 16 machines of 100,000 over
    * 5,500 nodes.
@@ -88,7 +88,7 @@
 
   static final int PLAN_COUNT = 14;
 
-  private Assumptions() {}
+  private FleetAssumptions() {}
 
   /** Rate of the quota plan of a step, 0 to {@link #PLAN_COUNT} - 1 (units a second). */
   static double planRatePerSecond(int step) {
--- a/src/main/java/edgenode/simulation/fleet/FleetReport.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetReport.java
@@ -97,7 +97,7 @@
       out.writeStartObject();
       out.writeNumberField("schema", SCHEMA);
       out.writeArrayFieldStart("assumed");
-      for (String line : Assumptions.describe()) {
+      for (String line : FleetAssumptions.describe()) {
         out.writeString(line);
       }
       out.writeEndArray();
--- a/src/main/java/edgenode/simulation/fleet/FleetSimulation.java
+++ b/src/main/java/edgenode/simulation/fleet/FleetSimulation.java
@@ -61,7 +61,10 @@
     }
     counter =
         new CounterModel(
-            timeline, counters, formats, Assumptions.COUNTER_ADDS_PER_SECOND_PER_NODE * nodeCount);
+            timeline,
+            counters,
+            formats,
+            FleetAssumptions.COUNTER_ADDS_PER_SECOND_PER_NODE * nodeCount);
     servers = new AppServerFleet(shape, timeline, counters, workRandom, arrivalsEndMs);
     tenants = new TenantPopulation(shape, seeds.split(), randomByNode, START_MS);
   }
@@ -134,7 +137,8 @@
             this,
             index,
             servers.listOfNode(index),
-            Assumptions.settings(nodeIndex, shape.nodes(), "z" + index % Assumptions.ZONES),
+            FleetAssumptions.settings(
+                nodeIndex, shape.nodes(), "z" + index % FleetAssumptions.ZONES),
             policyFactory,
             shape.seed() * 31 + nodesStarted++);
     nodes[index] = node;
@@ -152,7 +156,7 @@
 
   private void scheduleHeartbeat() {
     timeline.scheduleAfter(
-        Assumptions.HEARTBEAT_MS,
+        FleetAssumptions.HEARTBEAT_MS,
         () -> {
           for (ModelNode node : nodes) {
             node.heartbeatReceived();
@@ -168,26 +172,26 @@
     double serverShare =
         shape.modelledServerShare()
             * shape.servers()
-            / Assumptions.ALL_MACHINES
+            / FleetAssumptions.ALL_MACHINES
             * shape.hours()
             / 24;
     double nodeShare =
-        (double) shape.modelledNodes() / Assumptions.ALL_MACHINES * shape.hours() / 24;
+        (double) shape.modelledNodes() / FleetAssumptions.ALL_MACHINES * shape.hours() / 24;
     scheduleRandomly(
         random,
-        Assumptions.RESTARTS_PER_DAY * serverShare,
+        FleetAssumptions.RESTARTS_PER_DAY * serverShare,
         () -> servers.stopGracefully(servers.randomServer(random), SERVER_RESTART_MS));
     scheduleRandomly(
         random,
-        Assumptions.FAILURES_PER_DAY * serverShare,
+        FleetAssumptions.FAILURES_PER_DAY * serverShare,
         () -> servers.failMachine(servers.randomServer(random), MACHINE_FAILURE_MS));
     scheduleRandomly(
         random,
-        Assumptions.ROUTE_CHANGES_PER_DAY * serverShare,
+        FleetAssumptions.ROUTE_CHANGES_PER_DAY * serverShare,
         () -> servers.changeRoute(servers.randomServer(random)));
     scheduleRandomly(
         random,
-        (Assumptions.RESTARTS_PER_DAY + Assumptions.FAILURES_PER_DAY) * nodeShare,
+        (FleetAssumptions.RESTARTS_PER_DAY + FleetAssumptions.FAILURES_PER_DAY) * nodeShare,
         () -> restartNode(random.nextInt(nodes.length)));
   }
 
@@ -205,7 +209,8 @@
    */
   private void scheduleIncidents() {
     double lengthMs = arrivalsEndMs - START_MS;
-    scheduleAtShare(0.08, () -> servers.failZone(0, Assumptions.SERVERS_PER_RACK, 0.06 * lengthMs));
+    scheduleAtShare(
+        0.08, () -> servers.failZone(0, FleetAssumptions.SERVERS_PER_RACK, 0.06 * lengthMs));
     scheduleAtShare(0.22, () -> servers.failZone(1, servers.serverCount(), 0.1 * lengthMs));
     servers.setWrongListsFromMs(START_MS + 0.48 * lengthMs);
     scheduleAtShare(0.48, () -> servers.forEachList(list -> list.sendWrongList(0, 0)));
@@ -229,7 +234,7 @@
 
   private void setPartitioned(boolean partitioned) {
     for (int i = 0; i < nodes.length; i++) {
-      if (i % Assumptions.REGIONS == 0 && !nodes[i].isKilled()) {
+      if (i % FleetAssumptions.REGIONS == 0 && !nodes[i].isKilled()) {
         nodes[i].setPartitioned(partitioned);
       }
     }
--- a/src/main/java/edgenode/simulation/fleet/ModelMembership.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelMembership.java
@@ -136,7 +136,7 @@
   }
 
   void heartbeatReceived() {
-    counters.heartbeatBytes += Assumptions.HEARTBEAT_BYTES;
+    counters.heartbeatBytes += FleetAssumptions.HEARTBEAT_BYTES;
     process(() -> membership.sourceConfirmed(timeline.nowMs(), SOURCE_NAME));
   }
 
@@ -211,7 +211,7 @@
       AppServerModel server = servers.server(serverIndex(id));
       boolean timesOut = !server.isUp && server.isUnresponsive;
       timeline.scheduleAfter(
-          timesOut ? Assumptions.CONNECT_TIMEOUT_MS : 2 * Assumptions.ONE_WAY_LATENCY_MS,
+          timesOut ? FleetAssumptions.CONNECT_TIMEOUT_MS : 2 * FleetAssumptions.ONE_WAY_LATENCY_MS,
           () -> checkEnded(server));
     }
     scheduleReachabilityChecks();
--- a/src/main/java/edgenode/simulation/fleet/ModelNode.java
+++ b/src/main/java/edgenode/simulation/fleet/ModelNode.java
@@ -245,7 +245,7 @@
       return;
     }
     double nowMs = timeline.nowMs();
-    counters.connects += nowMs - lastUsedMs[position] > Assumptions.KEEP_ALIVE_MS ? 1 : 0;
+    counters.connects += nowMs - lastUsedMs[position] > FleetAssumptions.KEEP_ALIVE_MS ? 1 : 0;
     lastUsedMs[position] = (float) nowMs;
     usedServers.set(position);
     RequestAttempt attempt =
@@ -312,7 +312,7 @@
   public void checkHealth(String endpointId) {
     double sentMs = timeline.nowMs();
     timeline.scheduleAfter(
-        2 * Assumptions.ONE_WAY_LATENCY_MS, () -> healthCheckEnded(endpointId, sentMs));
+        2 * FleetAssumptions.ONE_WAY_LATENCY_MS, () -> healthCheckEnded(endpointId, sentMs));
   }
 
   private void healthCheckEnded(String endpointId, double sentMs) {
--- a/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
+++ b/src/main/java/edgenode/simulation/fleet/SimulateFleetCommand.java
@@ -186,7 +186,7 @@
 
   private int run(List<FleetShape> shapes) throws IOException {
     out.println("assumed, by no run:");
-    Assumptions.describe().forEach(line -> out.println("  " + line));
+    FleetAssumptions.describe().forEach(line -> out.println("  " + line));
     List<FleetVerdicts.Run> runs = new ArrayList<>();
     boolean isBroken = false;
     for (FleetShape shape : shapes) {
--- a/src/main/java/edgenode/simulation/fleet/Tenant.java
+++ b/src/main/java/edgenode/simulation/fleet/Tenant.java
@@ -26,7 +26,7 @@
     this.spread = spread;
     this.requestsPerSecond = requestsPerSecond;
     plan = "p" + planStep;
-    quotaPerSecond = Assumptions.planRatePerSecond(planStep);
+    quotaPerSecond = FleetAssumptions.planRatePerSecond(planStep);
     tokens = Math.max(MIN_BURST_UNITS, BURST_SECONDS * quotaPerSecond);
     refilledMs = nowMs;
   }
--- a/src/main/java/edgenode/simulation/fleet/TenantPopulation.java
+++ b/src/main/java/edgenode/simulation/fleet/TenantPopulation.java
@@ -47,7 +47,7 @@
     double[] weights = new double[count];
     double totalWeight = 0;
     for (int i = 0; i < count; i++) { // every so many ranks of the whole fleet, evenly
-      weights[i] = Math.pow((i + 0.5) / shape.modelledShare(), -Assumptions.ZIPF_EXPONENT);
+      weights[i] = Math.pow((i + 0.5) / shape.modelledShare(), -FleetAssumptions.ZIPF_EXPONENT);
       totalWeight += weights[i];
     }
     // a tenant of one node alone needs no counter: it has two, even where one node is modelled
@@ -68,10 +68,11 @@
     int spread =
         Math.min(
             maxSpread,
-            Math.max(2, (int) Math.ceil(requestsPerSecond / Assumptions.TENANT_RATE_PER_NODE)));
+            Math.max(
+                2, (int) Math.ceil(requestsPerSecond / FleetAssumptions.TENANT_RATE_PER_NODE)));
     int step = 0;
-    while (step < Assumptions.PLAN_COUNT - 1
-        && Assumptions.planRatePerSecond(step) < QUOTA_HEADROOM * requestsPerSecond) {
+    while (step < FleetAssumptions.PLAN_COUNT - 1
+        && FleetAssumptions.planRatePerSecond(step) < QUOTA_HEADROOM * requestsPerSecond) {
       step++;
     }
     step = Math.max(0, step - (random.nextInt(OVER_QUOTA_ONE_IN) == 0 ? 1 : 0));
--- a/src/test/java/edgenode/ArchitectureTest.java
+++ b/src/test/java/edgenode/ArchitectureTest.java
@@ -11,13 +11,10 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/**
- * How the packages may lean on each other: a reader finds the room by its name, and a core stays
- * one.
- */
+/** Which packages may depend on which, and what a core may not use. */
 @AnalyzeClasses(packages = "edgenode", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-  /** What decides: the decision module with its seam, and the cores of subsystems as they come. */
+  /** What decides: the policy and the cores of the other subsystems. */
   private static final DescribedPredicate<JavaClass> CORES =
       DescribedPredicate.describe(
           "are cores",
@@ -43,7 +40,7 @@
           + "|QuotaPlan|RequestClass|RuleLimits)(\\$.*)?";
 
   /**
-   * What decides in the store: all of it but the command, the front with its thread, and the real
+   * What decides in the store: all of it but the command, the front, the writer thread and the real
    * file system. It knows a directory by an interface, and time and chance as arguments.
    */
   private static final DescribedPredicate<JavaClass> STORE_CORE =
--- a/src/test/java/edgenode/simulation/fleet/FaultyPolicy.java
+++ b/src/test/java/edgenode/simulation/fleet/FaultyPolicy.java
@@ -121,7 +121,7 @@
     @Override
     public void send(long id, String server, double untilMs) {
       lastServer = server;
-      warmingUp.removeIf(c -> nowMs - c.startedAtMs() > Assumptions.WARM_UP_MS);
+      warmingUp.removeIf(c -> nowMs - c.startedAtMs() > FleetAssumptions.WARM_UP_MS);
       String target =
           fault == Fault.OVERLOADS_WARMING_UP && !warmingUp.isEmpty()
               ? warmingUp.get(0).id()
