--- a/src/test/java/edgenode/CommandLineTest.java
+++ b/src/test/java/edgenode/CommandLineTest.java
@@ -9,8 +9,11 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -18,6 +21,9 @@
 /** The commands as operators run them: a process each. */
 @Timeout(60)
 class CommandLineTest {
+  private static final Pattern LONG_OPTION = Pattern.compile("(?m)^ *(?:-\\w, )?--([a-z-]+)");
+  private static final Pattern STORE_COMMAND = Pattern.compile("(?m)^ {2}([a-z]+) {2}");
+
   private record Ended(int code, String out, String err) {}
 
   @TempDir Path folder;
@@ -61,6 +67,43 @@
     assertTrue(none.err.startsWith("usage: "), none.err);
   }
 
+  /** Scripts call the commands by these names, those that they had before included. */
+  @Test
+  void eachListedCommandExists() throws Exception {
+    for (String command : ExternalNames.group("commands")) {
+      assertTrue(helpOf(command).toLowerCase(Locale.ROOT).contains("usage: "), command);
+    }
+  }
+
+  @Test
+  void optionsHaveTheListedNames() throws Exception {
+    for (String command : List.of("demo", "simulate", "simulate-fleet", "benchmark-scaling")) {
+      TreeSet<String> expected = new TreeSet<>(ExternalNames.group("flags of " + command));
+      expected.addAll(List.of("help", "version"));
+      assertEquals(expected, namesIn(helpOf(command), LONG_OPTION), command);
+    }
+  }
+
+  @Test
+  void storeCommandsHaveTheListedNames() throws Exception {
+    assertEquals(
+        new TreeSet<>(ExternalNames.group("store commands")),
+        namesIn(helpOf("store"), STORE_COMMAND));
+  }
+
+  /** The help page of a command, which ends with code 0. */
+  private String helpOf(String command) throws Exception {
+    Ended help = run(Map.of(), command, "--help");
+    assertEquals(0, help.code, command + ": " + help.err);
+    return help.out;
+  }
+
+  private static TreeSet<String> namesIn(String help, Pattern name) {
+    TreeSet<String> names = new TreeSet<>();
+    name.matcher(help).results().forEach(match -> names.add(match.group(1)));
+    return names;
+  }
+
   @Test
   void settingsAreCheckedBeforeTheyAreUsed() throws Exception {
     Path good =
